--- a/libplantainusher/routing/dump.c
+++ b/libplantainusher/routing/dump.c
@@ -11,7 +11,7 @@
 {
   const backend_t *s = backend_at (r, b);
 
-  return s && s->used ? s->in_flight : 0;
+  return s && s->in_use ? s->in_flight : 0;
 }
 
 guint
@@ -19,7 +19,7 @@
 {
   const backend_t *s = backend_at (r, b);
 
-  return s && s->used ? slots_of (s) : 0;
+  return s && s->in_use ? slots_of (s) : 0;
 }
 
 guint
@@ -80,7 +80,7 @@
   return json_pack (
       "{s:s, s:I, s:s, s:b, s:b, s:i, s:i, s:i, s:i, s:i, s:I, s:i, s:f}",
       "name", s->name, "incarnation", (json_int_t)s->incarnation, "zone",
-      s->zone, "leaving", s->leaving, "gone", s->gone, "copies",
+      s->zone, "leaving", s->leaving, "gone", s->removed, "copies",
       (int)s->copies->len, "in_flight", (int)s->in_flight, "others",
       (int)s->others_running, "slots", (int)slots_of (s), "ejections",
       (int)s->ejections, "report_seq", (json_int_t)s->seq, "cached_blocks",
@@ -114,7 +114,7 @@
     json_array_append_new (models, model_dump (model_at (r, i)));
   for (guint i = 0; i < r->backends->len; i++)
     {
-      if (backend_at (r, i)->used)
+      if (backend_at (r, i)->in_use)
         json_array_append_new (backends, backend_dump (backend_at (r, i)));
     }
   return json_pack ("{s:i, s:o, s:o, s:o, s:o}", "in_flight",
--- a/libplantainusher/routing/estimate.c
+++ b/libplantainusher/routing/estimate.c
@@ -2,20 +2,21 @@
 
 #include <math.h>
 
-#define WEIGHT_FIRST 1.0 /* of the prior, in samples */
-#define DEVIATION_SHARE 0.05
-#define WEIGHT_MAX 50.0 /* samples that are remembered */
+#define PRIOR_WEIGHT 1.0      /* of the prior, in samples */
+#define DEVIATION_WEIGHT 0.05 /* of a new sample in the mean residual */
+#define WEIGHT_MAX 50.0       /* samples; older ones decay */
 
-/* Weight of a sample below what is known, and growth with one above: where one
-   sample in ten is undisturbed it settles a half above these.  */
-#define LEAST_DOWN 0.3
-#define LEAST_UP 1.01
+/* Weight of a sample below the estimate, and growth factor for one above. With
+   these, if one sample in ten is undisturbed, the estimate settles one half
+   above the undisturbed ones.  */
+#define MIN_WEIGHT_BELOW 0.3
+#define MIN_GROWTH_ABOVE 1.01
 
 void
 line_init (line_t *l, double at_zero, double slope, double ridge)
 {
   *l = (line_t){
-    .weight = WEIGHT_FIRST,
+    .weight = PRIOR_WEIGHT,
     .y = at_zero,
     .prior = slope,
     .ridge = ridge,
@@ -31,7 +32,8 @@
 
   if (!isfinite (x) || !isfinite (y) || y < 0)
     return;
-  l->deviation += DEVIATION_SHARE * (fabs (y - line_at (l, x)) - l->deviation);
+  l->deviation
+      += DEVIATION_WEIGHT * (fabs (y - line_at (l, x)) - l->deviation);
   l->weight = MIN (l->weight + 1, WEIGHT_MAX);
   share = 1 / l->weight;
   dx = x - l->x;
@@ -51,11 +53,11 @@
     *least = y;
   if (y < *least)
     {
-      *least += LEAST_DOWN * (y - *least);
+      *least += MIN_WEIGHT_BELOW * (y - *least);
     }
   else
     {
-      *least = MIN (y, *least * LEAST_UP);
+      *least = MIN (y, *least * MIN_GROWTH_ABOVE);
     }
 }
 
--- a/libplantainusher/routing/estimate.h
+++ b/libplantainusher/routing/estimate.h
@@ -6,43 +6,47 @@
 G_BEGIN_DECLS
 
 /*
- * estimate - a line fitted to samples, of which older ones count less.
+ * line_t - linear regression with exponential forgetting.
  *
- * Weighted least squares over (x, y) with exponential forgetting.  Where the
- * samples don't tell the slope (all at one x), it stays near the prior's.
+ * Weighted least squares over samples (x, y), in which older samples count
+ * less.  While the samples do not determine the slope (all at one x), it stays
+ * near the prior slope.
  */
 
 typedef struct
 {
   double weight; /* sum of the samples' weights */
-  double x;      /* means */
+  double x;      /* weighted means */
   double y;
   double var;       /* of x */
   double cov;       /* of x and y */
-  double deviation; /* mean distance of the samples from the line */
-  double prior;     /* slope without samples */
-  double ridge;     /* how much variance of x it takes to leave the prior */
+  double deviation; /* mean absolute residual */
+  double prior;     /* prior slope */
+  double ridge;     /* variance of x at which samples and prior slope have
+                       equal weight */
 } line_t;
 
-/* line_init - a line through (0, AT_ZERO) with SLOPE and no samples.  RIDGE
-   is in units of x squared.  */
+/* line_init - initialises L without samples to the line through (0, AT_ZERO)
+   with the prior slope SLOPE.  RIDGE is in units of x squared.  */
 void line_init (line_t *l, double at_zero, double slope, double ridge);
 
-/* line_add - a sample.  Not finite or negative Y are ignored.  */
+/* line_add - adds the sample (X, Y).  Ignores values that are not finite and a
+   negative Y.  */
 void line_add (line_t *l, double x, double y);
 
-/* line_slope - never negative.  */
+/* line_slope - returns the slope of L, at least 0.  */
 double line_slope (const line_t *l);
 
-/* line_at - the expected y at X, never negative.  */
+/* line_at - returns the expected y at X, at least 0.  */
 double line_at (const line_t *l, double x);
 
 /*
- * least - what samples come down to when nothing disturbs them: near the least
- * of them, yet it rises again when all become larger.
+ * Minimum filter - estimates the value of samples without disturbance, near
+ * the lowest of them.  The estimate rises again when all samples grow.
  */
 
-/* least_add - moves *LEAST (0: no sample yet) towards Y.  */
+/* least_add - updates the estimate *LEAST (0: no sample yet) with the sample
+   Y.  Ignores a Y that is not finite or not positive.  */
 void least_add (double *least, double y);
 
 G_END_DECLS
--- a/libplantainusher/routing/limit.c
+++ b/libplantainusher/routing/limit.c
@@ -1,34 +1,35 @@
 #include "routing/router_int.h"
 
 /* The adaptive limit of a service.  */
-#define WINDOW_MIN 16    /* first tokens judged together, at least */
-#define LATE_HIGH_PCT 20 /* more late ones shrink the limit */
-#define LATE_LOW_PCT 5   /* fewer let it grow, when it was used */
-#define USED_PCT 90      /* of the limit, to count as used */
-#define PARTLY_PCT 50    /* of the limit; below, lateness has other causes */
-#define SHRINK 0.9
-#define GROW 1.1
-#define GROW_FIRST 2.0 /* until a window was late */
+#define LATE_SAMPLES_MIN 16    /* least first tokens for one adjustment */
+#define LATE_SHRINK_PCT 20     /* above this share of late ones, shrink */
+#define LATE_GROW_PCT 5        /* below it, grow if the limit was saturated */
+#define LIMIT_SATURATED_PCT 90 /* peak load that counts as saturated */
+#define LIMIT_RELEVANT_PCT 50  /* below it, lateness has other causes */
+#define SHRINK_FACTOR 0.9
+#define GROW_FACTOR 1.1
+#define LIMIT_GROW_FACTOR_INITIAL 2.0 /* until the limit has shrunk once */
 
 /* The adaptive slots of a backend server.  */
 #define SLOTS_MIN 4
-#define SLOTS_USED_PCT 80
-#define GROW_PERIOD_MS 1000
-#define GROW_STEPS_MAX 8
-#define WAITING_MAX 2        /* requests an engine may have waiting */
-#define SLOTS_GROW_FIRST 1.3 /* until they were too many once */
-#define QUEUEING_REPORTS 2   /* in a row, to tell a queue from a burst */
-
-/* The adaptive share of work sent ahead to a backend server.  */
-#define AHEAD_GROW 0.01
-#define AHEAD_SHRINK 0.7
-#define AHEAD_MIN 0.1
-
-#define BLOCK_MS 100      /* rest for one that says it is full */
-#define FAILURE_SHARE 0.2 /* weight of a new outcome */
-#define FAILURE_HIGH 0.5  /* share of failures that ejects */
+#define SLOTS_SATURATED_PCT 80
+#define SLOTS_GROW_PERIOD_MS 1000
+#define SLOTS_GROW_STEPS_MAX 8
+#define ENGINE_WAITING_MAX 2          /* waiting requests that are no queue */
+#define SLOTS_GROW_FACTOR_INITIAL 1.3 /* until the slots have shrunk once */
+#define QUEUEING_REPORTS_MIN 2        /* consecutive; fewer may be a burst */
+
+/* The prefill window of a backend server: additive increase, multiplicative
+   decrease.  */
+#define PREFILL_WINDOW_GROW 0.01
+#define PREFILL_WINDOW_SHRINK 0.7
+#define PREFILL_WINDOW_MIN 0.1
+
+#define FULL_COOLDOWN_MS 100  /* after a refusal as overloaded */
+#define FAILURE_WEIGHT 0.2    /* of a new outcome in the failure share */
+#define FAILURE_SHARE_MAX 0.5 /* a higher share ejects */
 #define EJECT_DOUBLINGS 10
-#define JITTER 0.25 /* of a Retry-After */
+#define RETRY_AFTER_JITTER 0.25 /* highest random addition, as a share */
 
 guint
 service_limit (const service_t *s)
@@ -48,8 +49,9 @@
   return s->in_flight < service_limit (s);
 }
 
-/* What S may use by its importance among the services now at work; 0 when it
-   is alone, as its own lateness is then its own doing.  */
+/* Returns the share of all requests in flight that S is entitled to by its
+   importance among the active services.  Returns 0 if S is the only active
+   service, as its own load then causes its lateness.  */
 static double
 fair_share (const pu_router_t *r, const service_t *s)
 {
@@ -68,7 +70,7 @@
 }
 
 void
-open_flows (pu_router_t *r, const service_t *s)
+service_mark_backends_dirty (pu_router_t *r, const service_t *s)
 {
   for (guint i = 0; s->waiting > 0 && i < s->models->len; i++)
     {
@@ -81,26 +83,29 @@
 }
 
 static void
-window_close (pu_router_t *r, service_t *s)
+service_limit_adjust (pu_router_t *r, service_t *s)
 {
-  guint late_pct = s->late * 100 / s->samples;
-  bool used = s->peak * 100.0 >= s->limit * USED_PCT;
-  bool partly = s->peak * 100.0 >= s->limit * PARTLY_PCT;
+  guint late_pct = s->late_samples * 100 / s->samples;
+  bool saturated = s->peak_in_flight * 100.0 >= s->limit * LIMIT_SATURATED_PCT;
+  bool relevant = s->peak_in_flight * 100.0 >= s->limit * LIMIT_RELEVANT_PCT;
   double floor = MAX (r->options.limit_min, fair_share (r, s));
 
-  if (late_pct > LATE_HIGH_PCT && partly && s->limit > floor)
+  if (late_pct > LATE_SHRINK_PCT && relevant && s->limit > floor)
     {
-      s->limit = MAX (s->limit * SHRINK, floor);
-      s->was_late = true;
+      s->limit = MAX (s->limit * SHRINK_FACTOR, floor);
+      s->limit_has_shrunk = true;
     }
-  if (late_pct < LATE_LOW_PCT && used)
+  if (late_pct < LATE_GROW_PCT && saturated)
     {
-      s->limit = s->limit * (s->was_late ? GROW : GROW_FIRST) + 1;
-      open_flows (r, s);
+      s->limit = s->limit
+                     * (s->limit_has_shrunk ? GROW_FACTOR
+                                            : LIMIT_GROW_FACTOR_INITIAL)
+                 + 1;
+      service_mark_backends_dirty (r, s);
     }
   s->samples = 0;
-  s->late = 0;
-  s->peak = s->in_flight;
+  s->late_samples = 0;
+  s->peak_in_flight = s->in_flight;
 }
 
 void
@@ -109,9 +114,9 @@
   service_t *s = service_at (r, h);
 
   s->samples++;
-  s->late += late;
-  if (s->samples >= WINDOW_MIN && s->samples * 2 >= s->limit)
-    window_close (r, s);
+  s->late_samples += late;
+  if (s->samples >= LATE_SAMPLES_MIN && s->samples * 2 >= s->limit)
+    service_limit_adjust (r, s);
 }
 
 void
@@ -119,14 +124,15 @@
 {
   if (!late)
     {
-      b->window = MIN (b->window + AHEAD_GROW, 1);
+      b->window = MIN (b->window + PREFILL_WINDOW_GROW, 1);
       return;
     }
-  /* One cut for all that was sent before the last one took effect.  */
-  if (sent_at < b->window_cut_at)
+  /* Late requests that were sent before the last reduction took effect cause
+     no further one.  */
+  if (sent_at < b->window_shrunk_at)
     return;
-  b->window = MAX (b->window * AHEAD_SHRINK, AHEAD_MIN);
-  b->window_cut_at = now;
+  b->window = MAX (b->window * PREFILL_WINDOW_SHRINK, PREFILL_WINDOW_MIN);
+  b->window_shrunk_at = now;
 }
 
 guint
@@ -140,51 +146,55 @@
 {
   double load = backend_load (s, now);
 
-  s->slots = MAX (MIN (s->slots, load) * SHRINK, SLOTS_MIN);
-  s->was_full = true;
+  s->slots = MAX (MIN (s->slots, load) * SHRINK_FACTOR, SLOTS_MIN);
+  s->slots_have_shrunk = true;
 }
 
-/* Reports that come seldom grow the slots no slower: a step for each second
-   since the last, up to GROW_STEPS_MAX.  */
+/* Grows the slots by one step for each second since the last report, up to
+   SLOTS_GROW_STEPS_MAX, so that they grow no slower with rare reports.  */
 static void
 slots_grow (const pu_router_t *r, backend_t *s, guint64 since)
 {
-  guint64 steps = CLAMP (since / GROW_PERIOD_MS, 1, GROW_STEPS_MAX);
-  double factor = s->was_full ? GROW : SLOTS_GROW_FIRST;
+  guint64 steps
+      = CLAMP (since / SLOTS_GROW_PERIOD_MS, 1, SLOTS_GROW_STEPS_MAX);
+  double factor
+      = s->slots_have_shrunk ? GROW_FACTOR : SLOTS_GROW_FACTOR_INITIAL;
 
   for (guint64 i = 0; i < steps; i++)
     s->slots = MIN (s->slots * factor + 1, r->options.slots_max);
 }
 
 void
-slots_report (const pu_router_t *r, backend_t *s, guint64 since, guint64 now)
+slots_update (const pu_router_t *r, backend_t *s, guint64 since, guint64 now)
 {
   const pu_router_report_t *report = &s->report;
-  bool queueing = report->waiting > WAITING_MAX + report->running / 4;
-  bool used = backend_load (s, now) * 100 >= s->slots * SLOTS_USED_PCT;
-
-  /* What came since the engine's last step waits for its next one, however
-     much room there is: one report of a queue is no sign of being full.  */
-  s->queueing = queueing ? s->queueing + 1 : 0;
-  if (s->queueing >= QUEUEING_REPORTS)
+  bool queueing = report->waiting > ENGINE_WAITING_MAX + report->running / 4;
+  bool saturated
+      = backend_load (s, now) * 100 >= s->slots * SLOTS_SATURATED_PCT;
+
+  /* Requests that arrived since the last engine step wait for the next step
+     even when the engine has room, so a single report of a queue does not
+     show that it is full.  */
+  s->queueing_reports = queueing ? s->queueing_reports + 1 : 0;
+  if (s->queueing_reports >= QUEUEING_REPORTS_MIN)
     {
       slots_shrink (s, now);
     }
-  else if (report->waiting <= WAITING_MAX && used)
+  else if (report->waiting <= ENGINE_WAITING_MAX && saturated)
     {
       slots_grow (r, s, since);
     }
 }
 
 static void
-hold (pu_router_t *r, pu_router_backend_t b)
+start_cooldown (pu_router_t *r, pu_router_backend_t b)
 {
   backend_t *s = backend_at (r, b);
 
-  if (s->held || s->gone)
+  if (s->cooling_down || s->removed)
     return;
-  s->held = true;
-  g_array_append_val (r->held, b);
+  s->cooling_down = true;
+  g_array_append_val (r->cooldowns, b);
 }
 
 static void
@@ -197,9 +207,9 @@
   s->ejections++;
   s->ejected_until = now + MIN (rest, r->options.eject_max_ms);
   s->failure_share = 0;
-  s->failures = 0;
+  s->consecutive_failures = 0;
   r->stats.ejected++;
-  hold (r, b);
+  start_cooldown (r, b);
 }
 
 void
@@ -211,21 +221,21 @@
   if (failure == PU_ROUTER_FAIL_NOT_RUN)
     {
       slots_shrink (s, now);
-      s->blocked_until = now + BLOCK_MS;
-      hold (r, b);
+      s->blocked_until = now + FULL_COOLDOWN_MS;
+      start_cooldown (r, b);
       return;
     }
   if (failure == PU_ROUTER_FAIL_ABSENT)
     return;
-  /* A failure that it answers itself says less than a broken connection: some
-     requests fail wherever they run.  */
+  /* An error response is weaker evidence than a broken connection, as some
+     requests fail on every backend server.  */
   if (failure != PU_ROUTER_FAIL_ERROR)
-    s->failures++;
-  s->failure_share += FAILURE_SHARE * (1 - s->failure_share);
+    s->consecutive_failures++;
+  s->failure_share += FAILURE_WEIGHT * (1 - s->failure_share);
   if (now < s->ejected_until)
     return;
-  if (s->ejections > 0 || s->failures >= r->options.eject_failures
-      || s->failure_share > FAILURE_HIGH)
+  if (s->ejections > 0 || s->consecutive_failures >= r->options.eject_failures
+      || s->failure_share > FAILURE_SHARE_MAX)
     eject (r, b, now);
 }
 
@@ -234,8 +244,8 @@
 {
   backend_t *s = backend_at (r, b);
 
-  s->failures = 0;
-  s->failure_share -= FAILURE_SHARE * s->failure_share;
+  s->consecutive_failures = 0;
+  s->failure_share -= FAILURE_WEIGHT * s->failure_share;
   if (s->ejections == 0)
     return;
   s->ejections = 0;
@@ -261,9 +271,9 @@
 {
   double ms = wait_ms;
 
-  if (m && m->waiting > 0 && m->drain_rate > 0)
-    ms = MAX (ms, m->waiting / m->drain_rate);
+  if (m && m->waiting > 0 && m->drain_per_ms > 0)
+    ms = MAX (ms, m->waiting / m->drain_per_ms);
   ms = MAX (ms, r->options.retry_after_min_ms);
-  ms *= 1 + JITTER * g_rand_double (r->rand);
+  ms *= 1 + RETRY_AFTER_JITTER * g_rand_double (r->rand);
   return (guint)MIN (ms, r->options.retry_after_max_ms);
 }
--- a/libplantainusher/routing/queue.c
+++ b/libplantainusher/routing/queue.c
@@ -1,13 +1,15 @@
 #include "routing/router_int.h"
 
-#define BUSY_MIN_MS 200 /* a drain rate is known after waiting this long */
-#define DRAINED_MIN 4   /* and after this many starts */
-#define LOOK_MAX 4      /* requests of one flow looked at for one slot */
-
-/* What may be on target first, higher priority, then the earlier due time,
- * then the older.  */
+/* A drain rate is computed after a busy period of this length that has had
+   this many starts.  */
+#define DRAIN_RATE_BUSY_MIN_MS 200
+#define DRAIN_RATE_STARTS_MIN 4
+#define FLOW_SCAN_MAX 4 /* requests of one flow tried for one slot */
+
+/* Orders a flow: requests that can meet their target before late ones, then
+   higher priority, then earlier due time, then earlier offer.  */
 static gint
-compare_place (gconstpointer a, gconstpointer b, gpointer data)
+compare_queue_order (gconstpointer a, gconstpointer b, gpointer data)
 {
   const request_t *x = a;
   const request_t *y = b;
@@ -25,14 +27,14 @@
 }
 
 static gint
-compare_expiry (gconstpointer a, gconstpointer b, gpointer data)
+compare_timeout (gconstpointer a, gconstpointer b, gpointer data)
 {
   const request_t *x = a;
   const request_t *y = b;
 
   (void)data;
-  if (acts_at (x) != acts_at (y))
-    return acts_at (x) < acts_at (y) ? -1 : 1;
+  if (queue_timeout_at (x) != queue_timeout_at (y))
+    return queue_timeout_at (x) < queue_timeout_at (y) ? -1 : 1;
   return x->index < y->index ? -1 : x->index > y->index;
 }
 
@@ -71,13 +73,14 @@
   flow_t *f = flow_of (r, q);
 
   q->state = REQUEST_WAITING;
-  q->place = g_sequence_insert_sorted (f->queue, q, compare_place, NULL);
-  q->expiry = g_sequence_insert_sorted (r->expiries, q, compare_expiry, NULL);
+  q->place = g_sequence_insert_sorted (f->queue, q, compare_queue_order, NULL);
+  q->timeout_iter = g_sequence_insert_sorted (r->waiting_by_timeout, q,
+                                              compare_timeout, NULL);
   service_at (r, q->service)->waiting++;
   if (m->waiting++ > 0)
     return;
   m->busy_since = now;
-  m->drained = 0;
+  m->starts = 0;
 }
 
 void
@@ -86,22 +89,22 @@
   model_t *m = model_at (r, q->model);
 
   g_sequence_remove (q->place);
-  g_sequence_remove (q->expiry);
+  g_sequence_remove (q->timeout_iter);
   q->place = NULL;
-  q->expiry = NULL;
+  q->timeout_iter = NULL;
   service_at (r, q->service)->waiting--;
   m->waiting--;
 }
 
 void
-queue_drained (model_t *m, guint64 now)
+queue_count_start (model_t *m, guint64 now)
 {
   guint64 busy = now - m->busy_since;
 
-  m->drained++;
-  if (busy < BUSY_MIN_MS || m->drained < DRAINED_MIN)
+  m->starts++;
+  if (busy < DRAIN_RATE_BUSY_MIN_MS || m->starts < DRAIN_RATE_STARTS_MIN)
     return;
-  m->drain_rate = m->drained / (double)busy;
+  m->drain_per_ms = m->starts / (double)busy;
 }
 
 double
@@ -111,14 +114,14 @@
   const flow_t *f = find_flow (m, q->service);
   GSequenceIter *at;
 
-  if (m->drain_rate <= 0 || !f || m->waiting == 0)
+  if (m->drain_per_ms <= 0 || !f || m->waiting == 0)
     return 0;
-  at = g_sequence_search (f->queue, (gpointer)q, compare_place, NULL);
-  return g_sequence_iter_get_position (at) / m->drain_rate;
+  at = g_sequence_search (f->queue, (gpointer)q, compare_queue_order, NULL);
+  return g_sequence_iter_get_position (at) / m->drain_per_ms;
 }
 
 bool
-queue_displace (pu_router_t *r, const request_t *q)
+queue_evict (pu_router_t *r, const request_t *q)
 {
   const flow_t *f = find_flow (model_at (r, q->model), q->service);
   request_t *last;
@@ -132,18 +135,18 @@
     return false;
   queue_remove (r, last);
   t = ticket_of (last);
-  g_array_append_val (r->displaced, t);
+  g_array_append_val (r->evicted, t);
   return true;
 }
 
-/* Fair shares on one backend server: start-time fair queueing.  */
+/* Start-time fair queueing of the services on one backend server.  */
 
 static double *
 finish_tag (backend_t *s, pu_router_service_t service)
 {
-  if (service >= s->tags->len)
-    g_array_set_size (s->tags, service + 1);
-  return &g_array_index (s->tags, double, service);
+  if (service >= s->finish_tags->len)
+    g_array_set_size (s->finish_tags, service + 1);
+  return &g_array_index (s->finish_tags, double, service);
 }
 
 static double
@@ -169,14 +172,15 @@
       = s->virtual_time + (cost + 1) / service->importance;
 }
 
-/* The best request of F that may start on B.  */
+/* Returns the first request of F, in scheduling order, that may start on B,
+   out of the first FLOW_SCAN_MAX; NULL if there is none.  */
 static request_t *
 pick_from_flow (pu_router_t *r, const flow_t *f, pu_router_backend_t b,
                 guint copy, guint64 now, candidate_t *c)
 {
   GSequenceIter *at = g_sequence_get_begin_iter (f->queue);
 
-  for (guint i = 0; i < LOOK_MAX && !g_sequence_iter_is_end (at); i++)
+  for (guint i = 0; i < FLOW_SCAN_MAX && !g_sequence_iter_is_end (at); i++)
     {
       request_t *q = g_sequence_get (at);
 
@@ -188,28 +192,30 @@
 }
 
 static bool
-precedes (const pu_router_t *r, backend_t *s, pu_router_service_t a,
-          pu_router_service_t b)
+service_precedes (const pu_router_t *r, backend_t *s, pu_router_service_t a,
+                  pu_router_service_t b)
 {
   if (r->options.test_break == PU_ROUTER_BREAK_FAIRNESS)
     return a < b;
   return start_tag (s, a) < start_tag (s, b);
 }
 
-/* Whether A goes before B, both of them able to start on S.  */
+/* Returns whether A starts before B, when both can start on S.  B may be
+   NULL.  */
 static bool
-goes_first (const pu_router_t *r, backend_t *s, const request_t *a,
-            const request_t *b)
+schedules_before (const pu_router_t *r, backend_t *s, const request_t *a,
+                  const request_t *b)
 {
   if (!b)
     return true;
   if (a->service != b->service)
-    return precedes (r, s, a->service, b->service);
-  return compare_place (a, b, NULL) < 0;
+    return service_precedes (r, s, a->service, b->service);
+  return compare_queue_order (a, b, NULL) < 0;
 }
 
 request_t *
-queue_pick (pu_router_t *r, pu_router_backend_t b, guint64 now, candidate_t *c)
+queue_select (pu_router_t *r, pu_router_backend_t b, guint64 now,
+              candidate_t *c)
 {
   backend_t *s = backend_at (r, b);
   request_t *best = NULL;
@@ -230,7 +236,7 @@
           if (!service_may_start (r, service_at (r, f->service)))
             continue;
           q = pick_from_flow (r, f, b, i, now, &found);
-          if (!q || !goes_first (r, s, q, best))
+          if (!q || !schedules_before (r, s, q, best))
             continue;
           best = q;
           *c = found;
--- a/libplantainusher/routing/router.c
+++ b/libplantainusher/routing/router.c
@@ -2,12 +2,11 @@
 
 #include <string.h>
 
-#define EXPLORE_MS                                                            \
-  1000                 /* how often an estimate is tried in spite of itself   \
-                        */
-#define MEAN_SHARE 0.1 /* weight of a new sample in a mean */
-#define STEP_TOKENS 8  /* tokens that make one sample of the step time */
-#define UNLOADED_FACTOR 2 /* slack over an idle copy's first token */
+/* Interval at which a request is let through against the estimate.  */
+#define PROBE_INTERVAL_MS 1000
+/* The first-token target is extended to this many times the first-token time
+   of an idle copy.  */
+#define UNLOADED_FACTOR 2
 
 void
 pu_router_options_init (pu_router_options_t *o)
@@ -84,7 +83,6 @@
   return q;
 }
 
-/* The running request under T, or NULL.  */
 request_t *
 running_of (const pu_router_t *r, pu_ticket_t t)
 {
@@ -124,16 +122,18 @@
   g_array_append_val (r->free_requests, index);
 }
 
-/* AT less what an idle copy needs; 0 where there is no such time.  */
+/* Returns AT minus UNLOADED, the time that an idle copy needs, but at least
+   0.  */
 static guint64
-start_by (double at, double unloaded)
+latest_start (double at, double unloaded)
 {
   return at > unloaded ? (guint64)(at - unloaded) : 0;
 }
 
-/* When the first token has to come: on target, yet an idle copy always has
-   the time it needs; and before what is left to do meets the deadline, or the
-   caller leaves.  */
+/* The first token is due early enough for the decode steps to end by the
+   deadline, and before the client disconnects.  Before the first attempt, a
+   request that is not late is also due at the first-token target of its
+   service, which is extended to leave an idle copy the time it needs.  */
 void
 set_due (pu_router_t *r, request_t *q)
 {
@@ -151,14 +151,14 @@
   if (s->first_token_ms > 0 && q->attempt == 0 && !q->late)
     due = MIN (due, (double)q->offered_at + target);
   q->due = due > 0 ? (guint64)due : 0;
-  q->turns = start_by (due, unloaded);
-  q->give_up = start_by (s->serve_late ? latest : due, unloaded);
+  q->late_at = latest_start (due, unloaded);
+  q->give_up = latest_start (s->serve_late ? latest : due, unloaded);
   q->give_up = MIN (q->give_up, q->deadline);
 }
 
-/* Q can't be on target any more.  */
+/* Marks Q as unable to meet its target.  */
 static void
-turn_late (pu_router_t *r, request_t *q)
+mark_late (pu_router_t *r, request_t *q)
 {
   q->late = true;
   set_due (r, q);
@@ -219,8 +219,7 @@
 }
 
 static void
-wait_in_queue (pu_router_t *r, request_t *q, guint64 now,
-               pu_router_decision_t *d)
+enqueue (pu_router_t *r, request_t *q, guint64 now, pu_router_decision_t *d)
 {
   queue_add (r, q, now);
   *d = (pu_router_decision_t){
@@ -254,22 +253,22 @@
   q->sent_at = now;
   q->first_at = 0;
   q->work = c->work;
-  q->own_tokens = q->prompt_tokens - c->cached;
+  q->uncached_tokens = q->prompt_tokens - c->cached;
   q->tokens = 0;
   q->sampled_tokens = 0;
   b->in_flight++;
   b->prefilling++;
-  b->pending_tokens += q->own_tokens;
-  backend_count (b, now);
+  b->pending_tokens += q->uncached_tokens;
+  backend_record_in_flight (b, now);
   s->in_flight++;
-  s->peak = MAX (s->peak, s->in_flight);
+  s->peak_in_flight = MAX (s->peak_in_flight, s->in_flight);
   m->in_flight++;
   m->mean_prompt += MEAN_SHARE * (q->prompt_tokens - m->mean_prompt);
   if (q->prompt_tokens > 0)
     {
       m->mean_own
           += MEAN_SHARE
-             * ((double)q->own_tokens / q->prompt_tokens - m->mean_own);
+             * ((double)q->uncached_tokens / q->prompt_tokens - m->mean_own);
     }
   r->in_flight++;
   r->stats.dispatched++;
@@ -291,24 +290,24 @@
   backend_t *b = backend_at (r, q->backend);
 
   b->prefilling--;
-  b->pending_tokens -= q->own_tokens;
+  b->pending_tokens -= q->uncached_tokens;
 }
 
 /* Takes a running request off its backend server.  */
 static void
-stop (pu_router_t *r, request_t *q, guint64 now)
+detach_from_backend (pu_router_t *r, request_t *q, guint64 now)
 {
   backend_t *b = backend_at (r, q->backend);
 
   if (!q->first_at)
     prefill_over (r, q);
   b->in_flight--;
-  backend_count (b, now);
+  backend_record_in_flight (b, now);
   service_at (r, q->service)->in_flight--;
   model_at (r, q->model)->in_flight--;
   r->in_flight--;
   backend_dirty (r, q->backend);
-  backend_release (r, q->backend);
+  backend_reclaim (r, q->backend);
 }
 
 void
@@ -317,16 +316,16 @@
   const service_t *s = service_at (r, q->service);
   bool was_full = !service_may_start (r, s);
 
-  stop (r, q, now);
+  detach_from_backend (r, q, now);
   if (was_full)
-    open_flows (r, s);
+    service_mark_backends_dirty (r, s);
 }
 
 /* Offers.  */
 
 static void
-refuse_unknown (pu_router_t *r, pu_router_reason_t reason,
-                pu_router_decision_t *d)
+refuse_undeclared (pu_router_t *r, pu_router_reason_t reason,
+                   pu_router_decision_t *d)
 {
   *d = (pu_router_decision_t){
     .verdict = PU_ROUTER_REFUSE,
@@ -337,10 +336,11 @@
   r->stats.refused++;
 }
 
-/* Whether Q can't meet its deadline even on an idle copy.  Now and then one
-   is let through, or a wrong estimate would stand for ever.  */
+/* Returns whether Q cannot be answered in time even on an idle copy.  While
+   the model has nothing in flight, one such request each PROBE_INTERVAL_MS is
+   let through, as a wrong estimate would otherwise never be corrected.  */
 static bool
-is_hopeless (pu_router_t *r, const request_t *q, guint64 now)
+cannot_be_on_time (pu_router_t *r, const request_t *q, guint64 now)
 {
   model_t *m = model_at (r, q->model);
 
@@ -348,24 +348,24 @@
     return true;
   if (q->give_up >= now)
     return false;
-  if (m->in_flight > 0 || m->explored_at + EXPLORE_MS > now)
+  if (m->in_flight > 0 || m->probed_at + PROBE_INTERVAL_MS > now)
     return true;
-  m->explored_at = now;
+  m->probed_at = now;
   return false;
 }
 
 static bool
-may_start_at_once (pu_router_t *r, const request_t *q, guint64 now,
-                   candidate_t *c)
+can_start_now (pu_router_t *r, const request_t *q, guint64 now, candidate_t *c)
 {
   if (!service_may_start (r, service_at (r, q->service)))
     return false;
   if (!choose_copy (r, q, now, c))
     return false;
-  /* What waits and could start there goes first; after a pu_router_next
-     nothing is left that could, whatever else waits for the model.  */
+  /* A waiting request that could start on that backend server goes first.
+     Only a backend server marked dirty since the last pu_router_next can have
+     one, whatever else waits for the model.  */
   return !backend_at (r, c->backend)->dirty
-         || g_sequence_is_empty (r->expiries);
+         || g_sequence_is_empty (r->waiting_by_timeout);
 }
 
 void
@@ -379,13 +379,13 @@
     {
       refuse (r, q, PU_ROUTER_REASON_DEADLINE, wait, d);
     }
-  else if (s->waiting >= s->max_queue && !queue_displace (r, q))
+  else if (s->waiting >= s->max_queue && !queue_evict (r, q))
     {
       refuse (r, q, PU_ROUTER_REASON_QUEUE_FULL, wait, d);
     }
   else
     {
-      wait_in_queue (r, q, now, d);
+      enqueue (r, q, now, d);
     }
 }
 
@@ -398,11 +398,11 @@
     {
       refuse (r, q, PU_ROUTER_REASON_COPY, 0, d);
     }
-  else if (is_hopeless (r, q, now))
+  else if (cannot_be_on_time (r, q, now))
     {
       refuse (r, q, PU_ROUTER_REASON_DEADLINE, 0, d);
     }
-  else if (may_start_at_once (r, q, now, &c))
+  else if (can_start_now (r, q, now, &c))
     {
       start (r, q, &c, now, d);
     }
@@ -423,12 +423,12 @@
   r->stats.offered++;
   if (!s || !s->declared)
     {
-      refuse_unknown (r, PU_ROUTER_REASON_SERVICE, d);
+      refuse_undeclared (r, PU_ROUTER_REASON_SERVICE, d);
       return;
     }
   if (!m || !m->declared)
     {
-      refuse_unknown (r, PU_ROUTER_REASON_MODEL, d);
+      refuse_undeclared (r, PU_ROUTER_REASON_MODEL, d);
       return;
     }
   budget_earn (r, &s->budget);
@@ -439,7 +439,7 @@
     d->ticket = 0;
 }
 
-/* Next.  */
+/* Scheduling of waiting requests.  */
 
 static void
 refuse_waiting (pu_router_t *r, request_t *q, pu_router_reason_t reason,
@@ -453,11 +453,11 @@
 }
 
 static void
-refuse_displaced (pu_router_t *r, GArray *out)
+refuse_evicted (pu_router_t *r, GArray *out)
 {
-  for (guint i = 0; i < r->displaced->len; i++)
+  for (guint i = 0; i < r->evicted->len; i++)
     {
-      pu_ticket_t t = g_array_index (r->displaced, pu_ticket_t, i);
+      pu_ticket_t t = g_array_index (r->evicted, pu_ticket_t, i);
       request_t *q = request_of (r, t);
       pu_router_decision_t d;
 
@@ -466,37 +466,39 @@
       refuse (r, q, PU_ROUTER_REASON_QUEUE_FULL, 0, &d);
       g_array_append_val (out, d);
     }
-  g_array_set_size (r->displaced, 0);
+  g_array_set_size (r->evicted, 0);
 }
 
-/* Q goes behind what may be on target, and may start where that may not.  */
+/* Moves Q behind the requests that can meet their target, and marks the
+   backend servers of its model, as a late request may start where others may
+   not.  */
 static void
-wait_late (pu_router_t *r, request_t *q, guint64 now)
+requeue_late (pu_router_t *r, request_t *q, guint64 now)
 {
   const model_t *m = model_at (r, q->model);
 
   queue_remove (r, q);
-  turn_late (r, q);
+  mark_late (r, q);
   queue_add (r, q, now);
   for (guint i = 0; i < m->ready->len; i++)
     backend_dirty (r, g_array_index (m->ready, ready_t, i).backend);
 }
 
 static void
-expire (pu_router_t *r, guint64 now, GArray *out)
+expire_waiting (pu_router_t *r, guint64 now, GArray *out)
 {
-  GSequenceIter *at = g_sequence_get_begin_iter (r->expiries);
+  GSequenceIter *at = g_sequence_get_begin_iter (r->waiting_by_timeout);
 
   while (!g_sequence_iter_is_end (at))
     {
       request_t *q = g_sequence_get (at);
 
-      if (acts_at (q) >= now)
+      if (queue_timeout_at (q) >= now)
         return;
       if (!q->late && q->give_up >= now)
         {
-          wait_late (r, q, now);
-          at = g_sequence_get_begin_iter (r->expiries);
+          requeue_late (r, q, now);
+          at = g_sequence_get_begin_iter (r->waiting_by_timeout);
           continue;
         }
       refuse_waiting (r, q, PU_ROUTER_REASON_DEADLINE, out);
@@ -507,7 +509,7 @@
 
           g_array_append_val (out, again);
         }
-      at = g_sequence_get_begin_iter (r->expiries);
+      at = g_sequence_get_begin_iter (r->waiting_by_timeout);
     }
 }
 
@@ -525,13 +527,13 @@
   return PU_ROUTER_REASON_NONE;
 }
 
-/* Refuses what waits for something that is no longer there.  */
+/* Refuses waiting requests whose service, model or last ready copy is gone. */
 static void
-sweep (pu_router_t *r, GArray *out)
+refuse_unservable (pu_router_t *r, GArray *out)
 {
-  GSequenceIter *at = g_sequence_get_begin_iter (r->expiries);
+  GSequenceIter *at = g_sequence_get_begin_iter (r->waiting_by_timeout);
 
-  r->sweep = false;
+  r->recheck_waiting = false;
   while (!g_sequence_iter_is_end (at))
     {
       request_t *q = g_sequence_get (at);
@@ -544,47 +546,48 @@
 }
 
 static guint64
-held_until (const backend_t *b)
+cooldown_end (const backend_t *b)
 {
   return MAX (b->blocked_until, b->ejected_until);
 }
 
 static void
-release_held (pu_router_t *r, guint64 now)
+end_cooldowns (pu_router_t *r, guint64 now)
 {
-  for (guint i = r->held->len; i-- > 0;)
+  for (guint i = r->cooldowns->len; i-- > 0;)
     {
-      pu_router_backend_t h = g_array_index (r->held, pu_router_backend_t, i);
+      pu_router_backend_t h
+          = g_array_index (r->cooldowns, pu_router_backend_t, i);
       backend_t *b = backend_at (r, h);
 
-      if (held_until (b) > now)
+      if (cooldown_end (b) > now)
         continue;
-      b->held = false;
-      g_array_remove_index_fast (r->held, i);
+      b->cooling_down = false;
+      g_array_remove_index_fast (r->cooldowns, i);
       backend_dirty (r, h);
     }
 }
 
-/* Starts what waits on B while B can take it.  */
+/* Starts waiting requests on H while it has capacity.  */
 static void
 fill_backend (pu_router_t *r, pu_router_backend_t h, guint64 now, GArray *out)
 {
   candidate_t c;
   request_t *q;
 
-  while ((q = queue_pick (r, h, now, &c)))
+  while ((q = queue_select (r, h, now, &c)))
     {
       pu_router_decision_t d;
 
       queue_remove (r, q);
-      queue_drained (model_at (r, q->model), now);
+      queue_count_start (model_at (r, q->model), now);
       start (r, q, &c, now, &d);
       g_array_append_val (out, d);
     }
 }
 
 static void
-fill_dirty (pu_router_t *r, guint64 now, GArray *out)
+fill_dirty_backends (pu_router_t *r, guint64 now, GArray *out)
 {
   while (r->dirty->len > 0)
     {
@@ -595,7 +598,8 @@
 
       g_array_set_size (r->dirty, last);
       b->dirty = false;
-      if (!b->gone && !b->leaving && !g_sequence_is_empty (r->expiries))
+      if (!b->removed && !b->leaving
+          && !g_sequence_is_empty (r->waiting_by_timeout))
         fill_backend (r, h, now, out);
     }
 }
@@ -605,33 +609,34 @@
 {
   guint before = out->len;
 
-  refuse_displaced (r, out);
-  if (r->sweep)
-    sweep (r, out);
-  expire (r, now, out);
-  release_held (r, now);
-  fill_dirty (r, now, out);
+  refuse_evicted (r, out);
+  if (r->recheck_waiting)
+    refuse_unservable (r, out);
+  expire_waiting (r, now, out);
+  end_cooldowns (r, now);
+  fill_dirty_backends (r, now, out);
   return out->len - before;
 }
 
 guint64
 pu_router_wake_at (const pu_router_t *r)
 {
-  GSequenceIter *first = g_sequence_get_begin_iter (r->expiries);
+  GSequenceIter *first = g_sequence_get_begin_iter (r->waiting_by_timeout);
   guint64 at;
 
-  if (r->displaced->len > 0 || r->dirty->len > 0)
+  if (r->evicted->len > 0 || r->dirty->len > 0)
     return 0;
   if (g_sequence_iter_is_end (first))
     return G_MAXUINT64;
-  if (r->sweep)
+  if (r->recheck_waiting)
     return 0;
-  at = acts_at (g_sequence_get (first)) + 1;
-  for (guint i = 0; i < r->held->len; i++)
+  at = queue_timeout_at (g_sequence_get (first)) + 1;
+  for (guint i = 0; i < r->cooldowns->len; i++)
     {
-      pu_router_backend_t h = g_array_index (r->held, pu_router_backend_t, i);
+      pu_router_backend_t h
+          = g_array_index (r->cooldowns, pu_router_backend_t, i);
 
-      at = MIN (at, held_until (backend_at (r, h)));
+      at = MIN (at, cooldown_end (backend_at (r, h)));
     }
   return at;
 }
--- a/libplantainusher/routing/router_int.h
+++ b/libplantainusher/routing/router_int.h
@@ -5,19 +5,22 @@
 #include "routing/router.h"
 
 /*
- * The router's tables, shared by the files of this slice and by nobody else.
+ * The internal tables of the router, private to this folder.
  *
- * tables.c    fills them         choose.c  picks a copy for a request
- * queue.c     keeps what waits   limit.c   limits, budgets, ejection
- * router.c    offers and next    dump.c    prints them
- * feedback.c  learns, retries
+ * tables.c    updates the tables           choose.c  chooses a copy
+ * queue.c     queues of waiting requests   limit.c   limits, retry budgets,
+ *                                                    ejection
+ * router.c    offers and scheduling        dump.c    statistics and JSON
+ * feedback.c  estimates and retries
  */
 
-#define TRIED_MAX 4    /* backend servers a request remembers to avoid */
-#define MEAN_SHARE 0.1 /* weight of a new sample in a mean */
-#define HISTORY_MAX 16 /* ticks of own work kept, to correct late reports */
+#define TRIED_MAX 4    /* failed backend servers that a request avoids */
+#define MEAN_SHARE 0.1 /* weight of a new sample in a moving average */
+/* Ticks for which the own requests in flight are kept, so that a late report
+   is compared with the count at the time it describes.  */
+#define HISTORY_MAX 16
 #define HISTORY_TICK_MS 64
-#define REPORT_LIFE_MS 5000 /* an older report says nothing */
+#define REPORT_VALID_MS 5000 /* an older report is ignored */
 
 typedef struct
 {
@@ -33,23 +36,23 @@
   guint patience_ms;
   guint in_flight;
   guint waiting;
-  double limit;  /* adaptive */
-  bool was_late; /* it was too high once */
-  guint samples; /* of this window */
-  guint late;
-  guint peak;     /* highest in flight in this window */
-  double budget;  /* retries that may be spent */
-  GArray *models; /* of pu_router_model_t: where it has had a queue */
+  double limit;          /* adaptive concurrency limit */
+  bool limit_has_shrunk; /* growth is slower from then on */
+  guint samples;         /* first tokens since the last adjustment */
+  guint late_samples;    /* of these, later than the target */
+  guint peak_in_flight;  /* since the last adjustment */
+  double budget;         /* retries available */
+  GArray *models;        /* of pu_router_model_t: models with a flow of it */
 } service_t;
 
-/* What one service has waiting for one model, best first.  */
+/* The waiting requests of one service for one model, in scheduling order.  */
 typedef struct
 {
   pu_router_service_t service;
   GSequence *queue; /* of request_t * */
 } flow_t;
 
-/* A ready copy that may get work.  */
+/* A copy that may get new requests.  */
 typedef struct
 {
   pu_router_backend_t backend;
@@ -60,23 +63,23 @@
 {
   char *name;
   bool declared;
-  char *preferred; /* version; NULL: all alike */
-  guint share;     /* of 1000 requests that go there */
+  char *preferred; /* version; NULL: all are equal */
+  guint share;     /* requests in 1000 that go to that version */
   GArray *ready;   /* of ready_t */
   GArray *flows;   /* of flow_t */
   guint waiting;
   guint in_flight;
-  line_t first;       /* tokens of prefill -> ms to the first token */
-  line_t step;        /* requests at once -> ms for each token */
-  double mean_prompt; /* tokens */
-  double mean_output; /* tokens; 0: not known */
-  double mean_own;    /* share of a prompt that was not cached */
-  double token_ms;    /* of prefill, undisturbed; 0: not known */
-  double step_ms;     /* between tokens, undisturbed; 0: not known */
-  guint64 busy_since; /* since when requests wait without a break */
-  double drain_rate;  /* starts for each ms while busy; 0: not known */
-  guint drained;      /* starts since busy_since */
-  guint64 explored_at;
+  line_t first;        /* ms to the first token over prefill tokens */
+  line_t step;         /* ms for each output token over concurrent requests */
+  double mean_prompt;  /* tokens */
+  double mean_output;  /* tokens; 0: not known */
+  double mean_own;     /* share of the prompt that was not cached */
+  double token_ms;     /* of prefill, without contention; 0: not known */
+  double step_ms;      /* between tokens, without contention; 0: not known */
+  guint64 busy_since;  /* start of the period in which requests always wait */
+  double drain_per_ms; /* starts from the queue per ms; 0: not known */
+  guint starts;        /* from the queue since busy_since */
+  guint64 probed_at;   /* see cannot_be_on_time in router.c */
 } model_t;
 
 typedef struct
@@ -84,8 +87,8 @@
   pu_router_model_t model;
   char *version;
   pu_router_phase_t phase;
-  line_t first; /* as its model's, but of this copy alone */
-  bool tried;   /* `first` holds a sample */
+  line_t first;     /* as in model_t, but of this copy alone */
+  bool has_samples; /* `first` holds a sample */
 } copy_t;
 
 typedef struct
@@ -93,26 +96,27 @@
   char *name;
   guint64 name_hash;
   guint64 incarnation;
-  guint64 serial; /* never used twice, as the handle is */
+  guint64 serial; /* unique, whereas handles are reused */
   pu_router_kind_t kind;
   char *region;
   char *zone;
-  guint cost_ms; /* of the way there */
-  bool used;     /* the slot of the table is in use */
-  bool gone;     /* removed; waits for its last request */
+  guint cost_ms; /* network latency penalty */
+  bool in_use;   /* false: the handle is free */
+  bool removed;  /* kept until its last request ends */
   bool leaving;
-  bool dirty; /* a slot may have opened since the last next */
-  bool held;  /* in the router's list of held backend servers */
+  bool dirty;        /* may have capacity; in the router's dirty list */
+  bool cooling_down; /* in the router's list of cooldowns */
   guint fixed_slots;
-  double slots;   /* adaptive */
-  bool was_full;  /* they were too many once */
-  guint queueing; /* reports in a row that showed a queue */
-  GArray *copies; /* of copy_t */
+  double slots;           /* adaptive limit of concurrent requests */
+  bool slots_have_shrunk; /* growth is slower from then on */
+  guint queueing_reports; /* consecutive reports that showed a queue */
+  GArray *copies;         /* of copy_t */
   guint in_flight;
-  guint prefilling;       /* own, before their first token */
-  guint64 pending_tokens; /* of these */
-  double window;          /* share of the allowed work ahead; adaptive */
-  guint64 window_cut_at;
+  guint prefilling;       /* own requests before their first token */
+  guint64 pending_tokens; /* prompt tokens of these that are not cached */
+  double window;          /* adaptive share of window_pct that queued
+                             prefill work may take */
+  guint64 window_shrunk_at;
   line_t step;
   bool step_known;
   guint64 seq;
@@ -120,18 +124,18 @@
   pu_router_report_t report;
   guint others_running;
   guint others_waiting;
-  guint history[HISTORY_MAX]; /* own in flight by tick */
+  guint in_flight_history[HISTORY_MAX]; /* own requests, by tick */
   guint64 history_tick;
-  guint failures; /* in a row */
-  double failure_share;
-  guint ejections; /* since it last worked; 0: healthy */
+  guint consecutive_failures;
+  double failure_share; /* moving average */
+  guint ejections;      /* since its last success; 0: healthy */
   guint64 ejected_until;
-  guint64 blocked_until; /* it said that it is full */
+  guint64 blocked_until; /* it refused a request as overloaded */
   double budget;
-  GArray *tags; /* of double: finish tag of each service here */
+  GArray *finish_tags; /* of double, by service: fair queueing */
   double virtual_time;
-  GHashTable *blocks; /* believed cached prefix blocks */
-  guint64 kv_next;    /* number of the next cache event; 0: any */
+  GHashTable *blocks;    /* set of the prefix blocks assumed cached */
+  guint64 next_kv_event; /* expected sequence number; 0: any */
 } backend_t;
 
 typedef enum
@@ -151,11 +155,11 @@
   guint priority;
   guint64 offered_at;
   guint64 deadline;
-  guint64 due;     /* the first token is to come by then */
-  guint64 turns;   /* waiting longer makes it late, where late ones are served
-                      too */
-  guint64 give_up; /* waiting longer makes it useless */
-  bool late;       /* it waits behind what may still be on target */
+  guint64 due;     /* latest time for the first token */
+  guint64 late_at; /* latest start that can meet `due` */
+  guint64 give_up; /* latest start that is of use; refused after it */
+  bool late;       /* missed late_at but still served: waits behind those that
+                      can meet their target */
   guint prompt_tokens;
   guint max_tokens;
   guint64 *prefix;
@@ -171,16 +175,16 @@
   bool gave_tokens;
   guint64 tried[TRIED_MAX]; /* serials */
   guint n_tried;
-  GSequenceIter *place;  /* in its flow */
-  GSequenceIter *expiry; /* in the router's expiries */
+  GSequenceIter *place;        /* in the queue of its flow */
+  GSequenceIter *timeout_iter; /* in waiting_by_timeout of the router */
   /* Of the running attempt.  */
   pu_router_backend_t backend;
   guint64 sent_at;
-  guint64 first_at; /* 0: no token yet */
-  guint64 work;     /* prefill tokens before its first token */
-  guint own_tokens; /* of these, its own */
+  guint64 first_at;      /* 0: no token yet */
+  guint64 work;          /* prefill tokens queued there, its own included */
+  guint uncached_tokens; /* of these, its own */
   guint tokens;
-  guint sampled_tokens; /* when the step was last learnt */
+  guint sampled_tokens; /* at the last sample of the decode step */
   guint64 sampled_at;
 } request_t;
 
@@ -198,28 +202,29 @@
   GHashTable *backend_names;
   GPtrArray *requests; /* of request_t, by index */
   GArray *free_requests;
-  GSequence *expiries; /* of request_t, by acts_at */
-  GArray *dirty;       /* of pu_router_backend_t */
-  GArray *held;        /* backend servers blocked or ejected until later */
-  GArray *found;       /* of candidate_t: those of the choice in progress */
-  double token_ms;     /* of prefill, over all models; 0: not known */
-  double step_ms;      /* between tokens, over all models; 0: not known */
-  GArray *displaced;   /* of pu_ticket_t: refused by the next next */
+  GSequence *waiting_by_timeout; /* all waiting request_t */
+  GArray *dirty;                 /* of pu_router_backend_t */
+  GArray *cooldowns; /* of pu_router_backend_t: blocked or ejected */
+  GArray *found;     /* of candidate_t: candidates of the current choice */
+  double token_ms;   /* as in model_t, over all models */
+  double step_ms;    /* as in model_t, over all models */
+  GArray *evicted;   /* of pu_ticket_t: to be refused */
   guint in_flight;
-  guint64 serial; /* last one given to a backend server */
-  bool sweep;     /* a table lost what waiting requests may need */
+  guint64 serial;       /* of the newest backend server */
+  bool recheck_waiting; /* a service, a model or a last copy is gone: waiting
+                           requests may have to be refused */
   pu_router_stats_t stats;
 };
 
-/* A copy that could take a request, with what is expected of it.  */
+/* A copy that can take a request now, with its estimates.  */
 typedef struct
 {
   pu_router_backend_t backend;
   guint copy;
-  double first_ms; /* to the first token, the way included */
-  double score;    /* what is compared; least is best */
-  guint cached;    /* tokens of the prompt believed cached there */
-  guint64 work;    /* prefill tokens before its first token */
+  double first_ms; /* to the first token, with the network latency */
+  double score;    /* predicted cost; the lowest is best */
+  guint cached;    /* tokens of the prompt assumed cached there */
+  guint64 work;    /* prefill tokens queued there, the request's included */
 } candidate_t;
 
 static inline service_t *
@@ -248,63 +253,75 @@
 
 /* tables.c */
 
-/* acts_at - when waiting changes what becomes of Q.  */
+/* queue_timeout_at - returns the time after which the waiting Q becomes late
+   or is refused.  */
 static inline guint64
-acts_at (const request_t *q)
+queue_timeout_at (const request_t *q)
 {
-  return q->late ? q->give_up : MIN (q->turns, q->give_up);
+  return q->late ? q->give_up : MIN (q->late_at, q->give_up);
 }
 
-/* backend_dirty - B may take more than when it was last looked at.  */
+/* backend_dirty - marks B, which may have capacity for waiting requests, for
+   the next pu_router_next.  */
 void backend_dirty (pu_router_t *r, pu_router_backend_t b);
 
-/* backend_release - frees the slot of a gone B when nothing runs there.  */
-void backend_release (pu_router_t *r, pu_router_backend_t b);
+/* backend_reclaim - frees the handle of B if B is removed and has no request
+   in flight.  */
+void backend_reclaim (pu_router_t *r, pu_router_backend_t b);
 
-/* backend_load - requests there now: own, and others' by the last report.  */
+/* backend_load - returns the requests on B: the own ones in flight and, from a
+   valid report, those of other entries.  */
 guint backend_load (const backend_t *b, guint64 now);
 
-/* backend_others_waiting - others' requests that wait there.  */
+/* backend_others_waiting - returns the requests of other entries that wait on
+   B.  */
 guint backend_others_waiting (const backend_t *b, guint64 now);
 
-/* backend_step_ms - expected time for each token with LOAD at once.  */
+/* backend_step_ms - returns the expected time between tokens on B with LOAD
+   concurrent requests, by the line of B or, if it has no sample, of M.  */
 double backend_step_ms (const pu_router_t *r, const backend_t *b,
                         const model_t *m, guint load);
 
-/* copy_first - the time to the first token on C.  Of a copy that nothing was
-   sent to yet it is its model's as it is now: one kept from when the copy came
-   would stand for ever where the others have become faster since.  */
+/* copy_first - returns the estimate of the time to the first token on C.  For
+   a copy without samples this is the current line of its model: a line saved
+   when the copy appeared would never be corrected while the other copies get
+   faster.  */
 const line_t *copy_first (const pu_router_t *r, const copy_t *c);
 
-/* copy_learn - a sample for C: MS to the first token of WORK.  */
+/* copy_learn - adds a sample to C: MS milliseconds to the first token with
+   WORK prefill tokens.  */
 void copy_learn (const pu_router_t *r, copy_t *c, double work, double ms);
 
-/* backend_count - notes that own work on B changed.  */
-void backend_count (backend_t *b, guint64 now);
+/* backend_record_in_flight - records a change of the own requests in flight on
+   B in its history.  */
+void backend_record_in_flight (backend_t *b, guint64 now);
 
 /* choose.c */
 
-/* unloaded_ms - the first token of Q on an idle copy of its model.  */
+/* unloaded_ms - returns the expected time to the first token of Q on an idle
+   copy of its model.  */
 double unloaded_ms (const pu_router_t *r, const request_t *q);
 
-/* output_tokens - how many tokens Q is expected to give.  */
+/* output_tokens - returns the expected number of output tokens of Q.  */
 guint output_tokens (const pu_router_t *r, const request_t *q);
 
-/* candidate_on - whether Q may start now on copy COPY of B; fills C.  */
+/* candidate_on - returns whether Q may start now on copy COPY of B, and sets
+   C.  */
 bool candidate_on (pu_router_t *r, const request_t *q, pu_router_backend_t b,
                    guint copy, guint64 now, candidate_t *c);
 
-/* What is left for a retry of a request.  */
+/* Whether a copy is left for the retry of a request.  */
 typedef enum
 {
-  LEFT_NONE,  /* every ready copy was tried */
-  LEFT_SPENT, /* the others have no retry budget */
-  LEFT_OPEN,
+  LEFT_NONE,  /* all ready copies have failed it */
+  LEFT_SPENT, /* the backend servers of the others have no retry budget */
+  LEFT_OPEN,  /* one that has not failed it has retry budget */
 } copy_left_t;
 
 copy_left_t copy_left (const pu_router_t *r, const request_t *q);
 
-/* choose_copy - the best copy for Q to start on now, if there is one.  */
+/* choose_copy - sets C to the best copy on which Q can start now.  Returns
+   false if there is none.  */
 bool choose_copy (pu_router_t *r, const request_t *q, guint64 now,
                   candidate_t *c);
 
@@ -313,90 +330,106 @@
 void queue_add (pu_router_t *r, request_t *q, guint64 now);
 void queue_remove (pu_router_t *r, request_t *q);
 
-/* queue_wait_ms - how long Q would wait behind what is better; 0 when not
-   known.  */
+/* queue_wait_ms - returns how long Q would wait behind the requests ahead of
+   it in its flow; 0 if not known.  */
 double queue_wait_ms (const pu_router_t *r, const request_t *q);
 
-/* queue_displace - takes the last request of lower priority out of Q's flow
-   to make place for Q.  Returns false when there is none.  */
-bool queue_displace (pu_router_t *r, const request_t *q);
+/* queue_evict - removes the last request from the flow of Q, to make room for
+   Q.  Returns false if its priority is not lower than that of Q.  */
+bool queue_evict (pu_router_t *r, const request_t *q);
 
-/* queue_pick - the request that B should start next, and how.  */
-request_t *queue_pick (pu_router_t *r, pu_router_backend_t b, guint64 now,
-                       candidate_t *c);
+/* queue_select - returns the waiting request that B starts next and sets C, or
+   returns NULL.  */
+request_t *queue_select (pu_router_t *r, pu_router_backend_t b, guint64 now,
+                         candidate_t *c);
 
-/* queue_charge - counts Q's start on B in the fair shares there.  */
+/* queue_charge - charges the cost of Q on candidate C to its service in the
+   fair queueing of that backend server.  */
 void queue_charge (pu_router_t *r, const request_t *q, const candidate_t *c);
 
-/* queue_drained - counts a start from the queue of M.  */
-void queue_drained (model_t *m, guint64 now);
+/* queue_count_start - counts a start from the queue of M and updates its drain
+   rate.  */
+void queue_count_start (model_t *m, guint64 now);
 
 /* limit.c */
 
 guint service_limit (const service_t *s);
 bool service_may_start (const pu_router_t *r, const service_t *s);
 
-/* open_flows - S may start more: the copies it waits for are looked at.  */
-void open_flows (pu_router_t *r, const service_t *s);
+/* service_mark_backends_dirty - marks the backend servers with a ready copy
+   for which S has requests waiting, as S may start more.  */
+void service_mark_backends_dirty (pu_router_t *r, const service_t *s);
 
-/* service_sample - a first token came, LATE or in time.  */
+/* service_sample - records a first token of S, LATE or on time, and adjusts
+   the limit of S after enough of them.  */
 void service_sample (pu_router_t *r, pu_router_service_t s, bool late);
 
-/* window_sample - a first token came from B for a request sent at SENT_AT,
-   LATE or in time.  */
+/* window_sample - adjusts the prefill window of B to a first token, LATE or on
+   time, of a request sent at SENT_AT.  */
 void window_sample (backend_t *b, guint64 sent_at, bool late, guint64 now);
 
-/* slots_of - requests that B may have at once.  */
+/* slots_of - returns the limit of concurrent requests on B.  */
 guint slots_of (const backend_t *b);
 
-/* slots_report - takes the report of B, which came SINCE milliseconds after
-   the one before.  */
-void slots_report (const pu_router_t *r, backend_t *b, guint64 since,
+/* slots_update - adjusts the slots of B to its report, which came SINCE
+   milliseconds after the previous one.  */
+void slots_update (const pu_router_t *r, backend_t *b, guint64 since,
                    guint64 now);
 
+/* backend_failed - records FAILURE of an attempt on B, and ejects B or starts
+   a cooldown if need be.  */
 void backend_failed (pu_router_t *r, pu_router_backend_t b,
                      pu_router_failure_t failure, guint64 now);
+
+/* backend_worked - records a success of B and ends its ejection.  */
 void backend_worked (pu_router_t *r, pu_router_backend_t b);
 
-/* budget_earn - a first attempt pays into a retry budget.  */
+/* budget_earn - credits a first attempt to a retry budget.  */
 void budget_earn (const pu_router_t *r, double *budget);
+
+/* budget_has - returns whether BUDGET allows a retry.  */
 bool budget_has (const pu_router_t *r, double budget);
 
-/* retry_after - milliseconds after which a caller may come back.  */
+/* retry_after - returns the Retry-After of a refusal in milliseconds, with
+   random jitter; M may be NULL.  */
 guint retry_after (pu_router_t *r, const model_t *m, double wait_ms);
 
 /* router.c */
 
+/* request_of - returns the request under T, or NULL.  */
 request_t *request_of (const pu_router_t *r, pu_ticket_t t);
 
-/* running_of - the running request under T, or NULL.  */
+/* running_of - returns the running request under T, or NULL.  */
 request_t *running_of (const pu_router_t *r, pu_ticket_t t);
 
-/* request_end - voids Q's ticket.  */
+/* request_end - voids the ticket of Q and frees Q.  */
 void request_end (pu_router_t *r, request_t *q);
 
-/* set_due - works out by when Q's first token has to come.  */
+/* set_due - computes the due time of Q and the latest times to start it.  */
 void set_due (pu_router_t *r, request_t *q);
 
-/* why_lost - what Q needs and is no longer there; NONE when all is.  */
+/* why_lost - returns which of the service, the model and a ready copy Q has
+   lost, or PU_ROUTER_REASON_NONE.  */
 pu_router_reason_t why_lost (const pu_router_t *r, const request_t *q);
 
-/* refuse - Q's final answer, and its end.  */
+/* refuse - sets D to the refusal of Q and ends Q.  */
 void refuse (pu_router_t *r, request_t *q, pu_router_reason_t reason,
              double wait_ms, pu_router_decision_t *d);
 
-/* enqueue_or_refuse - Q can't start now.  */
+/* enqueue_or_refuse - decides about Q when it cannot start now.  */
 void enqueue_or_refuse (pu_router_t *r, request_t *q, guint64 now,
                         pu_router_decision_t *d);
 
-/* start - an attempt of Q on C.  */
+/* start - starts an attempt of Q on C.  */
 void start (pu_router_t *r, request_t *q, const candidate_t *c, guint64 now,
             pu_router_decision_t *d);
 
-/* prefill_over - Q's prompt weighs on its backend server no longer.  */
+/* prefill_over - takes the prompt of Q off the pending prefill work of its
+   backend server.  */
 void prefill_over (pu_router_t *r, request_t *q);
 
-/* stop_and_open - takes the running Q off its backend server.  */
+/* stop_and_open - takes the running Q off its backend server and marks other
+   backend servers if that lets the service of Q start more.  */
 void stop_and_open (pu_router_t *r, request_t *q, guint64 now);
 
 #endif
--- a/libplantainusher/routing/tables.c
+++ b/libplantainusher/routing/tables.c
@@ -3,11 +3,11 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define TOKEN_RIDGE 10000.0 /* tokens squared */
-#define LOAD_RIDGE 1.0      /* requests squared */
+#define TOKEN_RIDGE 10000.0 /* ridge over prefill tokens, tokens squared */
+#define LOAD_RIDGE 1.0      /* ridge over concurrent requests, squared */
 
 static void
-index_add (pu_router_t *r, pu_router_backend_t b, guint copy)
+ready_list_add (pu_router_t *r, pu_router_backend_t b, guint copy)
 {
   backend_t *s = backend_at (r, b);
   copy_t *c = &g_array_index (s->copies, copy_t, copy);
@@ -15,11 +15,11 @@
   model_t *m = model_at (r, c->model);
 
   g_array_append_val (m->ready, ready);
-  m->drain_rate = 0;
+  m->drain_per_ms = 0;
 }
 
 static void
-index_remove (pu_router_t *r, pu_router_backend_t b, pu_router_model_t m)
+ready_list_remove (pu_router_t *r, pu_router_backend_t b, pu_router_model_t m)
 {
   GArray *list = model_at (r, m)->ready;
 
@@ -29,35 +29,35 @@
         g_array_remove_index_fast (list, i);
     }
   if (list->len == 0)
-    r->sweep = true;
+    r->recheck_waiting = true;
 }
 
 static bool
-copy_gets_work (const pu_router_t *r, const backend_t *s, const copy_t *c)
+copy_is_eligible (const pu_router_t *r, const backend_t *s, const copy_t *c)
 {
   if (r->options.test_break == PU_ROUTER_BREAK_DRAINING)
-    return c->phase != PU_ROUTER_COPY_LOADING && !s->gone;
-  return c->phase == PU_ROUTER_COPY_READY && !s->leaving && !s->gone;
+    return c->phase != PU_ROUTER_COPY_LOADING && !s->removed;
+  return c->phase == PU_ROUTER_COPY_READY && !s->leaving && !s->removed;
 }
 
 static void
-unindex_backend (pu_router_t *r, pu_router_backend_t b)
+ready_list_remove_backend (pu_router_t *r, pu_router_backend_t b)
 {
   backend_t *s = backend_at (r, b);
 
   for (guint i = 0; i < s->copies->len; i++)
-    index_remove (r, b, g_array_index (s->copies, copy_t, i).model);
+    ready_list_remove (r, b, g_array_index (s->copies, copy_t, i).model);
 }
 
 static void
-index_backend (pu_router_t *r, pu_router_backend_t b)
+ready_list_add_backend (pu_router_t *r, pu_router_backend_t b)
 {
   backend_t *s = backend_at (r, b);
 
   for (guint i = 0; i < s->copies->len; i++)
     {
-      if (copy_gets_work (r, s, &g_array_index (s->copies, copy_t, i)))
-        index_add (r, b, i);
+      if (copy_is_eligible (r, s, &g_array_index (s->copies, copy_t, i)))
+        ready_list_add (r, b, i);
     }
   backend_dirty (r, b);
 }
@@ -127,7 +127,7 @@
   if (!service)
     return;
   service->declared = false;
-  r->sweep = true;
+  r->recheck_waiting = true;
 }
 
 /* Models.  */
@@ -152,7 +152,8 @@
   g_sequence_free (f->queue);
 }
 
-/* The handle of NAME, declared or not.  */
+/* Returns the handle of the model NAME, which is added undeclared if it is
+   new.  */
 static pu_router_model_t
 model_intern (pu_router_t *r, const char *name)
 {
@@ -198,7 +199,7 @@
   if (!model)
     return;
   model->declared = false;
-  r->sweep = true;
+  r->recheck_waiting = true;
 }
 
 /* Backend servers.  */
@@ -233,7 +234,7 @@
   return NULL;
 }
 
-/* Replaces the copies of S; what was learnt of one that stays is kept.  */
+/* Replaces the copies of S; a copy that stays keeps its estimates.  */
 static void
 set_copies (pu_router_t *r, backend_t *s, const pu_router_copy_t *copies,
             guint n)
@@ -253,7 +254,7 @@
       if (old)
         {
           c.first = old->first;
-          c.tried = old->tried;
+          c.has_samples = old->has_samples;
         }
       g_array_append_val (list, c);
     }
@@ -262,7 +263,7 @@
 }
 
 static guint
-way_cost (const pu_router_t *r, const backend_t *s)
+network_cost (const pu_router_t *r, const backend_t *s)
 {
   if (strcmp (s->region, r->region) != 0)
     return r->options.region_cost_ms;
@@ -272,11 +273,11 @@
 }
 
 static guint
-free_backend_slot (pu_router_t *r)
+backend_handle_alloc (pu_router_t *r)
 {
   for (guint i = 0; i < r->backends->len; i++)
     {
-      if (!backend_at (r, i)->used)
+      if (!backend_at (r, i)->in_use)
         return i;
     }
   g_ptr_array_add (r->backends, g_new0 (backend_t, 1));
@@ -286,7 +287,7 @@
 static pu_router_backend_t
 backend_new (pu_router_t *r, const pu_router_backend_options_t *o)
 {
-  guint h = free_backend_slot (r);
+  guint h = backend_handle_alloc (r);
   backend_t *s = backend_at (r, h);
 
   *s = (backend_t){
@@ -294,12 +295,12 @@
     .name_hash = XXH64 (o->name, strlen (o->name), 0),
     .incarnation = o->incarnation,
     .serial = ++r->serial,
-    .used = true,
+    .in_use = true,
     .slots = r->options.slots_initial,
     .window = 1,
     .copies = copies_new (),
     .budget = r->options.retry_burst,
-    .tags = g_array_new (FALSE, TRUE, sizeof (double)),
+    .finish_tags = g_array_new (FALSE, TRUE, sizeof (double)),
     .blocks = g_hash_table_new (NULL, NULL),
   };
   line_init (&s->step, r->options.decode_ms, 0, LOAD_RIDGE);
@@ -343,15 +344,15 @@
   if (!s)
     h = backend_new (r, o);
   s = backend_at (r, h);
-  unindex_backend (r, h);
+  ready_list_remove_backend (r, h);
   s->kind = o->kind;
   s->leaving = o->leaving;
   s->fixed_slots = o->slots;
   replace_string (&s->region, o->region);
   replace_string (&s->zone, o->zone);
-  s->cost_ms = way_cost (r, s);
+  s->cost_ms = network_cost (r, s);
   set_copies (r, s, o->copies, o->n_copies);
-  index_backend (r, h);
+  ready_list_add_backend (r, h);
   return h;
 }
 
@@ -360,12 +361,12 @@
 {
   backend_t *s = backend_at (r, b);
 
-  if (!s || !s->used || s->gone)
+  if (!s || !s->in_use || s->removed)
     return;
-  unindex_backend (r, b);
-  s->gone = true;
+  ready_list_remove_backend (r, b);
+  s->removed = true;
   g_hash_table_remove (r->backend_names, s->name);
-  backend_release (r, b);
+  backend_reclaim (r, b);
 }
 
 void
@@ -373,15 +374,15 @@
 {
   backend_t *s = backend_at (r, b);
 
-  if (!s || !s->used || s->gone || s->leaving)
+  if (!s || !s->in_use || s->removed || s->leaving)
     return;
-  unindex_backend (r, b);
+  ready_list_remove_backend (r, b);
   s->leaving = true;
-  index_backend (r, b);
+  ready_list_add_backend (r, b);
 }
 
 static void
-forget (GArray *list, pu_router_backend_t b)
+list_remove_backend (GArray *list, pu_router_backend_t b)
 {
   for (guint i = list->len; i-- > 0;)
     {
@@ -393,26 +394,26 @@
 static void
 backend_clear (backend_t *s)
 {
-  if (!s->used)
+  if (!s->in_use)
     return;
   g_free (s->name);
   g_free (s->region);
   g_free (s->zone);
   g_array_free (s->copies, TRUE);
-  g_array_free (s->tags, TRUE);
+  g_array_free (s->finish_tags, TRUE);
   g_hash_table_destroy (s->blocks);
-  *s = (backend_t){ .used = false };
+  *s = (backend_t){ .in_use = false };
 }
 
 void
-backend_release (pu_router_t *r, pu_router_backend_t b)
+backend_reclaim (pu_router_t *r, pu_router_backend_t b)
 {
   backend_t *s = backend_at (r, b);
 
-  if (!s->gone || s->in_flight > 0)
+  if (!s->removed || s->in_flight > 0)
     return;
-  forget (r->dirty, b);
-  forget (r->held, b);
+  list_remove_backend (r->dirty, b);
+  list_remove_backend (r->cooldowns, b);
   backend_clear (s);
 }
 
@@ -421,7 +422,7 @@
 {
   const backend_t *s = backend_at (r, b);
 
-  return s && s->used ? s->name : "";
+  return s && s->in_use ? s->name : "";
 }
 
 guint64
@@ -429,7 +430,7 @@
 {
   const backend_t *s = backend_at (r, b);
 
-  return s && s->used ? s->incarnation : 0;
+  return s && s->in_use ? s->incarnation : 0;
 }
 
 void
@@ -437,7 +438,7 @@
 {
   backend_t *s = backend_at (r, b);
 
-  if (s->dirty || s->gone)
+  if (s->dirty || s->removed)
     return;
   s->dirty = true;
   g_array_append_val (r->dirty, b);
@@ -445,39 +446,39 @@
 
 /* Load.  */
 
-/* Carries the last count on to the tick of NOW.  */
+/* Fills the history with the last count up to the tick of NOW.  */
 static void
 history_advance (backend_t *s, guint64 now)
 {
   guint64 tick = now / HISTORY_TICK_MS;
-  guint last = s->history[s->history_tick % HISTORY_MAX];
+  guint last = s->in_flight_history[s->history_tick % HISTORY_MAX];
   guint64 steps = tick - s->history_tick;
 
   if (tick <= s->history_tick)
     return;
   for (guint64 i = 1; i <= MIN (steps, HISTORY_MAX); i++)
-    s->history[(s->history_tick + i) % HISTORY_MAX] = last;
-  s->history[tick % HISTORY_MAX] = last;
+    s->in_flight_history[(s->history_tick + i) % HISTORY_MAX] = last;
+  s->in_flight_history[tick % HISTORY_MAX] = last;
   s->history_tick = tick;
 }
 
 void
-backend_count (backend_t *s, guint64 now)
+backend_record_in_flight (backend_t *s, guint64 now)
 {
   history_advance (s, now);
-  s->history[s->history_tick % HISTORY_MAX] = s->in_flight;
+  s->in_flight_history[s->history_tick % HISTORY_MAX] = s->in_flight;
 }
 
-/* Own work that was there AGE milliseconds ago.  */
+/* Returns the own requests that were in flight on S AGE milliseconds ago.  */
 static guint
-own_before (backend_t *s, guint age, guint64 now)
+in_flight_before (backend_t *s, guint age, guint64 now)
 {
   guint ticks = MIN (age / HISTORY_TICK_MS, HISTORY_MAX - 1);
 
   history_advance (s, now);
   if (s->history_tick < ticks)
     return 0;
-  return s->history[(s->history_tick - ticks) % HISTORY_MAX];
+  return s->in_flight_history[(s->history_tick - ticks) % HISTORY_MAX];
 }
 
 bool
@@ -489,9 +490,9 @@
   guint own;
   guint total;
 
-  if (!s || !s->used || s->gone || report->seq <= s->seq)
+  if (!s || !s->in_use || s->removed || report->seq <= s->seq)
     return false;
-  own = own_before (s, report->age_ms, now);
+  own = in_flight_before (s, report->age_ms, now);
   total = report->running + report->waiting;
   since = s->reported_at ? now - s->reported_at : 0;
   s->seq = report->seq;
@@ -499,7 +500,7 @@
   s->report = *report;
   s->others_running = total > own ? total - own : 0;
   s->others_waiting = MIN (report->waiting, s->others_running);
-  slots_report (r, s, since, now);
+  slots_update (r, s, since, now);
   backend_dirty (r, b);
   return true;
 }
@@ -507,7 +508,7 @@
 static bool
 report_is_fresh (const backend_t *s, guint64 now)
 {
-  guint life = s->report.life_ms != 0 ? s->report.life_ms : REPORT_LIFE_MS;
+  guint life = s->report.life_ms != 0 ? s->report.life_ms : REPORT_VALID_MS;
 
   return s->reported_at && now < s->reported_at + life;
 }
@@ -535,17 +536,17 @@
 const line_t *
 copy_first (const pu_router_t *r, const copy_t *c)
 {
-  return c->tried ? &c->first : &model_at (r, c->model)->first;
+  return c->has_samples ? &c->first : &model_at (r, c->model)->first;
 }
 
 void
 copy_learn (const pu_router_t *r, copy_t *c, double work, double ms)
 {
-  if (!c->tried)
+  if (!c->has_samples)
     {
       c->first = model_at (r, c->model)->first;
       c->first.weight = MIN (c->first.weight, 1);
-      c->tried = true;
+      c->has_samples = true;
     }
   line_add (&c->first, work, ms);
 }
@@ -557,11 +558,11 @@
   backend_t *s = backend_at (r, b);
   bool gap;
 
-  if (!s || !s->used || s->gone)
+  if (!s || !s->in_use || s->removed)
     return true;
-  if (s->kv_next && e->last < s->kv_next)
+  if (s->next_kv_event && e->last < s->next_kv_event)
     return true;
-  gap = s->kv_next && e->first != s->kv_next;
+  gap = s->next_kv_event && e->first != s->next_kv_event;
   if (gap)
     {
       g_hash_table_remove_all (s->blocks);
@@ -574,11 +575,11 @@
     g_hash_table_add (s->blocks, GSIZE_TO_POINTER (e->added[i]));
   for (guint i = 0; i < e->n_removed; i++)
     g_hash_table_remove (s->blocks, GSIZE_TO_POINTER (e->removed[i]));
-  s->kv_next = e->last + 1;
+  s->next_kv_event = e->last + 1;
   return !gap;
 }
 
-/* The whole.  */
+/* The router.  */
 
 static void
 service_free (gpointer data)
@@ -639,11 +640,11 @@
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   r->requests = g_ptr_array_new_with_free_func (request_free);
   r->free_requests = g_array_new (FALSE, FALSE, sizeof (guint));
-  r->expiries = g_sequence_new (NULL);
+  r->waiting_by_timeout = g_sequence_new (NULL);
   r->dirty = g_array_new (FALSE, FALSE, sizeof (pu_router_backend_t));
-  r->held = g_array_new (FALSE, FALSE, sizeof (pu_router_backend_t));
+  r->cooldowns = g_array_new (FALSE, FALSE, sizeof (pu_router_backend_t));
   r->found = g_array_new (FALSE, FALSE, sizeof (candidate_t));
-  r->displaced = g_array_new (FALSE, FALSE, sizeof (pu_ticket_t));
+  r->evicted = g_array_new (FALSE, FALSE, sizeof (pu_ticket_t));
   return r;
 }
 
@@ -655,16 +656,16 @@
   g_hash_table_destroy (r->service_names);
   g_hash_table_destroy (r->model_names);
   g_hash_table_destroy (r->backend_names);
-  g_sequence_free (r->expiries);
+  g_sequence_free (r->waiting_by_timeout);
   g_ptr_array_free (r->requests, TRUE);
   g_ptr_array_free (r->services, TRUE);
   g_ptr_array_free (r->models, TRUE);
   g_ptr_array_free (r->backends, TRUE);
   g_array_free (r->free_requests, TRUE);
   g_array_free (r->dirty, TRUE);
-  g_array_free (r->held, TRUE);
+  g_array_free (r->cooldowns, TRUE);
   g_array_free (r->found, TRUE);
-  g_array_free (r->displaced, TRUE);
+  g_array_free (r->evicted, TRUE);
   g_rand_free (r->rand);
   g_free (r->region);
   g_free (r->zone);
