--- a/libplantainusher/routing/router.h
+++ b/libplantainusher/routing/router.h
@@ -8,89 +8,95 @@
 G_BEGIN_DECLS
 
 /*
- * router - which backend server runs a request, when, or why not.
+ * router - admission, queueing and load balancing of the requests of one
+ * entry.
  *
- * A pure core of one entry: no I/O, no clock.  `now` is monotonic
- * milliseconds and never goes back.  The shell fills three tables (services,
- * models, backend servers) from the replicated view and from load reports,
- * offers requests and carries the decisions out.
+ * The router decides which backend server runs a request and when, or refuses
+ * the request with a reason.  It does no I/O and reads no clock: `now` is
+ * monotonic milliseconds and never decreases.  The I/O layer of the entry
+ * fills three tables (services, models, backend servers) from the replicated
+ * view and from load reports, offers requests and carries out the decisions.
  *
- * Each offered request gets exactly one final answer:
- *   - a refusal, from pu_router_offer, pu_router_next or pu_router_retry;
- *   - or pu_router_finished or pu_router_cancel, called by the shell.
- * After its final answer a ticket is void; calls with a void ticket do
- * nothing.
+ * Each offered request ends in exactly one of two ways:
+ *   - the router refuses it in pu_router_offer, pu_router_next or
+ *     pu_router_retry;
+ *   - the I/O layer calls pu_router_finished, pu_router_cancel or
+ *     pu_router_failed.
+ * Its ticket is then void; calls with a void ticket do nothing.
  *
- * The shell calls pu_router_next after every event that can open a slot (a
- * finish, a failure, a report, a change of a table) and at the time that
- * pu_router_wake_at gives.
+ * The I/O layer calls pu_router_next after every event that can free capacity
+ * (the end or failure of a request, a load report, a change of a table) and
+ * at the time that pu_router_wake_at returns.
  */
 
 #define PU_ROUTER_NONE G_MAXUINT32
 #define PU_ROUTER_PRIORITY_MAX 9
-/* Block hashes of a prompt that are kept; the rest is ignored.  */
+/* Block hashes of a prompt that are used; further ones are ignored.  */
 #define PU_ROUTER_PREFIX_MAX 256
 
 typedef struct pu_router pu_router_t;
 
-/* Handles into the tables; PU_ROUTER_NONE is none.  */
+/* Handles into the tables; PU_ROUTER_NONE is the null handle.  */
 typedef guint32 pu_router_service_t;
 typedef guint32 pu_router_model_t;
 typedef guint32 pu_router_backend_t;
 
-/* A request between its offer and its final answer; 0 is none.  */
+/* Identifies a request from its offer to its end; 0 is the null ticket.  */
 typedef guint64 pu_ticket_t;
 
-/* Deliberate faults, for the tests that show that a check can fail.  */
+/* Faults injected by tests, to show that a check can fail.  */
 typedef enum
 {
   PU_ROUTER_BREAK_NONE,
   PU_ROUTER_BREAK_BACKEND_LIMIT, /* ignores the slots of backend servers */
   PU_ROUTER_BREAK_SERVICE_LIMIT, /* ignores the limits of services */
-  PU_ROUTER_BREAK_DRAINING,      /* chooses draining copies and leavers */
+  PU_ROUTER_BREAK_DRAINING,      /* routes to draining copies and to
+                                    backend servers that leave */
   PU_ROUTER_BREAK_BUDGET,        /* retries without a budget */
-  PU_ROUTER_BREAK_REPEAT,        /* repeats what may not be repeated */
-  PU_ROUTER_BREAK_EXPIRY,        /* gives the same expiry twice */
+  PU_ROUTER_BREAK_REPEAT,        /* retries unsafe requests */
+  PU_ROUTER_BREAK_EXPIRY,        /* returns each expiry twice */
   PU_ROUTER_BREAK_FAIRNESS,      /* serves one service before all others */
 } pu_router_break_t;
 
 typedef struct
 {
-  guint64 seed;            /* of the random numbers */
+  guint64 seed;            /* of the random number generator */
   const char *region;      /* of this entry */
   const char *zone;        /* of this entry */
-  guint zone_cost_ms;      /* added for a backend server in another zone */
-  guint region_cost_ms;    /* added for one in another region */
-  guint version_cost_ms;   /* added for a version that is not preferred */
-  guint candidates;        /* copies looked at for one choice, at least 2 */
+  guint zone_cost_ms;      /* penalty for a backend server in another zone */
+  guint region_cost_ms;    /* penalty for one in another region */
+  guint version_cost_ms;   /* penalty for a version not preferred */
+  guint candidates;        /* copies sampled for one choice, at least 2 */
   guint block_tokens;      /* tokens of a prefix block */
-  guint prefix_blocks_max; /* cached blocks remembered of a backend server */
-  guint slots_initial;     /* requests at once on one backend server */
-  guint slots_max;         /* highest that it may grow to */
-  guint limit_initial;     /* requests of one service at once */
-  guint limit_min;         /* the adaptive limit stays at or above */
-  guint window_pct;        /* share of the first-token target that work sent
-                              ahead to a backend server may fill */
-  guint alike_pct;         /* share of the first-token target within which
-                              copies are as good as the best: a fingerprint
-                              then chooses among them */
-  guint retry_pct;         /* retries for 100 first attempts */
-  guint retry_burst;       /* retries allowed before any attempt */
-  guint attempts_max;      /* of one request, the first included */
-  guint eject_failures;    /* failures in a row that eject */
-  guint eject_ms;          /* first ejection; doubles each time */
+  guint prefix_blocks_max; /* cached blocks tracked per backend server */
+  guint slots_initial;     /* initial concurrency of a backend server */
+  guint slots_max;         /* upper bound of the adaptive slots */
+  guint limit_initial;     /* initial concurrency of a service */
+  guint limit_min;         /* lower bound of the adaptive limit */
+  guint window_pct;        /* percent of the first-token target that prefill
+                              work queued on a backend server may take */
+  guint alike_pct;         /* percent of the first-token target within which
+                              copies count as equal to the best one; the
+                              fingerprint chooses among them */
+  guint retry_pct;         /* retries earned by 100 first attempts */
+  guint retry_burst;       /* initial and maximum retry budget */
+  guint attempts_max;      /* attempts of one request, with the first */
+  guint eject_failures;    /* consecutive failures that eject */
+  guint eject_ms;          /* length of the first ejection; each further
+                              one is twice as long */
   guint eject_max_ms;
   guint retry_after_min_ms;
   guint retry_after_max_ms;
-  double prefill_ms;            /* for each prompt token, until it is learnt */
-  double decode_ms;             /* for each token, until it is learnt */
+  double prefill_ms;            /* initial estimate for each prompt token */
+  double decode_ms;             /* initial estimate for each output token */
   pu_router_break_t test_break; /* tests only */
 } pu_router_options_t;
 
-/* pu_router_options_init - fills O with the defaults.  */
+/* pu_router_options_init - sets O to the defaults.  */
 void pu_router_options_init (pu_router_options_t *o);
 
-/* pu_router_new - an empty router.  Copies O.  Free with pu_router_free.  */
+/* pu_router_new - returns a new, empty router.  Copies O.  The caller frees
+   it with pu_router_free.  */
 pu_router_t *pu_router_new (const pu_router_options_t *o);
 void pu_router_free (pu_router_t *r);
 
@@ -100,43 +106,48 @@
 {
   const char *name;
   guint importance;      /* weight among services, at least 1 */
-  guint first_token_ms;  /* target; 0: none */
+  guint first_token_ms;  /* target for the first token; 0: none */
   guint per_token_ms;    /* target between tokens; 0: none */
-  guint timeout_ms;      /* deadline of a request that brings none */
-  guint max_concurrency; /* 0: the adaptive limit alone */
-  guint max_queue;       /* requests that wait at most */
-  bool serve_late;       /* a late answer is worth having: what can't be on
-                            target waits behind what can, until its
-                            deadline */
-  guint patience_ms;     /* callers leave that have no first token by then;
-                            0: at their deadline */
+  guint timeout_ms;      /* deadline of a request that has none */
+  guint max_concurrency; /* 0: only the adaptive limit applies */
+  guint max_queue;       /* most requests that wait */
+  bool serve_late;       /* requests that miss the first-token target are
+                            still served: they wait behind those that can
+                            meet it, until their deadline */
+  guint patience_ms;     /* clients disconnect when they have no first token
+                            after this time; 0: at their deadline */
 } pu_router_service_options_t;
 
-/* pu_router_set_service - declares a service or changes it.  */
+/* pu_router_set_service - declares a service or changes its options.  Returns
+   its handle.  */
 pu_router_service_t
 pu_router_set_service (pu_router_t *r, const pu_router_service_options_t *o);
 
-/* pu_router_remove_service - withdraws S.  What waits is refused by the next
-   pu_router_next; what runs goes on.  */
+/* pu_router_remove_service - withdraws S.  The next call of pu_router_next
+   refuses the waiting requests of S; running ones continue.  */
 void pu_router_remove_service (pu_router_t *r, pu_router_service_t s);
 
-/* pu_router_find_service - the handle of a declared service, or NONE.  */
+/* pu_router_find_service - returns the handle of a declared service, or
+   PU_ROUTER_NONE.  */
 pu_router_service_t pu_router_find_service (const pu_router_t *r,
                                             const char *name);
 
-/* pu_router_set_model - declares a model or an adapter, or changes which
-   version is preferred.  PREFERRED may be NULL: all versions alike.  Of 1000
-   requests SHARE go to the preferred version where it has a ready copy, the
-   others to the other versions; during a version change the shell raises
-   SHARE from 0 to 1000.
-   A plain service is declared as the model named "service:NAME".  */
+/* pu_router_set_model - declares a model or an adapter, or changes its
+   preferred version.  With PREFERRED NULL all versions are equal.  SHARE is
+   the number of requests in 1000 that go to the preferred version where it
+   has a ready copy; the others go to the other versions.  During a version
+   change the I/O layer raises SHARE from 0 to 1000.
+   A plain service is declared as the model named "service:NAME".  Returns the
+   handle of the model.  */
 pu_router_model_t pu_router_set_model (pu_router_t *r, const char *name,
                                        const char *preferred, guint share);
 
-/* pu_router_remove_model - withdraws M, as for services.  */
+/* pu_router_remove_model - withdraws M.  Its waiting and running requests are
+   treated as by pu_router_remove_service.  */
 void pu_router_remove_model (pu_router_t *r, pu_router_model_t m);
 
-/* pu_router_find_model - the handle of a declared model, or NONE.  */
+/* pu_router_find_model - returns the handle of a declared model, or
+   PU_ROUTER_NONE.  */
 pu_router_model_t pu_router_find_model (const pu_router_t *r,
                                         const char *name);
 
@@ -144,13 +155,13 @@
 {
   PU_ROUTER_COPY_LOADING,
   PU_ROUTER_COPY_READY,
-  PU_ROUTER_COPY_DRAINING, /* also unloading: gets nothing new */
+  PU_ROUTER_COPY_DRAINING, /* or unloading: gets no new requests */
 } pu_router_phase_t;
 
 typedef struct
 {
   const char *model;   /* "service:NAME" on a plain backend server */
-  const char *version; /* "" when it has none */
+  const char *version; /* "" if none */
   pu_router_phase_t phase;
 } pu_router_copy_t;
 
@@ -167,83 +178,88 @@
   pu_router_kind_t kind;
   const char *region;
   const char *zone;
-  bool leaving; /* gets nothing new */
-  guint slots;  /* fixed number of requests at once; 0: adaptive */
+  bool leaving; /* gets no new requests */
+  guint slots;  /* fixed limit of concurrent requests; 0: adaptive */
   const pu_router_copy_t *copies;
   guint n_copies;
 } pu_router_backend_options_t;
 
-/* pu_router_set_backend - adds a backend server or replaces what is known of
-   it: flags and copies as given, estimates kept.  A higher incarnation is a
-   new backend server and the old one is removed; a lower one changes nothing
-   and gives NONE.  */
+/* pu_router_set_backend - adds a backend server, or replaces its flags and
+   copies and keeps its estimates.  A higher incarnation counts as a new
+   backend server and removes the old one; a lower incarnation changes nothing.
+   Returns its handle, or PU_ROUTER_NONE for a lower incarnation.  */
 pu_router_backend_t
 pu_router_set_backend (pu_router_t *r, const pu_router_backend_options_t *o);
 
-/* pu_router_remove_backend - B is dead or left: it gets nothing new.  The
-   shell still reports what becomes of the requests it runs, each by
-   pu_router_retry, pu_router_finished or pu_router_cancel.  The handle is
-   void at once for the shell.  */
+/* pu_router_remove_backend - removes B, which has failed or left.  It gets no
+   new requests, and its handle is void at once for the I/O layer, which still
+   reports the end of each request that B runs with pu_router_retry,
+   pu_router_failed, pu_router_finished or pu_router_cancel.  */
 void pu_router_remove_backend (pu_router_t *r, pu_router_backend_t b);
 
-/* pu_router_set_leaving - B gets nothing new from now on.  */
+/* pu_router_set_leaving - stops new requests to B.  */
 void pu_router_set_leaving (pu_router_t *r, pu_router_backend_t b);
 
-/* pu_router_find_backend - the handle of the newest incarnation, or NONE.  */
+/* pu_router_find_backend - returns the handle of the newest incarnation, or
+   PU_ROUTER_NONE.  */
 pu_router_backend_t pu_router_find_backend (const pu_router_t *r,
                                             const char *name);
 
-/* pu_router_backend_name - the name behind a handle or a decision.  */
+/* pu_router_backend_name - returns the name of B, which comes from a table or
+   a decision, or "" for a void handle.  */
 const char *pu_router_backend_name (const pu_router_t *r,
                                     pu_router_backend_t b);
 
-/* pu_router_backend_incarnation - 0 for a void handle.  */
+/* pu_router_backend_incarnation - returns the incarnation of B, or 0 for a
+   void handle.  */
 guint64 pu_router_backend_incarnation (const pu_router_t *r,
                                        pu_router_backend_t b);
 
-/* What is known of the work at a backend server.  */
+/* Load of a backend server.  */
 typedef struct
 {
-  guint own; /* requests of this router there */
-  guint running;
+  guint own;     /* requests of this router in flight there */
+  guint running; /* by the last report, of all entries */
   guint waiting;
-  guint64 age_ms; /* of the report that said so; G_MAXUINT32: none came */
+  guint64 age_ms; /* of that report; G_MAXUINT32: there was none */
 } pu_router_load_t;
 
-/* pu_router_backend_load - fills LOAD; of a void handle, with nothing.  */
+/* pu_router_backend_load - sets LOAD to the load of B, or to no load and no
+   report for a void handle.  */
 void pu_router_backend_load (const pu_router_t *r, pu_router_backend_t b,
                              guint64 now, pu_router_load_t *load);
 
-/* What backend servers tell.  */
+/* Reports of backend servers.  */
 
 typedef struct
 {
-  guint64 seq;   /* older ones than seen are ignored */
-  guint running; /* all entries' requests */
+  guint64 seq;   /* a report whose number is not higher is ignored */
+  guint running; /* requests of all entries */
   guint waiting;
   guint kv_used_mb;
   double tokens_per_s;
-  guint age_ms;  /* how old the numbers are on arrival; 0: not known */
-  guint life_ms; /* they hold until the next, at most for that long; 0: 5 s */
+  guint age_ms;  /* age of the numbers on arrival; 0: not known */
+  guint life_ms; /* how long they are valid without a newer report; 0: 5 s */
 } pu_router_report_t;
 
-/* pu_router_report - takes a load report of B.  Returns false when old.  */
+/* pu_router_report - records a load report of B.  Returns false when the
+   report is out of date or B is void.  */
 bool pu_router_report (pu_router_t *r, pu_router_backend_t b,
                        const pu_router_report_t *report, guint64 now);
 
 typedef struct
 {
-  guint64 first; /* number of the first event in the batch */
+  guint64 first; /* sequence number of the first event of the batch */
   guint64 last;
-  const guint64 *added; /* block hashes now cached */
+  const guint64 *added; /* block hashes newly cached */
   guint n_added;
   const guint64 *removed;
   guint n_removed;
 } pu_router_kv_events_t;
 
-/* pu_router_kv_events - takes a batch of cache events of B.  A gap in the
-   numbers drops all that was believed to be cached there; old batches are
-   ignored.  Returns false on a gap.  */
+/* pu_router_kv_events - applies a batch of prefix cache events of B.  A gap in
+   the sequence numbers first clears the set of blocks assumed cached on B; old
+   batches are ignored.  Returns false on a gap.  */
 bool pu_router_kv_events (pu_router_t *r, pu_router_backend_t b,
                           const pu_router_kv_events_t *events);
 
@@ -253,27 +269,27 @@
 {
   pu_router_service_t service;
   pu_router_model_t model;
-  guint priority;             /* 0..9, 9 first */
+  guint priority;             /* 0..9, 9 is served first */
   guint64 deadline;           /* absolute; 0: now + the service's timeout */
   guint prompt_tokens;        /* estimate */
-  guint max_tokens;           /* estimate of what will be generated */
+  guint max_tokens;           /* estimate of the output tokens */
   const guint64 *prefix;      /* chained block hashes of the prompt; copied */
   const guint *prefix_tokens; /* tokens of the prompt up to the end of each
-                                 block; NULL: block_tokens each */
+                                 block; NULL: block_tokens for each */
   guint n_prefix;
-  guint64 fingerprint; /* of model and input: requests that have the same go
-                          to the same copy where it is as good as any, through
-                          whatever entry; 0: none */
-  guint shared_tokens; /* that the prompts of one fingerprint begin with */
-  bool repeatable;     /* may run twice without harm */
-  guint attempts_max;  /* of this request; 0: as the options have it */
+  guint64 fingerprint; /* hash of model and input, or an affinity key: all
+                          entries send requests of one fingerprint to the
+                          same copy where copies are equally good; 0: none */
+  guint shared_tokens; /* common prompt prefix of one fingerprint */
+  bool repeatable;     /* safe to run more than once */
+  guint attempts_max;  /* of this request; 0: the value in the options */
 } pu_router_request_t;
 
 typedef enum
 {
-  PU_ROUTER_DISPATCH, /* send it to `backend` now */
-  PU_ROUTER_QUEUED,   /* pu_router_next will decide about `ticket` */
-  PU_ROUTER_REFUSE,   /* final: answer the caller now */
+  PU_ROUTER_DISPATCH, /* send the request to `backend` now */
+  PU_ROUTER_QUEUED,   /* it waits; pu_router_next decides later */
+  PU_ROUTER_REFUSE,   /* final: answer the client now */
 } pu_router_verdict_t;
 
 typedef enum
@@ -281,118 +297,128 @@
   PU_ROUTER_REASON_NONE,
   PU_ROUTER_REASON_SERVICE,    /* not declared */
   PU_ROUTER_REASON_MODEL,      /* not declared */
-  PU_ROUTER_REASON_COPY,       /* no ready copy now */
-  PU_ROUTER_REASON_QUEUE_FULL, /* or displaced by a higher priority */
-  PU_ROUTER_REASON_DEADLINE,   /* can't be answered in time */
-  PU_ROUTER_REASON_BUDGET,     /* failed, and the retry budget is spent */
-  PU_ROUTER_REASON_ATTEMPTS,   /* failed too often or on every copy */
-  PU_ROUTER_REASON_REPEAT,     /* may have run and may not be repeated */
+  PU_ROUTER_REASON_COPY,       /* no ready copy at present */
+  PU_ROUTER_REASON_QUEUE_FULL, /* or evicted by a higher priority */
+  PU_ROUTER_REASON_DEADLINE,   /* cannot be answered in time */
+  PU_ROUTER_REASON_BUDGET,     /* failed and the retry budget is empty */
+  PU_ROUTER_REASON_ATTEMPTS,   /* failed attempts_max times or on every copy */
+  PU_ROUTER_REASON_REPEAT,     /* may have run and is not repeatable */
 } pu_router_reason_t;
 
-/* pu_router_reason_name - such as "deadline".  */
+/* pu_router_reason_name - returns the name of REASON, such as "deadline".  */
 const char *pu_router_reason_name (pu_router_reason_t reason);
 
 typedef enum
 {
   PU_ROUTER_NOT_RUN, /* no attempt can have run */
   PU_ROUTER_UNKNOWN, /* an attempt may have run */
-  PU_ROUTER_RAN,     /* an attempt gave tokens */
+  PU_ROUTER_RAN,     /* an attempt produced tokens */
 } pu_router_ran_t;
 
 typedef struct
 {
   pu_router_verdict_t verdict;
-  pu_ticket_t ticket;          /* 0 when pu_router_offer refuses */
+  pu_ticket_t ticket;          /* 0 if pu_router_offer refuses */
   pu_router_backend_t backend; /* of a dispatch */
   guint attempt;               /* of a dispatch: 1 is the first */
   guint predicted_ms;          /* of a dispatch: time to the first token */
-  guint cached_tokens;         /* of a dispatch: believed cached prefix */
+  guint cached_tokens;         /* of a dispatch: prefix assumed cached */
   pu_router_reason_t reason;   /* of a refusal */
   pu_router_ran_t ran;         /* of a refusal */
   guint retry_after_ms;        /* of a refusal */
 } pu_router_decision_t;
 
-/* pu_router_offer - decides about a new request.  A refusal here always means
-   that it did not run.  */
+/* pu_router_offer - submits the new request Q and sets D to the decision.  A
+   request refused here has never run.  */
 void pu_router_offer (pu_router_t *r, const pu_router_request_t *q,
                       guint64 now, pu_router_decision_t *d);
 
-/* pu_router_next - appends to OUT (of pu_router_decision_t) the dispatches
-   that open slots allow and the refusals of what can't be in time any more.
-   Returns the number appended.  */
+/* pu_router_next - schedules the waiting requests: appends to OUT, an array of
+   pu_router_decision_t, the dispatches for which there is capacity and the
+   refusals of requests that were evicted, cannot be answered in time any more
+   or have lost their service, model or last ready copy.  Returns the number
+   appended.  */
 guint pu_router_next (pu_router_t *r, guint64 now, GArray *out);
 
-/* pu_router_cost_ms - how long a request for M keeps an engine to itself that
-   runs BATCH requests at once (0: not known): PROMPT tokens but for what is
-   cached as a rule, and its share of OUTPUT steps of a full batch.  OUTPUT
-   counts what pu_router_tokens counts.  */
+/* pu_router_cost_ms - returns the estimated engine time of a request for M in
+   milliseconds: the prefill of PROMPT tokens without the share that is cached
+   on average, plus OUTPUT decode steps divided by BATCH, the number of
+   requests in a full batch of the engine (0: not known).  OUTPUT is counted as
+   for pu_router_tokens.  Returns 0 for a void M.  */
 double pu_router_cost_ms (const pu_router_t *r, pu_router_model_t m,
                           guint prompt, guint output, guint batch);
 
-/* pu_router_wake_at - when pu_router_next has something to do without any
-   other event; G_MAXUINT64 when never.  */
+/* pu_router_wake_at - returns the time in milliseconds at which pu_router_next
+   has to be called if no other event calls for it before; 0 means at once and
+   G_MAXUINT64 means never.  */
 guint64 pu_router_wake_at (const pu_router_t *r);
 
 /* Feedback about a dispatched request.  */
 
-/* pu_router_sent - the request is on its way to the backend server.  */
+/* pu_router_sent - reports that T was sent to its backend server.  */
 void pu_router_sent (pu_router_t *r, pu_ticket_t t, guint64 now);
 
-/* pu_router_first_token - the first token came (plain: the answer began).  */
+/* pu_router_first_token - reports the first token of T, or for a plain service
+   the start of the response.  */
 void pu_router_first_token (pu_router_t *r, pu_ticket_t t, guint64 now);
 
-/* pu_router_tokens - TOTAL tokens have come in this attempt.  */
+/* pu_router_tokens - reports that the current attempt of T has produced TOTAL
+   tokens so far.  */
 void pu_router_tokens (pu_router_t *r, pu_ticket_t t, guint total,
                        guint64 now);
 
 typedef enum
 {
-  PU_ROUTER_WHOLE,    /* answered to its end */
-  PU_ROUTER_REJECTED, /* the backend server says the request is wrong */
+  PU_ROUTER_WHOLE,    /* the response is complete */
+  PU_ROUTER_REJECTED, /* the backend server found the request invalid */
 } pu_router_outcome_t;
 
-/* pu_router_finished - the final answer; frees the ticket.  */
+/* pu_router_finished - reports the final response of T and voids T.  */
 void pu_router_finished (pu_router_t *r, pu_ticket_t t,
                          pu_router_outcome_t outcome, guint64 now);
 
-/* pu_router_cancel - the caller went, waiting or running; frees the ticket.
-   The shell cancels what runs on the backend server.  */
+/* pu_router_cancel - withdraws T, waiting or running, and voids T.  Used when
+   the client has disconnected.  The I/O layer cancels the attempt on the
+   backend server.  */
 void pu_router_cancel (pu_router_t *r, pu_ticket_t t, guint64 now);
 
 typedef enum
 {
   PU_ROUTER_FAIL_CONNECT,   /* no connection: nothing was sent */
-  PU_ROUTER_FAIL_NOT_RUN,   /* the backend server said so (429, 503) */
+  PU_ROUTER_FAIL_NOT_RUN,   /* the backend server refused it (429, 503) */
   PU_ROUTER_FAIL_DIED,      /* the connection broke after sending */
-  PU_ROUTER_FAIL_SILENT,    /* no progress and the probe failed */
-  PU_ROUTER_FAIL_TRUNCATED, /* the stream ended without its end mark */
-  PU_ROUTER_FAIL_ERROR,     /* it ran the request and answered a failure */
-  PU_ROUTER_FAIL_ABSENT,    /* not run: it has not got the copy */
+  PU_ROUTER_FAIL_SILENT,    /* no progress, and the probe failed */
+  PU_ROUTER_FAIL_TRUNCATED, /* the stream ended without its end marker */
+  PU_ROUTER_FAIL_ERROR,     /* it ran and the response is an error */
+  PU_ROUTER_FAIL_ABSENT,    /* not run: the copy is not there */
 } pu_router_failure_t;
 
-/* pu_router_failure_may_have_run - whether a request may have run, at least
-   in part, where its attempt ended with FAILURE.  */
+/* pu_router_failure_may_have_run - returns whether a request may have run, at
+   least in part, when its attempt ended with FAILURE.  */
 bool pu_router_failure_may_have_run (pu_router_failure_t failure);
 
-/* pu_router_failure_name - a word for logs and counters.  */
+/* pu_router_failure_name - returns the name of FAILURE in logs and
+   counters.  */
 const char *pu_router_failure_name (pu_router_failure_t failure);
 
-/* pu_router_retry - the attempt under T failed.  Counts it against the
-   backend server and decides: another backend server at once, a place in the
-   queue, or a final refusal.  Never a second attempt for what may have run
-   and is not repeatable.  When the shell resumes a cut stream it replays what
-   was sent; a request that gave tokens is retried only when repeatable.  */
+/* pu_router_retry - reports that the current attempt of T failed with FAILURE,
+   counts the failure against the backend server and sets D to the decision:
+   dispatch to another backend server, wait in the queue, or refuse.  A request
+   that may have run is retried only if it is repeatable.  That holds also for
+   one that produced tokens: to resume an interrupted stream, the I/O layer
+   replays what was already sent.  */
 void pu_router_retry (pu_router_t *r, pu_ticket_t t,
                       pu_router_failure_t failure, guint64 now,
                       pu_router_decision_t *d);
 
-/* pu_router_failed - the attempt under T failed and the shell sends the
-   request elsewhere itself, such as to another entry: counts it against the
-   backend server and voids T, without a retry's budget.  */
+/* pu_router_failed - reports that the current attempt of T failed with FAILURE
+   and that the I/O layer sends the request elsewhere itself, such as to
+   another entry.  Counts the failure against the backend server and voids T;
+   spends no retry budget.  */
 void pu_router_failed (pu_router_t *r, pu_ticket_t t,
                        pu_router_failure_t failure, guint64 now);
 
-/* Looking in.  */
+/* Statistics.  */
 
 typedef struct
 {
@@ -418,11 +444,12 @@
 guint pu_router_service_limit (const pu_router_t *r, pu_router_service_t s);
 guint pu_router_service_waiting (const pu_router_t *r, pu_router_service_t s);
 
-/* pu_router_ready_copies - copies of M that may get work now.  */
+/* pu_router_ready_copies - returns the number of copies of M that may get new
+   requests.  */
 guint pu_router_ready_copies (const pu_router_t *r, pu_router_model_t m);
 
-/* pu_router_dump - a new object with services, models and backend servers.
-   The caller owns it.  */
+/* pu_router_dump - returns a new JSON object with the services, models,
+   backend servers and totals.  The caller owns it.  */
 json_t *pu_router_dump (const pu_router_t *r);
 
 G_END_DECLS
