--- a/libplantainusher/routing/router.h
+++ b/libplantainusher/routing/router.h
@@ -18,15 +18,15 @@
  * view and from load reports, offers requests and carries out the decisions.
  *
  * Each offered request ends in exactly one of two ways:
- *   - the router refuses it in pu_router_offer, pu_router_next or
+ *   - the router refuses it in pu_router_offer, pu_router_schedule or
  *     pu_router_retry;
  *   - the I/O layer calls pu_router_finished, pu_router_cancel or
- *     pu_router_failed.
+ *     pu_router_abandon.
  * Its ticket is then void; calls with a void ticket do nothing.
  *
- * The I/O layer calls pu_router_next after every event that can free capacity
- * (the end or failure of a request, a load report, a change of a table) and
- * at the time that pu_router_wake_at returns.
+ * The I/O layer calls pu_router_schedule after every event that can free
+ * capacity (the end or failure of a request, a load report, a change of a
+ * table) and at the time that pu_router_next_timeout_at returns.
  */
 
 #define PU_ROUTER_NONE G_MAXUINT32
@@ -60,30 +60,30 @@
 
 typedef struct
 {
-  guint64 seed;            /* of the random number generator */
-  const char *region;      /* of this entry */
-  const char *zone;        /* of this entry */
-  guint zone_cost_ms;      /* penalty for a backend server in another zone */
-  guint region_cost_ms;    /* penalty for one in another region */
-  guint version_cost_ms;   /* penalty for a version not preferred */
-  guint candidates;        /* copies sampled for one choice, at least 2 */
-  guint block_tokens;      /* tokens of a prefix block */
-  guint prefix_blocks_max; /* cached blocks tracked per backend server */
-  guint slots_initial;     /* initial concurrency of a backend server */
-  guint slots_max;         /* upper bound of the adaptive slots */
-  guint limit_initial;     /* initial concurrency of a service */
-  guint limit_min;         /* lower bound of the adaptive limit */
-  guint window_pct;        /* percent of the first-token target that prefill
-                              work queued on a backend server may take */
-  guint alike_pct;         /* percent of the first-token target within which
-                              copies count as equal to the best one; the
-                              fingerprint chooses among them */
-  guint retry_pct;         /* retries earned by 100 first attempts */
-  guint retry_burst;       /* initial and maximum retry budget */
-  guint attempts_max;      /* attempts of one request, with the first */
-  guint eject_failures;    /* consecutive failures that eject */
-  guint eject_ms;          /* length of the first ejection; each further
-                              one is twice as long */
+  guint64 seed;              /* of the random number generator */
+  const char *region;        /* of this entry */
+  const char *zone;          /* of this entry */
+  guint zone_cost_ms;        /* penalty for a backend server in another zone */
+  guint region_cost_ms;      /* penalty for one in another region */
+  guint version_cost_ms;     /* penalty for a version not preferred */
+  guint candidates;          /* copies sampled for one choice, at least 2 */
+  guint block_tokens;        /* tokens of a prefix block */
+  guint prefix_blocks_max;   /* cached blocks tracked per backend server */
+  guint slots_initial;       /* initial concurrency of a backend server */
+  guint slots_max;           /* upper bound of the adaptive slots */
+  guint limit_initial;       /* initial concurrency of a service */
+  guint limit_min;           /* lower bound of the adaptive limit */
+  guint window_pct;          /* percent of the first-token target that prefill
+                                work queued on a backend server may take */
+  guint score_tolerance_pct; /* percent of the first-token target within which
+                      copies count as equal to the best one; the
+                      fingerprint chooses among them */
+  guint retry_pct;           /* retries earned by 100 first attempts */
+  guint retry_burst;         /* initial and maximum retry budget */
+  guint attempts_max;        /* attempts of one request, with the first */
+  guint eject_failures;      /* consecutive failures that eject */
+  guint eject_ms;            /* length of the first ejection; each further
+                                one is twice as long */
   guint eject_max_ms;
   guint retry_after_min_ms;
   guint retry_after_max_ms;
@@ -123,7 +123,7 @@
 pu_router_service_t
 pu_router_set_service (pu_router_t *r, const pu_router_service_options_t *o);
 
-/* pu_router_remove_service - withdraws S.  The next call of pu_router_next
+/* pu_router_remove_service - withdraws S.  The next call of pu_router_schedule
    refuses the waiting requests of S; running ones continue.  */
 void pu_router_remove_service (pu_router_t *r, pu_router_service_t s);
 
@@ -194,7 +194,7 @@
 /* pu_router_remove_backend - removes B, which has failed or left.  It gets no
    new requests, and its handle is void at once for the I/O layer, which still
    reports the end of each request that B runs with pu_router_retry,
-   pu_router_failed, pu_router_finished or pu_router_cancel.  */
+   pu_router_abandon, pu_router_finished or pu_router_cancel.  */
 void pu_router_remove_backend (pu_router_t *r, pu_router_backend_t b);
 
 /* pu_router_set_leaving - stops new requests to B.  */
@@ -288,7 +288,7 @@
 typedef enum
 {
   PU_ROUTER_DISPATCH, /* send the request to `backend` now */
-  PU_ROUTER_QUEUED,   /* it waits; pu_router_next decides later */
+  PU_ROUTER_QUEUED,   /* it waits; pu_router_schedule decides later */
   PU_ROUTER_REFUSE,   /* final: answer the client now */
 } pu_router_verdict_t;
 
@@ -333,12 +333,12 @@
 void pu_router_offer (pu_router_t *r, const pu_router_request_t *q,
                       guint64 now, pu_router_decision_t *d);
 
-/* pu_router_next - schedules the waiting requests: appends to OUT, an array of
-   pu_router_decision_t, the dispatches for which there is capacity and the
-   refusals of requests that were evicted, cannot be answered in time any more
-   or have lost their service, model or last ready copy.  Returns the number
-   appended.  */
-guint pu_router_next (pu_router_t *r, guint64 now, GArray *out);
+/* pu_router_schedule - schedules the waiting requests: appends to OUT, an
+   array of pu_router_decision_t, the dispatches for which there is capacity
+   and the refusals of requests that were evicted, cannot be answered in time
+   any more or have lost their service, model or last ready copy.  Returns the
+   number appended.  */
+guint pu_router_schedule (pu_router_t *r, guint64 now, GArray *out);
 
 /* pu_router_cost_ms - returns the estimated engine time of a request for M in
    milliseconds: the prefill of PROMPT tokens without the share that is cached
@@ -348,10 +348,10 @@
 double pu_router_cost_ms (const pu_router_t *r, pu_router_model_t m,
                           guint prompt, guint output, guint batch);
 
-/* pu_router_wake_at - returns the time in milliseconds at which pu_router_next
-   has to be called if no other event calls for it before; 0 means at once and
-   G_MAXUINT64 means never.  */
-guint64 pu_router_wake_at (const pu_router_t *r);
+/* pu_router_next_timeout_at - returns the time in milliseconds at which
+   pu_router_schedule has to be called if no other event calls for it before; 0
+   means at once and G_MAXUINT64 means never.  */
+guint64 pu_router_next_timeout_at (const pu_router_t *r);
 
 /* Feedback about a dispatched request.  */
 
@@ -369,7 +369,7 @@
 
 typedef enum
 {
-  PU_ROUTER_WHOLE,    /* the response is complete */
+  PU_ROUTER_COMPLETE, /* the response is complete */
   PU_ROUTER_REJECTED, /* the backend server found the request invalid */
 } pu_router_outcome_t;
 
@@ -411,12 +411,12 @@
                       pu_router_failure_t failure, guint64 now,
                       pu_router_decision_t *d);
 
-/* pu_router_failed - reports that the current attempt of T failed with FAILURE
-   and that the I/O layer sends the request elsewhere itself, such as to
-   another entry.  Counts the failure against the backend server and voids T;
-   spends no retry budget.  */
-void pu_router_failed (pu_router_t *r, pu_ticket_t t,
-                       pu_router_failure_t failure, guint64 now);
+/* pu_router_abandon - reports that the current attempt of T failed with
+   FAILURE and that the I/O layer sends the request elsewhere itself, such as
+   to another entry.  Counts the failure against the backend server and voids
+   T; spends no retry budget.  */
+void pu_router_abandon (pu_router_t *r, pu_ticket_t t,
+                        pu_router_failure_t failure, guint64 now);
 
 /* Statistics.  */
 
--- a/libplantainusher/routing/router_int.h
+++ b/libplantainusher/routing/router_int.h
@@ -14,8 +14,9 @@
  * feedback.c  estimates and retries
  */
 
-#define TRIED_MAX 4    /* failed backend servers that a request avoids */
-#define MEAN_SHARE 0.1 /* weight of a new sample in a moving average */
+#define TRIED_MAX 4 /* failed backend servers that a request avoids */
+#define MEAN_SAMPLE_WEIGHT 0.1 /* weight of a new sample in a moving average  \
+                                */
 /* Ticks for which the own requests in flight are kept, so that a late report
    is compared with the count at the time it describes.  */
 #define HISTORY_MAX 16
@@ -41,7 +42,7 @@
   guint samples;         /* first tokens since the last adjustment */
   guint late_samples;    /* of these, later than the target */
   guint peak_in_flight;  /* since the last adjustment */
-  double budget;         /* retries available */
+  double retry_budget;   /* retries available */
   GArray *models;        /* of pu_router_model_t: models with a flow of it */
 } service_t;
 
@@ -57,7 +58,7 @@
 {
   pu_router_backend_t backend;
   guint copy; /* index in the backend server's copies */
-} ready_t;
+} ready_copy_t;
 
 typedef struct
 {
@@ -65,17 +66,17 @@
   bool declared;
   char *preferred; /* version; NULL: all are equal */
   guint share;     /* requests in 1000 that go to that version */
-  GArray *ready;   /* of ready_t */
+  GArray *ready;   /* of ready_copy_t */
   GArray *flows;   /* of flow_t */
   guint waiting;
   guint in_flight;
-  line_t first;        /* ms to the first token over prefill tokens */
-  line_t step;         /* ms for each output token over concurrent requests */
-  double mean_prompt;  /* tokens */
-  double mean_output;  /* tokens; 0: not known */
-  double mean_own;     /* share of the prompt that was not cached */
-  double token_ms;     /* of prefill, without contention; 0: not known */
-  double step_ms;      /* between tokens, without contention; 0: not known */
+  linear_fit_t first; /* ms to the first token over prefill tokens */
+  linear_fit_t step;  /* ms for each output token over concurrent requests */
+  double mean_prompt_tokens;  /* tokens */
+  double mean_output_tokens;  /* tokens; 0: not known */
+  double mean_uncached_share; /* share of the prompt that was not cached */
+  double prefill_token_ms; /* of prefill, without contention; 0: not known */
+  double decode_step_ms; /* between tokens, without contention; 0: not known */
   guint64 busy_since;  /* start of the period in which requests always wait */
   double drain_per_ms; /* starts from the queue per ms; 0: not known */
   guint starts;        /* from the queue since busy_since */
@@ -87,8 +88,8 @@
   pu_router_model_t model;
   char *version;
   pu_router_phase_t phase;
-  line_t first;     /* as in model_t, but of this copy alone */
-  bool has_samples; /* `first` holds a sample */
+  linear_fit_t first; /* as in model_t, but of this copy alone */
+  bool has_samples;   /* `first` holds a sample */
 } copy_t;
 
 typedef struct
@@ -100,9 +101,9 @@
   pu_router_kind_t kind;
   char *region;
   char *zone;
-  guint cost_ms; /* network latency penalty */
-  bool in_use;   /* false: the handle is free */
-  bool removed;  /* kept until its last request ends */
+  guint network_cost_ms; /* network latency penalty */
+  bool in_use;           /* false: the handle is free */
+  bool removed;          /* kept until its last request ends */
   bool leaving;
   bool dirty;        /* may have capacity; in the router's dirty list */
   bool cooling_down; /* in the router's list of cooldowns */
@@ -117,7 +118,7 @@
   double window;          /* adaptive share of window_pct that queued
                              prefill work may take */
   guint64 window_shrunk_at;
-  line_t step;
+  linear_fit_t step;
   bool step_known;
   guint64 seq;
   guint64 reported_at; /* 0: never */
@@ -131,7 +132,7 @@
   guint ejections;      /* since its last success; 0: healthy */
   guint64 ejected_until;
   guint64 blocked_until; /* it refused a request as overloaded */
-  double budget;
+  double retry_budget;
   GArray *finish_tags; /* of double, by service: fair queueing */
   double virtual_time;
   GHashTable *blocks;    /* set of the prefix blocks assumed cached */
@@ -155,11 +156,11 @@
   guint priority;
   guint64 offered_at;
   guint64 deadline;
-  guint64 due;     /* latest time for the first token */
-  guint64 late_at; /* latest start that can meet `due` */
-  guint64 give_up; /* latest start that is of use; refused after it */
-  bool late;       /* missed late_at but still served: waits behind those that
-                      can meet their target */
+  guint64 due;        /* latest time for the first token */
+  guint64 late_at;    /* latest start that can meet `due` */
+  guint64 expires_at; /* latest start that is of use; refused after it */
+  bool late; /* missed late_at but still served: waits behind those that
+                can meet their target */
   guint prompt_tokens;
   guint max_tokens;
   guint64 *prefix;
@@ -206,9 +207,9 @@
   GArray *dirty;                 /* of pu_router_backend_t */
   GArray *cooldowns; /* of pu_router_backend_t: blocked or ejected */
   GArray *found;     /* of candidate_t: candidates of the current choice */
-  double token_ms;   /* as in model_t, over all models */
-  double step_ms;    /* as in model_t, over all models */
-  GArray *evicted;   /* of pu_ticket_t: to be refused */
+  double prefill_token_ms; /* as in model_t, over all models */
+  double decode_step_ms;   /* as in model_t, over all models */
+  GArray *evicted;         /* of pu_ticket_t: to be refused */
   guint in_flight;
   guint64 serial;       /* of the newest backend server */
   bool recheck_waiting; /* a service, a model or a last copy is gone: waiting
@@ -258,12 +259,12 @@
 static inline guint64
 queue_timeout_at (const request_t *q)
 {
-  return q->late ? q->give_up : MIN (q->late_at, q->give_up);
+  return q->late ? q->expires_at : MIN (q->late_at, q->expires_at);
 }
 
-/* backend_dirty - marks B, which may have capacity for waiting requests, for
-   the next pu_router_next.  */
-void backend_dirty (pu_router_t *r, pu_router_backend_t b);
+/* backend_mark_dirty - marks B, which may have capacity for waiting requests,
+   for the next pu_router_schedule.  */
+void backend_mark_dirty (pu_router_t *r, pu_router_backend_t b);
 
 /* backend_reclaim - frees the handle of B if B is removed and has no request
    in flight.  */
@@ -282,15 +283,16 @@
 double backend_step_ms (const pu_router_t *r, const backend_t *b,
                         const model_t *m, guint load);
 
-/* copy_first - returns the estimate of the time to the first token on C.  For
-   a copy without samples this is the current line of its model: a line saved
-   when the copy appeared would never be corrected while the other copies get
-   faster.  */
-const line_t *copy_first (const pu_router_t *r, const copy_t *c);
+/* copy_first_token_fit - returns the estimate of the time to the first token
+   on C.  For a copy without samples this is the current line of its model: a
+   line saved when the copy appeared would never be corrected while the other
+   copies get faster.  */
+const linear_fit_t *copy_first_token_fit (const pu_router_t *r,
+                                          const copy_t *c);
 
-/* copy_learn - adds a sample to C: MS milliseconds to the first token with
-   WORK prefill tokens.  */
-void copy_learn (const pu_router_t *r, copy_t *c, double work, double ms);
+/* copy_add_sample - adds a sample to C: MS milliseconds to the first token
+   with WORK prefill tokens.  */
+void copy_add_sample (const pu_router_t *r, copy_t *c, double work, double ms);
 
 /* backend_record_in_flight - records a change of the own requests in flight on
    B in its history.  */
@@ -313,12 +315,13 @@
 /* Whether a copy is left for the retry of a request.  */
 typedef enum
 {
-  LEFT_NONE,  /* all ready copies have failed it */
-  LEFT_SPENT, /* the backend servers of the others have no retry budget */
-  LEFT_OPEN,  /* one that has not failed it has retry budget */
-} copy_left_t;
+  RETRY_COPIES_NONE,      /* all ready copies have failed it */
+  RETRY_COPIES_NO_BUDGET, /* the backend servers of the others have no retry
+                             budget */
+  RETRY_COPIES_AVAILABLE, /* one that has not failed it has retry budget */
+} retry_copies_t;
 
-copy_left_t copy_left (const pu_router_t *r, const request_t *q);
+retry_copies_t retry_copies (const pu_router_t *r, const request_t *q);
 
 /* choose_copy - sets C to the best copy on which Q can start now.  Returns
    false if there is none.  */
@@ -360,16 +363,18 @@
    for which S has requests waiting, as S may start more.  */
 void service_mark_backends_dirty (pu_router_t *r, const service_t *s);
 
-/* service_sample - records a first token of S, LATE or on time, and adjusts
-   the limit of S after enough of them.  */
-void service_sample (pu_router_t *r, pu_router_service_t s, bool late);
+/* service_record_first_token - records a first token of S, LATE or on time,
+   and adjusts the limit of S after enough of them.  */
+void service_record_first_token (pu_router_t *r, pu_router_service_t s,
+                                 bool late);
 
-/* window_sample - adjusts the prefill window of B to a first token, LATE or on
-   time, of a request sent at SENT_AT.  */
-void window_sample (backend_t *b, guint64 sent_at, bool late, guint64 now);
+/* prefill_window_update - adjusts the prefill window of B to a first token,
+   LATE or on time, of a request sent at SENT_AT.  */
+void prefill_window_update (backend_t *b, guint64 sent_at, bool late,
+                            guint64 now);
 
-/* slots_of - returns the limit of concurrent requests on B.  */
-guint slots_of (const backend_t *b);
+/* backend_slot_limit - returns the limit of concurrent requests on B.  */
+guint backend_slot_limit (const backend_t *b);
 
 /* slots_update - adjusts the slots of B to its report, which came SINCE
    milliseconds after the previous one.  */
@@ -381,14 +386,14 @@
 void backend_failed (pu_router_t *r, pu_router_backend_t b,
                      pu_router_failure_t failure, guint64 now);
 
-/* backend_worked - records a success of B and ends its ejection.  */
-void backend_worked (pu_router_t *r, pu_router_backend_t b);
+/* backend_succeeded - records a success of B and ends its ejection.  */
+void backend_succeeded (pu_router_t *r, pu_router_backend_t b);
 
-/* budget_earn - credits a first attempt to a retry budget.  */
-void budget_earn (const pu_router_t *r, double *budget);
+/* retry_budget_credit - credits a first attempt to a retry budget.  */
+void retry_budget_credit (const pu_router_t *r, double *retry_budget);
 
-/* budget_has - returns whether BUDGET allows a retry.  */
-bool budget_has (const pu_router_t *r, double budget);
+/* retry_budget_allows - returns whether BUDGET allows a retry.  */
+bool retry_budget_allows (const pu_router_t *r, double retry_budget);
 
 /* retry_after - returns the Retry-After of a refusal in milliseconds, with
    random jitter; M may be NULL.  */
@@ -396,11 +401,11 @@
 
 /* router.c */
 
-/* request_of - returns the request under T, or NULL.  */
-request_t *request_of (const pu_router_t *r, pu_ticket_t t);
+/* request_lookup - returns the request under T, or NULL.  */
+request_t *request_lookup (const pu_router_t *r, pu_ticket_t t);
 
-/* running_of - returns the running request under T, or NULL.  */
-request_t *running_of (const pu_router_t *r, pu_ticket_t t);
+/* request_lookup_running - returns the running request under T, or NULL.  */
+request_t *request_lookup_running (const pu_router_t *r, pu_ticket_t t);
 
 /* request_end - voids the ticket of Q and frees Q.  */
 void request_end (pu_router_t *r, request_t *q);
@@ -408,9 +413,9 @@
 /* set_due - computes the due time of Q and the latest times to start it.  */
 void set_due (pu_router_t *r, request_t *q);
 
-/* why_lost - returns which of the service, the model and a ready copy Q has
-   lost, or PU_ROUTER_REASON_NONE.  */
-pu_router_reason_t why_lost (const pu_router_t *r, const request_t *q);
+/* lost_dependency - returns which of the service, the model and a ready copy Q
+   has lost, or PU_ROUTER_REASON_NONE.  */
+pu_router_reason_t lost_dependency (const pu_router_t *r, const request_t *q);
 
 /* refuse - sets D to the refusal of Q and ends Q.  */
 void refuse (pu_router_t *r, request_t *q, pu_router_reason_t reason,
@@ -424,12 +429,12 @@
 void start (pu_router_t *r, request_t *q, const candidate_t *c, guint64 now,
             pu_router_decision_t *d);
 
-/* prefill_over - takes the prompt of Q off the pending prefill work of its
+/* prefill_done - takes the prompt of Q off the pending prefill work of its
    backend server.  */
-void prefill_over (pu_router_t *r, request_t *q);
+void prefill_done (pu_router_t *r, request_t *q);
 
-/* stop_and_open - takes the running Q off its backend server and marks other
+/* request_stop - takes the running Q off its backend server and marks other
    backend servers if that lets the service of Q start more.  */
-void stop_and_open (pu_router_t *r, request_t *q, guint64 now);
+void request_stop (pu_router_t *r, request_t *q, guint64 now);
 
 #endif
