--- a/libplantainusher/placement/dispatcher.c
+++ b/libplantainusher/placement/dispatcher.c
@@ -1,32 +1,34 @@
 #include "placement/dispatcher_private.h"
 
-#define LAG_MS 500
-#define ANSWER_MS 300
-#define GIVE_UP_MS 4000
-#define REFUSED_MS 200
+#define REPORT_LAG_MS 500
+#define ANSWER_TIMEOUT_MS 300
+#define CONFLICT_TIMEOUT_MS 4000
+#define RETRY_BACKOFF_MS 200
 #define POLL_MS 1000
-/* 500 reports a second at most: 100 us each, a twentieth of a core.  Engines
-   that carry out an order are asked every WATCH_MS all the same.  */
-#define POLL_EACH_MS 2
-#define WATCH_MS 200
-/* An unload of what nothing runs on ends at once; a report says so half a
-   second later.  */
-#define TRY_MS 60
-/* Adapters of 12 and 66 MB take 5 and 14 ms from the store.  */
-#define ADAPTER_MS 18
+/* Limits polling to 500 reports per second; at 100 us per report that is 5 %
+   of a core.  Engines that are executing an order are polled every
+   BUSY_POLL_MS regardless of this limit.  */
+#define POLL_PER_ENGINE_MS 2
+#define BUSY_POLL_MS 200
+/* An unload of an unused model completes immediately, but a report shows it
+   only half a second later.  */
+#define UNLOAD_PROBE_MS 60
+/* Adapters of 12 MB and 66 MB load from the weights store in 5 ms and
+   14 ms.  */
+#define ADAPTER_LOAD_MS 18
 
 void
 pu_dispatcher_options_init (pu_dispatcher_options_t *o)
 {
-  *o = (pu_dispatcher_options_t){ .lag_ms = LAG_MS,
-                                  .answer_ms = ANSWER_MS,
-                                  .give_up_ms = GIVE_UP_MS,
-                                  .refused_ms = REFUSED_MS,
+  *o = (pu_dispatcher_options_t){ .report_lag_ms = REPORT_LAG_MS,
+                                  .answer_timeout_ms = ANSWER_TIMEOUT_MS,
+                                  .conflict_timeout_ms = CONFLICT_TIMEOUT_MS,
+                                  .retry_backoff_ms = RETRY_BACKOFF_MS,
                                   .poll_ms = POLL_MS,
-                                  .poll_each_ms = POLL_EACH_MS,
-                                  .watch_ms = WATCH_MS,
-                                  .adapter_ms = ADAPTER_MS,
-                                  .try_ms = TRY_MS };
+                                  .poll_per_engine_ms = POLL_PER_ENGINE_MS,
+                                  .busy_poll_ms = BUSY_POLL_MS,
+                                  .adapter_load_ms = ADAPTER_LOAD_MS,
+                                  .unload_probe_ms = UNLOAD_PROBE_MS };
 }
 
 static void
@@ -45,11 +47,12 @@
 {
   pu_dispatcher_t *d = g_new0 (pu_dispatcher_t, 1);
 
-  d->o = *o;
+  d->options = *o;
   d->engines = g_array_new (FALSE, TRUE, sizeof (pu_dispatcher_engine_t));
   g_array_set_clear_func (d->engines, engine_clear);
-  d->kinds = g_array_new (FALSE, TRUE, sizeof (pu_dispatcher_kind_t));
-  d->ends = g_array_new (FALSE, FALSE, sizeof (pu_dispatcher_action_t));
+  d->item_infos
+      = g_array_new (FALSE, TRUE, sizeof (pu_dispatcher_item_info_t));
+  d->finished = g_array_new (FALSE, FALSE, sizeof (pu_dispatcher_action_t));
   return d;
 }
 
@@ -59,8 +62,8 @@
   if (d == NULL)
     return;
   g_array_unref (d->engines);
-  g_array_unref (d->kinds);
-  g_array_unref (d->ends);
+  g_array_unref (d->item_infos);
+  g_array_unref (d->finished);
   g_free (d);
 }
 
@@ -72,7 +75,7 @@
   if (engine >= d->engines->len)
     return NULL;
   e = &g_array_index (d->engines, pu_dispatcher_engine_t, engine);
-  return e->used ? e : NULL;
+  return e->present ? e : NULL;
 }
 
 /* --- items --- */
@@ -92,14 +95,15 @@
 }
 
 static pu_dispatcher_item_t *
-item_set (pu_dispatcher_engine_t *e, guint32 item, pu_dispatcher_phase_t phase)
+item_set_phase (pu_dispatcher_engine_t *e, guint32 item,
+                pu_dispatcher_phase_t phase)
 {
   pu_dispatcher_item_t *t = item_find (e, item);
-  pu_dispatcher_item_t fresh = { .item = item, .phase = phase };
+  pu_dispatcher_item_t added = { .item = item, .phase = phase };
 
   if (t == NULL)
     {
-      g_array_append_val (e->items, fresh);
+      g_array_append_val (e->items, added);
       return item_find (e, item);
     }
   t->phase = phase;
@@ -121,53 +125,56 @@
 /* --- the queue --- */
 
 static pu_dispatcher_queued_t *
-order_first (const pu_dispatcher_engine_t *e)
+queue_head (const pu_dispatcher_engine_t *e)
 {
   return g_queue_peek_head ((GQueue *)&e->queue);
 }
 
 pu_dispatcher_queued_t *
-pu_dispatcher_order_for (const pu_dispatcher_engine_t *e, guint32 item)
+pu_dispatcher_find_order (const pu_dispatcher_engine_t *e, guint32 item)
 {
   for (GList *l = e->queue.head; l != NULL; l = l->next)
     {
       pu_dispatcher_queued_t *o = l->data;
 
-      if (o->o.item == item)
+      if (o->order.item == item)
         return o;
     }
   return NULL;
 }
 
-/* --- what becomes of orders --- */
+/* --- completion of orders --- */
 
 static void
-end_tell (pu_dispatcher_t *d, guint32 engine, const pu_dispatcher_queued_t *o,
-          pu_dispatcher_do_t what)
+finished_append (pu_dispatcher_t *d, guint32 engine,
+                 const pu_dispatcher_queued_t *o,
+                 pu_dispatcher_action_kind_t what)
 {
-  pu_dispatcher_action_t a = { .what = what, .engine = engine, .order = o->o };
+  pu_dispatcher_action_t a
+      = { .what = what, .engine = engine, .order = o->order };
 
-  g_array_append_val (d->ends, a);
+  g_array_append_val (d->finished, a);
 }
 
-/* The first order leaves the queue.  */
+/* Removes the order at the head of the queue and records its result.  */
 static void
-order_end (pu_dispatcher_t *d, guint32 engine, pu_dispatcher_do_t what)
+order_finish (pu_dispatcher_t *d, guint32 engine,
+              pu_dispatcher_action_kind_t what)
 {
   pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
   pu_dispatcher_queued_t *o = g_queue_pop_head (&e->queue);
 
-  e->first = NULL;
-  e->sent = false;
-  e->doubt = false;
-  end_tell (d, engine, o, what);
+  e->first_sent_order = NULL;
+  e->head_sent = false;
+  e->outcome_unknown = false;
+  finished_append (d, engine, o, what);
   g_free (o);
 }
 
-/* What an order that will not be carried out leaves of its item: what a report
-   has shown since stays.  */
+/* Restores the phase of the item of an order that will not be executed.  A
+   phase that a report has set since the order was queued is kept.  */
 static void
-order_undo (pu_dispatcher_engine_t *e, const pu_dispatcher_order_t *o)
+order_roll_back (pu_dispatcher_engine_t *e, const pu_dispatcher_order_t *o)
 {
   pu_dispatcher_item_t *t = item_find (e, o->item);
 
@@ -182,78 +189,80 @@
 {
   pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
 
-  order_undo (e, &order_first (e)->o);
-  order_end (d, engine, PU_DISPATCHER_DO_FAILED);
+  order_roll_back (e, &queue_head (e)->order);
+  order_finish (d, engine, PU_DISPATCHER_DO_FAILED);
 }
 
-/* The engine takes a model's order, so the unloads of models that it had
-   accepted are over.  Those of adapters wait for their runs beside it: only a
-   report shows that their places are free.  */
+/* The engine has accepted the load of a model, so the model unloads that it
+   accepted earlier are complete; removes those models.  An adapter's unload
+   waits for running requests concurrently with other orders, so only a report
+   shows that its slot is free.  */
 static void
-unloads_over (pu_dispatcher_engine_t *e)
+model_unloads_end (pu_dispatcher_engine_t *e)
 {
-  e->unloads = false;
+  e->busy_unloading = false;
   for (guint i = e->items->len; i-- > 0;)
     {
       const pu_dispatcher_item_t *t
           = &g_array_index (e->items, pu_dispatcher_item_t, i);
 
       if (t->phase == PU_DISPATCHER_LEAVING && !t->adapter
-          && pu_dispatcher_order_for (e, t->item) == NULL)
+          && pu_dispatcher_find_order (e, t->item) == NULL)
         g_array_remove_index_fast (e->items, i);
     }
 }
 
-/* The first order is being carried out: the engine said so, or (not CERTAIN)
-   nothing speaks against it.  */
+/* The engine is executing the order at the head of the queue.  CERTAIN: the
+   engine answered so; otherwise it is inferred from a report.  */
 static void
 order_accepted (pu_dispatcher_t *d, guint32 engine, bool certain, guint64 now)
 {
   pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
-  pu_dispatcher_order_t o = order_first (e)->o;
+  pu_dispatcher_order_t o = queue_head (e)->order;
 
-  e->changed = now;
+  e->changed_at = now;
   if (o.op == PU_DISPATCHER_LOAD)
-    item_set (e, o.item, PU_DISPATCHER_LOADING)->since = now;
-  /* An unload waits for the requests that use what goes: an adapter's, too,
-     unless it goes at once.  */
+    item_set_phase (e, o.item, PU_DISPATCHER_LOADING)->since = now;
+  /* An unload waits for the requests that use the model or adapter; only an
+     unused adapter is unloaded immediately.  */
   e->busy = e->busy || !o.adapter || o.op == PU_DISPATCHER_UNLOAD;
   if (o.op == PU_DISPATCHER_UNLOAD)
     {
-      e->unloads = certain;
-      e->try_at = now + d->o.try_ms;
+      e->busy_unloading = certain;
+      e->probe_at = now + d->options.unload_probe_ms;
     }
-  else if (!o.adapter && e->unloads)
+  else if (!o.adapter && e->busy_unloading)
     {
-      unloads_over (e);
+      model_unloads_end (e);
     }
-  e->fetch_at = MIN (e->fetch_at, now + d->o.watch_ms);
-  order_end (d, engine, PU_DISPATCHER_DO_DONE);
+  e->fetch_at = MIN (e->fetch_at, now + d->options.busy_poll_ms);
+  order_finish (d, engine, PU_DISPATCHER_DO_DONE);
 }
 
-/* What the first order asks for is so already, or without delay.  */
+/* The engine is already in the state that the order at the head of the queue
+   asks for, or reached it immediately.  */
 static void
-order_holds (pu_dispatcher_t *d, guint32 engine, guint64 now)
+order_completed (pu_dispatcher_t *d, guint32 engine, guint64 now)
 {
   pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
-  pu_dispatcher_order_t o = order_first (e)->o;
+  pu_dispatcher_order_t o = queue_head (e)->order;
 
-  /* An adapter that nothing uses goes at once, which counts; what was so
-     before does not.  */
+  /* The engine unloads an unused adapter immediately and counts that order
+     as accepted.  It does not count an order that changes nothing.  */
   if (o.op == PU_DISPATCHER_UNLOAD && o.adapter)
     {
       e->accepted++;
-      e->changed = now;
+      e->changed_at = now;
     }
   if (o.op == PU_DISPATCHER_LOAD)
     {
-      item_set (e, o.item, PU_DISPATCHER_READY);
+      item_set_phase (e, o.item, PU_DISPATCHER_READY);
     }
   else
     {
       item_remove (e, o.item);
     }
-  order_end (d, engine, PU_DISPATCHER_DO_DONE);
+  order_finish (d, engine, PU_DISPATCHER_DO_DONE);
 }
 
 /* --- engines --- */
@@ -266,10 +275,10 @@
   if (d->engines->len <= engine)
     g_array_set_size (d->engines, engine + 1);
   e = &g_array_index (d->engines, pu_dispatcher_engine_t, engine);
-  if (e->used)
+  if (e->present)
     return;
-  *e = (pu_dispatcher_engine_t){ .used = true, .fetch_at = now };
-  d->used++;
+  *e = (pu_dispatcher_engine_t){ .present = true, .fetch_at = now };
+  d->n_present++;
   e->items = g_array_new (FALSE, FALSE, sizeof (pu_dispatcher_item_t));
   g_queue_init (&e->queue);
 }
@@ -281,29 +290,32 @@
 
   if (e == NULL)
     return;
-  while (order_first (e) != NULL)
-    order_end (d, engine, PU_DISPATCHER_DO_FAILED);
+  while (queue_head (e) != NULL)
+    order_finish (d, engine, PU_DISPATCHER_DO_FAILED);
   engine_clear (e);
-  d->used--;
+  d->n_present--;
 }
 
-/* The first order behind those for adapters that is not sent yet: adapters are
-   quick, and a request waits for each.  NULL: none.  */
+/* The position at which an adapter's order is inserted: after the order that
+   may have been sent and the adapter orders that follow it, ahead of orders
+   for models, because an adapter loads quickly and a request is waiting for
+   it.  NULL: the end of the queue.  */
 static GList *
-adapters_end (const pu_dispatcher_engine_t *e)
+adapter_queue_end (const pu_dispatcher_engine_t *e)
 {
   GList *l = e->queue.head;
 
-  if (l != NULL && (e->sent || e->doubt))
+  if (l != NULL && (e->head_sent || e->outcome_unknown))
     l = l->next;
-  while (l != NULL && ((const pu_dispatcher_queued_t *)l->data)->o.adapter)
+  while (l != NULL && ((const pu_dispatcher_queued_t *)l->data)->order.adapter)
     l = l->next;
   return l;
 }
 
-/* Whether O would change what E holds.  */
+/* Whether O would change the set of items of E.  */
 static bool
-order_is_due (const pu_dispatcher_engine_t *e, const pu_dispatcher_order_t *o)
+order_changes_engine (const pu_dispatcher_engine_t *e,
+                      const pu_dispatcher_order_t *o)
 {
   return (item_find (e, o->item) == NULL) == (o->op == PU_DISPATCHER_LOAD);
 }
@@ -313,40 +325,41 @@
                     const pu_dispatcher_order_t *o, guint64 now)
 {
   pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
-  pu_dispatcher_queued_t *mine;
+  pu_dispatcher_queued_t *queued;
 
-  if (e == NULL || !e->known || e->fenced_out
-      || pu_dispatcher_order_for (e, o->item) != NULL || !order_is_due (e, o))
+  if (e == NULL || !e->reported || e->fenced
+      || pu_dispatcher_find_order (e, o->item) != NULL
+      || !order_changes_engine (e, o))
     return false;
-  mine = g_new0 (pu_dispatcher_queued_t, 1);
-  mine->o = *o;
-  mine->wanted = now;
-  g_queue_insert_before (&e->queue, o->adapter ? adapters_end (e) : NULL,
-                         mine);
-  item_set (e, o->item,
-            o->op == PU_DISPATCHER_LOAD ? PU_DISPATCHER_QUEUED
-                                        : PU_DISPATCHER_LEAVING)
+  queued = g_new0 (pu_dispatcher_queued_t, 1);
+  queued->order = *o;
+  queued->queued_at = now;
+  g_queue_insert_before (&e->queue, o->adapter ? adapter_queue_end (e) : NULL,
+                         queued);
+  item_set_phase (e, o->item,
+                  o->op == PU_DISPATCHER_LOAD ? PU_DISPATCHER_QUEUED
+                                              : PU_DISPATCHER_LEAVING)
       ->adapter
       = o->adapter;
   return true;
 }
 
 void
-pu_dispatcher_drop (pu_dispatcher_t *d, guint32 engine, guint32 item)
+pu_dispatcher_cancel (pu_dispatcher_t *d, guint32 engine, guint32 item)
 {
   pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
   pu_dispatcher_queued_t *o
-      = e != NULL ? pu_dispatcher_order_for (e, item) : NULL;
+      = e != NULL ? pu_dispatcher_find_order (e, item) : NULL;
 
-  if (o == NULL || (e->sent && o == order_first (e)))
+  if (o == NULL || (e->head_sent && o == queue_head (e)))
     return;
   g_queue_remove (&e->queue, o);
-  order_undo (e, &o->o);
+  order_roll_back (e, &o->order);
   g_free (o);
 }
 
-/* The engine carries another order out, or has accepted more or fewer than we
-   know of.  */
+/* The engine is executing another order, or its count of accepted orders
+   differs from the expected count.  */
 static void
 order_conflict (pu_dispatcher_t *d, guint32 engine, guint64 now)
 {
@@ -354,21 +367,22 @@
 
   if (e->busy)
     {
-      /* It still waits for runs to end: no failure of this order.  */
-      e->try_at = now + d->o.try_ms;
-      e->first = NULL;
-      e->sent = e->doubt;
+      /* The earlier unload still waits for running requests.  That is not a
+         failure of this order, so its conflict time-out starts again.  */
+      e->probe_at = now + d->options.unload_probe_ms;
+      e->first_sent_order = NULL;
+      e->head_sent = e->outcome_unknown;
       return;
     }
-  e->not_before = now + d->o.refused_ms;
-  e->fetch_at = MIN (e->fetch_at, now + d->o.refused_ms);
-  if (now >= e->first_sent + d->o.give_up_ms)
+  e->send_after = now + d->options.retry_backoff_ms;
+  e->fetch_at = MIN (e->fetch_at, now + d->options.retry_backoff_ms);
+  if (now >= e->first_sent_at + d->options.conflict_timeout_ms)
     {
       order_fail (d, engine);
     }
-  else if (!e->doubt)
+  else if (!e->outcome_unknown)
     {
-      e->sent = false;
+      e->head_sent = false;
     }
 }
 
@@ -378,9 +392,9 @@
 {
   pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
 
-  if (e == NULL || !e->sent || e->answered)
+  if (e == NULL || !e->head_sent || e->head_answered)
     return;
-  e->answered = true;
+  e->head_answered = true;
   switch (a)
     {
     case PU_DISPATCHER_ACCEPTED:
@@ -388,13 +402,13 @@
       order_accepted (d, engine, true, now);
       return;
     case PU_DISPATCHER_HOLDS:
-      order_holds (d, engine, now);
+      order_completed (d, engine, now);
       return;
     case PU_DISPATCHER_CONFLICT:
       order_conflict (d, engine, now);
       return;
     case PU_DISPATCHER_FENCED:
-      e->fenced_out = true;
+      e->fenced = true;
       order_fail (d, engine);
       return;
     case PU_DISPATCHER_REFUSED:
@@ -403,8 +417,8 @@
       e->fetch_at = now;
       return;
     case PU_DISPATCHER_LOST:
-      e->doubt = true;
-      e->not_before = now + d->o.refused_ms;
+      e->outcome_unknown = true;
+      e->send_after = now + d->options.retry_backoff_ms;
       e->fetch_at = MIN (e->fetch_at, now);
       return;
     }
@@ -413,7 +427,7 @@
 /* --- reports --- */
 
 static bool
-lists (const guint32 *list, guint n, guint32 item)
+list_contains (const guint32 *list, guint n, guint32 item)
 {
   for (guint i = 0; i < n; i++)
     {
@@ -424,81 +438,86 @@
 }
 
 static bool
-shows (const pu_dispatcher_report_t *r, guint32 item)
+report_lists (const pu_dispatcher_report_t *r, guint32 item)
 {
-  return lists (r->held, r->n_held, item)
-         || lists (r->coming, r->n_coming, item);
+  return list_contains (r->held, r->n_held, item)
+         || list_contains (r->coming, r->n_coming, item);
 }
 
-/* Whether R, which has one order more, shows that the order O was it.  */
+/* Whether R, which counts one accepted order more than expected by O, is
+   consistent with O being that order.  */
 static bool
-shows_order (const pu_dispatcher_report_t *r, const pu_dispatcher_order_t *o)
+report_confirms_order (const pu_dispatcher_report_t *r,
+                       const pu_dispatcher_order_t *o)
 {
   if (o->op == PU_DISPATCHER_UNLOAD)
-    return !lists (r->held, r->n_held, o->item) || r->busy;
-  return shows (r, o->item) || (r->busy && !o->adapter);
+    return !list_contains (r->held, r->n_held, o->item) || r->busy;
+  return report_lists (r, o->item) || (r->busy && !o->adapter);
 }
 
-/* Phases of items that R says nothing of: gone, unless on the way, or come
-   since.  */
+/* Removes the items that R does not list, except those with a queued order
+   and those whose load may be what the engine is executing.  */
 static void
-absent_sweep (pu_dispatcher_engine_t *e, const pu_dispatcher_report_t *r)
+unlisted_items_remove (pu_dispatcher_engine_t *e,
+                       const pu_dispatcher_report_t *r)
 {
   for (guint i = e->items->len; i-- > 0;)
     {
       pu_dispatcher_item_t *t
           = &g_array_index (e->items, pu_dispatcher_item_t, i);
-      bool queued = pu_dispatcher_order_for (e, t->item) != NULL;
+      bool queued = pu_dispatcher_find_order (e, t->item) != NULL;
       bool loading = t->phase == PU_DISPATCHER_LOADING && r->busy;
 
-      if (shows (r, t->item) || queued || loading)
+      if (report_lists (r, t->item) || queued || loading)
         continue;
       g_array_remove_index_fast (e->items, i);
     }
 }
 
 static void
-items_take (pu_dispatcher_engine_t *e, const pu_dispatcher_report_t *r)
+reported_items_apply (pu_dispatcher_engine_t *e,
+                      const pu_dispatcher_report_t *r)
 {
-  absent_sweep (e, r);
+  unlisted_items_remove (e, r);
   for (guint i = 0; i < r->n_coming; i++)
     {
       if (item_find (e, r->coming[i]) == NULL)
-        item_set (e, r->coming[i], PU_DISPATCHER_LOADING);
+        item_set_phase (e, r->coming[i], PU_DISPATCHER_LOADING);
     }
   for (guint i = 0; i < r->n_held; i++)
     {
       const pu_dispatcher_item_t *t = item_find (e, r->held[i]);
       bool leaving
           = t != NULL && t->phase == PU_DISPATCHER_LEAVING
-            && (r->busy || pu_dispatcher_order_for (e, t->item) != NULL);
+            && (r->busy || pu_dispatcher_find_order (e, t->item) != NULL);
 
       if (!leaving)
-        item_set (e, r->held[i], PU_DISPATCHER_READY);
+        item_set_phase (e, r->held[i], PU_DISPATCHER_READY);
     }
 }
 
-/* The engine has accepted orders that we did not know of: our own, whose
-   answer was lost, or another's.  */
+/* The engine has accepted more orders than this dispatcher has counted: its
+   own, whose answer was lost, or another leader's.  */
 static void
-others_take (pu_dispatcher_t *d, guint32 engine,
-             const pu_dispatcher_report_t *r, guint64 now)
+accepted_count_apply (pu_dispatcher_t *d, guint32 engine,
+                      const pu_dispatcher_report_t *r, guint64 now)
 {
   pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
-  bool own = e->sent && r->accepted == e->expected + 1
-             && shows_order (r, &order_first (e)->o);
+  bool own = e->head_sent && r->accepted == e->expected + 1
+             && report_confirms_order (r, &queue_head (e)->order);
 
   e->accepted = r->accepted;
-  e->changed = now;
+  e->changed_at = now;
   if (own)
     {
       order_accepted (d, engine, false, now);
     }
   else
     {
-      /* What was sent expects a number that is spent: send it anew.  */
-      e->sent = false;
-      e->doubt = false;
+      /* The engine can no longer accept the order with the count that it was
+         sent with; it is sent again with the new count.  */
+      e->head_sent = false;
+      e->outcome_unknown = false;
     }
 }
 
@@ -508,38 +527,41 @@
                       guint64 now)
 {
   pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
-  bool fresh;
+  bool current;
 
   if (e == NULL)
     return;
   e->fetching = false;
-  e->fetch_at = now + MAX (d->o.poll_ms, d->used * d->o.poll_each_ms);
+  e->fetch_at = now
+                + MAX (d->options.poll_ms,
+                       d->n_present * d->options.poll_per_engine_ms);
   if (r == NULL)
     {
-      e->fetch_at = now + d->o.watch_ms;
+      e->fetch_at = now + d->options.busy_poll_ms;
       return;
     }
-  fresh = !e->known || asked >= e->changed + d->o.lag_ms;
-  /* An older one may speak of the time before the last change.  */
-  if (!fresh && r->accepted <= e->accepted)
+  current = !e->reported || asked >= e->changed_at + d->options.report_lag_ms;
+  /* A report that is not current may describe the engine before its last
+     change.  */
+  if (!current && r->accepted <= e->accepted)
     return;
-  if (r->accepted < e->accepted && e->doubt)
+  if (r->accepted < e->accepted && e->outcome_unknown)
     return;
-  if (!e->known || r->accepted < e->accepted)
+  if (!e->reported || r->accepted < e->accepted)
     {
       e->accepted = r->accepted;
-      e->changed = now;
+      e->changed_at = now;
     }
   else if (r->accepted > e->accepted)
     {
-      others_take (d, engine, r, now);
+      accepted_count_apply (d, engine, r, now);
     }
-  e->known = true;
+  e->reported = true;
   e->busy = r->busy;
-  e->unloads = e->unloads && e->busy;
-  items_take (e, r);
+  e->busy_unloading = e->busy_unloading && e->busy;
+  reported_items_apply (e, r);
   if (e->busy)
-    e->fetch_at = now + d->o.watch_ms;
+    e->fetch_at = now + d->options.busy_poll_ms;
 }
 
 void
@@ -552,54 +574,57 @@
   if (t == NULL || t->phase != PU_DISPATCHER_LOADING)
     return;
   t->phase = PU_DISPATCHER_READY;
-  e->changed = now;
+  e->changed_at = now;
   e->busy = false;
-  e->fetch_at = MIN (e->fetch_at, now + d->o.lag_ms);
+  e->fetch_at = MIN (e->fetch_at, now + d->options.report_lag_ms);
 }
 
 /* --- steps --- */
 
 static void
-send_first (pu_dispatcher_t *d, guint32 engine, pu_dispatcher_may_fn *may,
-            void *data, guint64 now, GArray *actions)
+head_send (pu_dispatcher_t *d, guint32 engine, pu_dispatcher_admit_fn *admit,
+           void *data, guint64 now, GArray *actions)
 {
   pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
-  pu_dispatcher_queued_t *o = order_first (e);
+  pu_dispatcher_queued_t *o = queue_head (e);
   pu_dispatcher_action_t a
       = { .what = PU_DISPATCHER_DO_SEND, .engine = engine };
   pu_dispatcher_fit_t fit;
 
-  if (o == NULL || !e->known || e->fenced_out || now < e->not_before)
+  if (o == NULL || !e->reported || e->fenced || now < e->send_after)
     return;
-  if (e->busy && (!e->unloads || now < e->try_at))
+  if (e->busy && (!e->busy_unloading || now < e->probe_at))
     return;
-  if (e->sent && !e->answered && now < e->last_sent + d->o.answer_ms)
+  if (e->head_sent && !e->head_answered
+      && now < e->last_sent_at + d->options.answer_timeout_ms)
     return;
-  fit = e->sent ? PU_DISPATCHER_FIT_NOW : pu_dispatcher_fit (d, e, &o->o);
-  if (fit == PU_DISPATCHER_FIT_NEVER)
+  fit = e->head_sent ? PU_DISPATCHER_FIT_NOW
+                     : pu_dispatcher_fit (d, e, &o->order);
+  if (fit == PU_DISPATCHER_FIT_NONE)
     order_fail (d, engine);
   if (fit != PU_DISPATCHER_FIT_NOW)
     return;
-  if (!e->sent && !o->granted && may != NULL && !may (data, engine, &o->o))
+  if (!e->head_sent && !o->admitted && admit != NULL
+      && !admit (data, engine, &o->order))
     return;
-  o->granted = true;
-  if (!e->sent)
+  o->admitted = true;
+  if (!e->head_sent)
     {
       e->expected = e->accepted;
-      if (e->first != o)
-        e->first_sent = now;
-      e->first = o;
+      if (e->first_sent_order != o)
+        e->first_sent_at = now;
+      e->first_sent_order = o;
     }
-  e->sent = true;
-  e->answered = false;
-  e->last_sent = now;
-  a.order = o->o;
+  e->head_sent = true;
+  e->head_answered = false;
+  e->last_sent_at = now;
+  a.order = o->order;
   a.expected = e->expected;
   g_array_append_val (actions, a);
 }
 
 static void
-fetch (pu_dispatcher_t *d, guint32 engine, guint64 now, GArray *actions)
+report_fetch (pu_dispatcher_t *d, guint32 engine, guint64 now, GArray *actions)
 {
   pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
   pu_dispatcher_action_t a
@@ -611,10 +636,11 @@
   g_array_append_val (actions, a);
 }
 
-/* Adapters that were accepted are there after a moment.  */
+/* Marks adapters as ready once the usual load time has passed since the
+   engine accepted them.  */
 static void
-adapters_ready (const pu_dispatcher_t *d, pu_dispatcher_engine_t *e,
-                guint64 now)
+adapters_mark_ready (const pu_dispatcher_t *d, pu_dispatcher_engine_t *e,
+                     guint64 now)
 {
   for (guint i = 0; i < e->items->len; i++)
     {
@@ -622,50 +648,50 @@
           = &g_array_index (e->items, pu_dispatcher_item_t, i);
 
       if (t->adapter && t->phase == PU_DISPATCHER_LOADING
-          && now >= t->since + d->o.adapter_ms)
+          && now >= t->since + d->options.adapter_load_ms)
         t->phase = PU_DISPATCHER_READY;
     }
 }
 
 static void
-step_one (pu_dispatcher_t *d, guint32 engine, pu_dispatcher_may_fn *may,
-          void *data, guint64 now, GArray *actions)
+engine_step (pu_dispatcher_t *d, guint32 engine, pu_dispatcher_admit_fn *admit,
+             void *data, guint64 now, GArray *actions)
 {
   if (pu_dispatcher_engine_at (d, engine) == NULL)
     return;
-  adapters_ready (d, pu_dispatcher_engine_at (d, engine), now);
-  send_first (d, engine, may, data, now, actions);
-  fetch (d, engine, now, actions);
+  adapters_mark_ready (d, pu_dispatcher_engine_at (d, engine), now);
+  head_send (d, engine, admit, data, now, actions);
+  report_fetch (d, engine, now, actions);
 }
 
-/* Those that were done or failed meanwhile, whichever engine's.  */
+/* Moves the results of finished orders of all engines to ACTIONS.  */
 static void
-tell_ends (pu_dispatcher_t *d, GArray *actions)
+finished_flush (pu_dispatcher_t *d, GArray *actions)
 {
-  if (d->ends->len > 0)
-    g_array_append_vals (actions, d->ends->data, d->ends->len);
-  g_array_set_size (d->ends, 0);
+  if (d->finished->len > 0)
+    g_array_append_vals (actions, d->finished->data, d->finished->len);
+  g_array_set_size (d->finished, 0);
 }
 
 void
 pu_dispatcher_step_engine (pu_dispatcher_t *d, guint32 engine,
-                           pu_dispatcher_may_fn *may, void *data, guint64 now,
-                           GArray *actions)
+                           pu_dispatcher_admit_fn *admit, void *data,
+                           guint64 now, GArray *actions)
 {
-  step_one (d, engine, may, data, now, actions);
-  tell_ends (d, actions);
+  engine_step (d, engine, admit, data, now, actions);
+  finished_flush (d, actions);
 }
 
 void
-pu_dispatcher_step (pu_dispatcher_t *d, pu_dispatcher_may_fn *may, void *data,
-                    guint64 now, GArray *actions)
+pu_dispatcher_step (pu_dispatcher_t *d, pu_dispatcher_admit_fn *admit,
+                    void *data, guint64 now, GArray *actions)
 {
   for (guint32 i = 0; i < d->engines->len; i++)
-    step_one (d, i, may, data, now, actions);
-  tell_ends (d, actions);
+    engine_step (d, i, admit, data, now, actions);
+  finished_flush (d, actions);
 }
 
-/* --- looking in --- */
+/* --- queries --- */
 
 const pu_dispatcher_item_t *
 pu_dispatcher_items (const pu_dispatcher_t *d, guint32 engine, guint *n)
@@ -691,7 +717,7 @@
 {
   const pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
 
-  return e != NULL && e->known && !e->fenced_out;
+  return e != NULL && e->reported && !e->fenced;
 }
 
 bool
--- a/libplantainusher/placement/dispatcher.h
+++ b/libplantainusher/placement/dispatcher.h
@@ -7,38 +7,49 @@
 G_BEGIN_DECLS
 
 /*
- * dispatcher - orders to engines that count the orders they accept, and refuse
- * one that expects another count: compare-and-set on what an engine holds.
+ * dispatcher - sends load and unload orders to engines by compare-and-set.
  *
- * Pure: no I/O, no clock.  `now` is monotonic milliseconds.
+ * Each engine counts the orders it accepts and refuses an order that expects
+ * another count.
  *
- * An engine's report says what it holds and how many orders it had accepted
- * when it held that.  An order that expects this number is carried out only if
- * no other was accepted since.  So whoever knows one report can't order more
- * than fits, whatever became of orders that were lost, doubled or late, and
- * whoever sent them; no order has to be kept in the log.  An order without an
- * answer is sent again with the same number: one of the two is carried out at
- * most.  Orders to one engine go one at a time.
+ * The dispatcher does no I/O and reads no clock.  `now` is monotonic
+ * milliseconds.
  *
- * Items are models and adapters, by small handles of the caller's; so are
- * engines.  An engine handle stands for one start of an engine.
+ * An engine's report lists the items it holds and the number of orders it had
+ * accepted by then.  An order that expects this number is executed only if no
+ * other order was accepted since.  A sender that knows one report therefore
+ * cannot order more than fits, even if earlier orders, its own or another
+ * sender's, were lost, duplicated or delayed; no order has to be kept in the
+ * log.  An order without an answer is sent again with the same number, so at
+ * most one of the two is executed.  Orders to one engine are sent one at a
+ * time.
+ *
+ * Items are models and adapters.  Items and engines are identified by small
+ * integer handles that the caller assigns.  An engine handle identifies one
+ * incarnation of an engine: it changes when the engine restarts.
  */
 
 typedef struct pu_dispatcher pu_dispatcher_t;
 
 typedef struct
 {
-  guint64 lag_ms;       /* a report may be as old as this when it comes */
-  guint64 answer_ms;    /* an order without an answer is sent again */
-  guint64 give_up_ms;   /* and given up this long after the first time */
-  guint64 refused_ms;   /* after a refusal, before the next order */
-  guint64 poll_ms;      /* between two reports */
-  guint64 poll_each_ms; /* the same at least, for each engine there is: one
-                           leader asks them all */
-  guint64 watch_ms;     /* the same while something is under way */
-  guint64 adapter_ms;   /* an adapter that was accepted is ready after this */
-  guint64 try_ms;       /* after an unload was accepted, and again, the next
-                           order is tried */
+  guint64 report_lag_ms;       /* a report requested within this time of a
+                                  change may not show the change */
+  guint64 answer_timeout_ms;   /* an order without an answer is sent again */
+  guint64 conflict_timeout_ms; /* an order that gets a conflict this long
+                                  after it was first sent fails */
+  guint64 retry_backoff_ms;    /* after a conflict or a lost answer, before
+                                  the next sending */
+  guint64 poll_ms;             /* interval between reports of an engine */
+  guint64 poll_per_engine_ms;  /* the interval is at least this times the
+                                  number of engines, as one leader polls all
+                                  of them */
+  guint64 busy_poll_ms;        /* interval while an order is executed, and
+                                  after a failed fetch */
+  guint64 adapter_load_ms;     /* time from the acceptance of an adapter's
+                                  load until it is ready */
+  guint64 unload_probe_ms;     /* after an unload was accepted, interval of
+                                  the attempts to send the next order */
 } pu_dispatcher_options_t;
 
 void pu_dispatcher_options_init (pu_dispatcher_options_t *o);
@@ -56,117 +67,125 @@
 {
   pu_dispatcher_op_t op;
   guint32 item;
-  bool adapter; /* loads and unloads beside other orders */
+  bool adapter; /* loads and unloads concurrently with other orders */
 } pu_dispatcher_order_t;
 
-/* pu_dispatcher_add - ENGINE is there; nothing is known of it yet.  */
+/* pu_dispatcher_add - adds ENGINE, which takes no orders until its first
+   report.  No effect when it was added already.  */
 void pu_dispatcher_add (pu_dispatcher_t *d, guint32 engine, guint64 now);
 
-/* pu_dispatcher_remove - ENGINE is gone; its orders end.  */
+/* pu_dispatcher_remove - removes ENGINE; its orders fail.  */
 void pu_dispatcher_remove (pu_dispatcher_t *d, guint32 engine);
 
-/* pu_dispatcher_set_item - ITEM takes MEMORY_MB of an engine's memory: 0 where
-   that is not known, or not counted.  */
+/* pu_dispatcher_set_item - the model ITEM takes MEMORY_MB of an engine's
+   memory; 0: unknown or not counted.  */
 void pu_dispatcher_set_item (pu_dispatcher_t *d, guint32 item,
                              guint32 memory_mb);
 
 /* pu_dispatcher_set_adapter - ITEM is an adapter: it takes one of an engine's
-   places for adapters, and has its memory there.  */
+   adapter slots, whose memory is reserved, and no other memory.  */
 void pu_dispatcher_set_adapter (pu_dispatcher_t *d, guint32 item);
 
-/* pu_dispatcher_set_room - ENGINE has ROOM_MB of memory for items; 0: no
- * limit.  */
+/* pu_dispatcher_set_room - ENGINE has CAPACITY_MB of memory for models; 0: no
+   limit.  */
 void pu_dispatcher_set_room (pu_dispatcher_t *d, guint32 engine,
-                             guint32 room_mb);
+                             guint32 capacity_mb);
 
-/* pu_dispatcher_set_places - ENGINE has PLACES for adapters; 0: no limit.  */
+/* pu_dispatcher_set_places - ENGINE has SLOTS adapter slots; 0: no limit.  */
 void pu_dispatcher_set_places (pu_dispatcher_t *d, guint32 engine,
-                               guint places);
+                               guint slots);
 
 /* pu_dispatcher_want - queues O for ENGINE.  False when an order for the same
-   item is under way there, or it is there (or not) already, or ENGINE is not
-   known or refuses us.  */
+   item is queued or sent, when a load's item is at the engine already or an
+   unload's is not, or when ENGINE takes no orders (pu_dispatcher_known).  */
 bool pu_dispatcher_want (pu_dispatcher_t *d, guint32 engine,
                          const pu_dispatcher_order_t *o, guint64 now);
 
-/* pu_dispatcher_drop - takes a queued order for ITEM back that was not sent
- * yet.  */
-void pu_dispatcher_drop (pu_dispatcher_t *d, guint32 engine, guint32 item);
+/* pu_dispatcher_cancel - removes the queued order for ITEM, unless it was
+   sent.  */
+void pu_dispatcher_cancel (pu_dispatcher_t *d, guint32 engine, guint32 item);
 
 typedef enum
 {
-  PU_DISPATCHER_ACCEPTED, /* it is being carried out */
-  PU_DISPATCHER_HOLDS,    /* what it asks for is so already */
-  PU_DISPATCHER_CONFLICT, /* another count, or another order is under way */
-  PU_DISPATCHER_FENCED,   /* a later leader has given orders */
-  PU_DISPATCHER_REFUSED,  /* it can't be carried out */
-  PU_DISPATCHER_GONE,     /* another engine answers */
-  PU_DISPATCHER_LOST      /* no answer: nothing is known */
+  PU_DISPATCHER_ACCEPTED, /* the engine is executing the order */
+  PU_DISPATCHER_HOLDS,    /* the engine is in the requested state */
+  PU_DISPATCHER_CONFLICT, /* the engine's count differs, or it is executing
+                             another order */
+  PU_DISPATCHER_FENCED,   /* a later leader has sent orders to the engine */
+  PU_DISPATCHER_REFUSED,  /* the engine can't execute the order */
+  PU_DISPATCHER_GONE,     /* another engine answered at this address */
+  PU_DISPATCHER_LOST      /* no answer: the outcome is unknown */
 } pu_dispatcher_answer_t;
 
-/* pu_dispatcher_answer - how the order that ENGINE was sent was answered.  */
+/* pu_dispatcher_answer - A is the answer of ENGINE to the order that was sent
+   to it last.  */
 void pu_dispatcher_answer (pu_dispatcher_t *d, guint32 engine,
                            pu_dispatcher_answer_t a, guint64 now);
 
-/* What an engine says of itself; the lists are borrowed.  */
+/* An engine's report; the lists are borrowed.  */
 typedef struct
 {
-  guint64 accepted; /* orders */
-  bool busy;        /* it carries one out */
+  guint64 accepted; /* number of orders accepted so far */
+  bool busy;        /* an order is being executed */
   const guint32 *held;
   guint n_held;
-  const guint32 *coming; /* adapters on their way to it */
+  const guint32 *coming; /* adapters being loaded */
   guint n_coming;
 } pu_dispatcher_report_t;
 
-/* pu_dispatcher_report - the answer to a FETCH that was asked at ASKED; R
-   NULL: it failed.  */
+/* pu_dispatcher_report - R is the report that ENGINE sent in response to a
+   fetch requested at ASKED; NULL: the fetch failed.  */
 void pu_dispatcher_report (pu_dispatcher_t *d, guint32 engine,
                            const pu_dispatcher_report_t *r, guint64 asked,
                            guint64 now);
 
-/* pu_dispatcher_seen - ENGINE was heard to hold ITEM, by another way than a
-   report that was fetched.  */
+/* pu_dispatcher_seen - ENGINE holds ITEM according to a source other than a
+   fetched report; ends the load of ITEM.  */
 void pu_dispatcher_seen (pu_dispatcher_t *d, guint32 engine, guint32 item,
                          guint64 now);
 
 typedef enum
 {
-  PU_DISPATCHER_DO_SEND,  /* send the order to the engine; answer by
-                       pu_dispatcher_answer */
-  PU_DISPATCHER_DO_FETCH, /* fetch the engine's report; answer by
+  PU_DISPATCHER_DO_SEND,  /* send the order to the engine and pass its answer
+                             to pu_dispatcher_answer */
+  PU_DISPATCHER_DO_FETCH, /* fetch the engine's report and pass it to
                              pu_dispatcher_report */
-  PU_DISPATCHER_DO_DONE,  /* the order was carried out, or is being */
-  PU_DISPATCHER_DO_FAILED /* it never will be */
-} pu_dispatcher_do_t;
+  PU_DISPATCHER_DO_DONE,  /* the order was executed or is being executed */
+  PU_DISPATCHER_DO_FAILED /* the order failed and is not sent again */
+} pu_dispatcher_action_kind_t;
 
 typedef struct
 {
-  pu_dispatcher_do_t what;
+  pu_dispatcher_action_kind_t what;
   guint32 engine;
-  pu_dispatcher_order_t order; /* not of a FETCH */
-  guint64 expected;            /* of a SEND */
+  pu_dispatcher_order_t order; /* unset for PU_DISPATCHER_DO_FETCH */
+  guint64 expected;            /* for PU_DISPATCHER_DO_SEND: the number of
+                                  accepted orders that the order expects */
 } pu_dispatcher_action_t;
 
-/* pu_dispatcher_may_fn - whether the load O may begin now.  */
-typedef bool pu_dispatcher_may_fn (void *data, guint32 engine,
-                                   const pu_dispatcher_order_t *o);
-
-/* pu_dispatcher_step - appends what is to be done now
-   (pu_dispatcher_action_t).  MAY is asked before an order is sent for the
-   first time; NULL: all may.  A load that doesn't fit beside what the engine
-   holds, or may hold yet, into the memory or the places, fails then, at each
-   sending anew: what an engine holds may have come since it was wanted, by an
-   order of the leader before.  An adapter whose place is being given up waits
-   for it.  */
-void pu_dispatcher_step (pu_dispatcher_t *d, pu_dispatcher_may_fn *may,
+/* pu_dispatcher_admit_fn - whether the order O may be sent to ENGINE now.  An
+   order for which this returned true is not asked about again.  */
+typedef bool pu_dispatcher_admit_fn (void *data, guint32 engine,
+                                     const pu_dispatcher_order_t *o);
+
+/* pu_dispatcher_step - appends the actions that are due now to ACTIONS
+   (pu_dispatcher_action_t).  ADMIT is called before an order is sent for the
+   first time; NULL admits all orders.
+
+   A load fails when it does not fit into the engine's memory or adapter slots
+   together with the items that the engine holds or may still come to hold.
+   This is checked before each sending with a new expected count, because an
+   order of the previous leader may have loaded an item since the load was
+   queued.  An adapter's load waits for a slot that an accepted unload will
+   free.  */
+void pu_dispatcher_step (pu_dispatcher_t *d, pu_dispatcher_admit_fn *admit,
                          void *data, guint64 now, GArray *actions);
 
-/* pu_dispatcher_step_engine - the same for ENGINE alone, after word from it:
-   with thousands of engines a look at all of them for each report is most of
-   what a leader does.  */
+/* pu_dispatcher_step_engine - as pu_dispatcher_step for ENGINE alone, after a
+   report or an answer from it: with thousands of engines, scanning all of them
+   for each report would be most of the leader's work.  */
 void pu_dispatcher_step_engine (pu_dispatcher_t *d, guint32 engine,
-                                pu_dispatcher_may_fn *may, void *data,
+                                pu_dispatcher_admit_fn *admit, void *data,
                                 guint64 now, GArray *actions);
 
 typedef enum
@@ -178,31 +197,36 @@
   PU_DISPATCHER_LEAVING /* an unload is queued, sent or accepted */
 } pu_dispatcher_phase_t;
 
-/* One item at an engine.  */
+/* An item at an engine.  */
 typedef struct
 {
   guint32 item;
   pu_dispatcher_phase_t phase;
   bool adapter;
-  guint64 since; /* of LOADING: when an order of ours was accepted, ms */
+  guint64 since; /* ms; in PU_DISPATCHER_LOADING: when the engine accepted an
+                    order of this dispatcher */
 } pu_dispatcher_item_t;
 
-/* pu_dispatcher_items - what ENGINE holds, or may come to hold: borrowed until
-   the next call; N is set.  */
+/* pu_dispatcher_items - the items that ENGINE holds or may come to hold, with
+   their number in N; borrowed until the next call that changes D.  */
 const pu_dispatcher_item_t *pu_dispatcher_items (const pu_dispatcher_t *d,
                                                  guint32 engine, guint *n);
+
+/* pu_dispatcher_phase - the phase of ITEM at ENGINE; PU_DISPATCHER_ABSENT when
+   either is unknown.  */
 pu_dispatcher_phase_t pu_dispatcher_phase (const pu_dispatcher_t *d,
                                            guint32 engine, guint32 item);
 
-/* pu_dispatcher_known - whether a report of ENGINE has come and it takes our
-   orders.  */
+/* pu_dispatcher_known - whether ENGINE takes orders of this dispatcher: a
+   report has arrived and no later leader has fenced the engine.  */
 bool pu_dispatcher_known (const pu_dispatcher_t *d, guint32 engine);
 
-/* pu_dispatcher_busy - whether ENGINE is carrying a model's order out.  */
+/* pu_dispatcher_busy - whether ENGINE is executing an order for a model or the
+   unload of an adapter.  */
 bool pu_dispatcher_busy (const pu_dispatcher_t *d, guint32 engine);
 
-/* pu_dispatcher_secret - whether ENGINE is carrying an order out that we don't
-   know: it may come to hold anything.  */
+/* pu_dispatcher_secret - whether ENGINE is executing an order that this
+   dispatcher does not know, so that any item may appear there.  */
 bool pu_dispatcher_secret (const pu_dispatcher_t *d, guint32 engine);
 
 G_END_DECLS
--- a/libplantainusher/placement/dispatcher_private.h
+++ b/libplantainusher/placement/dispatcher_private.h
@@ -5,79 +5,85 @@
 
 G_BEGIN_DECLS
 
-/* What the files of the dispatcher share: dispatcher.c has orders and reports,
-   dispatcher_room.c what fits beside what is there.  */
+/* Shared by the dispatcher's files: dispatcher.c handles orders and reports,
+   dispatcher_capacity.c checks whether a load fits an engine.  */
 
 typedef struct
 {
-  pu_dispatcher_order_t o;
-  guint64 wanted; /* ms */
-  bool granted;   /* it may begin */
+  pu_dispatcher_order_t order;
+  guint64 queued_at; /* ms */
+  bool admitted;     /* the callback of pu_dispatcher_step has admitted it */
 } pu_dispatcher_queued_t;
 
 typedef struct
 {
-  bool used;
-  bool known;       /* a report has come */
-  bool fenced_out;  /* it has orders of a later leader */
-  guint64 accepted; /* orders, as far as we know */
-  guint64 changed;  /* when that last changed, ms */
-  bool busy;
-  bool unloads;    /* with an unload of ours, as it said itself */
-  guint64 try_at;  /* whether it has ended is tried by the next order, ms */
-  guint32 room_mb; /* 0: no limit */
-  guint places;    /* for adapters; 0: no limit */
-  GArray *items;   /* of pu_dispatcher_item_t */
-  GQueue queue;    /* of pu_dispatcher_queued_t *, the first may be sent */
-  bool sent;       /* the first order of the queue was */
-  const pu_dispatcher_queued_t *first; /* whose first_sent is */
-  guint64 first_sent;                  /* ms */
-  guint64 last_sent;                   /* ms */
-  bool answered;      /* what was sent last: it is not waited for */
-  bool doubt;         /* a sending of the first order had no answer: it may
-                         be carried out yet */
-  guint64 expected;   /* of what was sent */
-  guint64 not_before; /* nothing is sent before, ms */
+  bool present;
+  bool reported;       /* a report has arrived */
+  bool fenced;         /* a later leader has sent orders to the engine */
+  guint64 accepted;    /* last known number of accepted orders */
+  guint64 changed_at;  /* when the known state last changed, ms */
+  bool busy;           /* executing an order, other than an adapter's load */
+  bool busy_unloading; /* busy with an unload of this dispatcher, accepted by
+                          the engine's own answer */
+  guint64 probe_at;    /* ms; when to send the next order to find out whether
+                          the unload has completed */
+  guint32 capacity_mb; /* 0: no limit */
+  guint adapter_slots; /* 0: no limit */
+  GArray *items;       /* of pu_dispatcher_item_t */
+  GQueue queue;        /* of pu_dispatcher_queued_t *; only the head is sent */
+  bool head_sent;      /* the head was sent with the count `expected` */
+  const pu_dispatcher_queued_t *first_sent_order; /* to which first_sent_at
+                                                     belongs */
+  guint64 first_sent_at;                          /* ms */
+  guint64 last_sent_at;                           /* ms */
+  bool head_answered;   /* the last sending was answered, or timed out */
+  bool outcome_unknown; /* a sending of the head had no answer and may still
+                           be executed */
+  guint64 expected;     /* count that the last sending expected */
+  guint64 send_after;   /* ms; back-off: nothing is sent earlier */
   bool fetching;
-  guint64 fetch_at; /* the next report is due, ms */
+  guint64 fetch_at; /* ms; when to fetch the next report */
 } pu_dispatcher_engine_t;
 
 typedef struct
 {
   guint32 memory_mb;
   bool adapter;
-} pu_dispatcher_kind_t;
+} pu_dispatcher_item_info_t;
 
 struct pu_dispatcher
 {
-  pu_dispatcher_options_t o;
-  GArray *engines; /* of pu_dispatcher_engine_t, by handle */
-  guint used;      /* of these, engines that are there */
-  GArray *kinds;   /* of pu_dispatcher_kind_t, by item */
-  GArray *ends;    /* of pu_dispatcher_action_t: DONE and FAILED to be told */
+  pu_dispatcher_options_t options;
+  GArray *engines;    /* of pu_dispatcher_engine_t, by handle */
+  guint n_present;    /* engines that are present */
+  GArray *item_infos; /* of pu_dispatcher_item_info_t, by item */
+  GArray *finished;   /* of pu_dispatcher_action_t: results of orders for the
+                         next step to return */
 };
 
 /* Whether a load may be sent.  */
 typedef enum
 {
   PU_DISPATCHER_FIT_NOW,
-  PU_DISPATCHER_FIT_SOON, /* when an unload that was accepted has ended */
-  PU_DISPATCHER_FIT_NEVER
+  PU_DISPATCHER_FIT_AFTER_UNLOAD, /* when an accepted unload has completed */
+  PU_DISPATCHER_FIT_NONE          /* no unload under way will make it fit */
 } pu_dispatcher_fit_t;
 
 /* dispatcher.c */
 
-/* pu_dispatcher_engine_at - NULL when ENGINE is not known.  */
+/* pu_dispatcher_engine_at - the engine with handle ENGINE; NULL when it is not
+   present.  */
 pu_dispatcher_engine_t *pu_dispatcher_engine_at (const pu_dispatcher_t *d,
                                                  guint32 engine);
 
-/* pu_dispatcher_order_for - the first queued order for ITEM; NULL: none.  */
+/* pu_dispatcher_find_order - the first queued order for ITEM; NULL: none.  */
 pu_dispatcher_queued_t *
-pu_dispatcher_order_for (const pu_dispatcher_engine_t *e, guint32 item);
+pu_dispatcher_find_order (const pu_dispatcher_engine_t *e, guint32 item);
 
-/* dispatcher_room.c */
+/* dispatcher_capacity.c */
 
-/* pu_dispatcher_fit - whether E has room, or a place, for what O loads.  */
+/* pu_dispatcher_fit - whether E has the memory, or the adapter slot, that O
+   needs; an unload needs none.  */
 pu_dispatcher_fit_t pu_dispatcher_fit (pu_dispatcher_t *d,
                                        const pu_dispatcher_engine_t *e,
                                        const pu_dispatcher_order_t *o);
--- a/libplantainusher/placement/ledger.c
+++ b/libplantainusher/placement/ledger.c
@@ -1,6 +1,6 @@
 #include "placement/ledger.h"
 
-/* A backend server and the orders open towards it.  */
+/* The last known state of a backend server and its open orders.  */
 typedef struct
 {
   guint32 backend;
@@ -12,23 +12,23 @@
   bool fenced;
   bool leaving;
   bool down;
-  GArray *held;   /* of pu_ledger_held_t */
-  GArray *orders; /* of pu_ledger_order_t, by rising token */
-} entry_t;
+  GArray *copies; /* of pu_ledger_held_t */
+  GArray *orders; /* of pu_ledger_order_t, by ascending token */
+} backend_t;
 
 struct pu_ledger
 {
   guint breaks;
-  GHashTable *entries; /* backend -> entry_t */
-  GHashTable *tokens;  /* open token -> entry_t */
+  GHashTable *backends; /* backend_t, by backend handle */
+  GHashTable *tokens;   /* backend_t, by token of an open order */
 };
 
 static void
-entry_free (gpointer data)
+backend_free (gpointer data)
 {
-  entry_t *n = data;
+  backend_t *n = data;
 
-  g_array_unref (n->held);
+  g_array_unref (n->copies);
   g_array_unref (n->orders);
   g_free (n);
 }
@@ -40,7 +40,7 @@
 
   if (o != NULL)
     l->breaks = o->test_breaks;
-  l->entries = g_hash_table_new_full (NULL, NULL, NULL, entry_free);
+  l->backends = g_hash_table_new_full (NULL, NULL, NULL, backend_free);
   l->tokens
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, NULL);
   return l;
@@ -52,38 +52,38 @@
   if (l == NULL)
     return;
   g_hash_table_unref (l->tokens);
-  g_hash_table_unref (l->entries);
+  g_hash_table_unref (l->backends);
   g_free (l);
 }
 
-static entry_t *
-find_entry (const pu_ledger_t *l, guint32 backend)
+static backend_t *
+find_backend (const pu_ledger_t *l, guint32 backend)
 {
-  return g_hash_table_lookup (l->entries, GUINT_TO_POINTER (backend));
+  return g_hash_table_lookup (l->backends, GUINT_TO_POINTER (backend));
 }
 
-static entry_t *
-make_entry (pu_ledger_t *l, guint32 backend)
+static backend_t *
+get_or_add_backend (pu_ledger_t *l, guint32 backend)
 {
-  entry_t *n = find_entry (l, backend);
+  backend_t *n = find_backend (l, backend);
 
   if (n != NULL)
     return n;
-  n = g_new0 (entry_t, 1);
+  n = g_new0 (backend_t, 1);
   n->backend = backend;
   n->down = true;
-  n->held = g_array_new (FALSE, FALSE, sizeof (pu_ledger_held_t));
+  n->copies = g_array_new (FALSE, FALSE, sizeof (pu_ledger_held_t));
   n->orders = g_array_new (FALSE, FALSE, sizeof (pu_ledger_order_t));
-  g_hash_table_insert (l->entries, GUINT_TO_POINTER (backend), n);
+  g_hash_table_insert (l->backends, GUINT_TO_POINTER (backend), n);
   return n;
 }
 
 static pu_ledger_held_t *
-find_held (const entry_t *n, guint32 copy)
+find_copy (const backend_t *n, guint32 copy)
 {
-  for (guint i = 0; i < n->held->len; i++)
+  for (guint i = 0; i < n->copies->len; i++)
     {
-      pu_ledger_held_t *h = &g_array_index (n->held, pu_ledger_held_t, i);
+      pu_ledger_held_t *h = &g_array_index (n->copies, pu_ledger_held_t, i);
 
       if (h->copy == copy)
         return h;
@@ -91,93 +91,100 @@
   return NULL;
 }
 
-/* A copy may report less than it will take until it is ready, so the order
-   that loads it counts until then.  */
+/* Whether O loads a copy that is reported as loading.  Until the copy is
+   ready it may report less memory than it will take, so the order counts until
+   then.  */
 static bool
-still_loading (const entry_t *n, const pu_ledger_order_t *o)
+is_loading (const backend_t *n, const pu_ledger_order_t *o)
 {
-  const pu_ledger_held_t *h = find_held (n, o->copy);
+  const pu_ledger_held_t *h = find_copy (n, o->copy);
 
   return o->kind == PU_LEDGER_LOAD && h != NULL
          && h->phase == PU_LEDGER_LOADING;
 }
 
-/* Whether the backend server would refuse the order O now, and has shown what
-   it did before.  */
+/* Whether the backend server refuses the order O from now on, and its report
+   includes every effect that O had.  */
 static bool
-fenced_off (const pu_ledger_t *l, const entry_t *n, const pu_ledger_order_t *o)
+is_fenced_off (const pu_ledger_t *l, const backend_t *n,
+               const pu_ledger_order_t *o)
 {
   bool own = (l->breaks & PU_LEDGER_BREAK_OWN_TOKEN) != 0;
   bool later = o->token < n->token || (own && o->token == n->token);
 
-  return (n->fenced || own) && later && !still_loading (n, o);
+  return (n->fenced || own) && later && !is_loading (n, o);
 }
 
+/* Whether the memory of O is counted.  */
 static bool
-counts (const pu_ledger_t *l, const entry_t *n, const pu_ledger_order_t *o)
+is_counted (const pu_ledger_t *l, const backend_t *n,
+            const pu_ledger_order_t *o)
 {
-  return o->kind == PU_LEDGER_LOAD && !fenced_off (l, n, o);
+  return o->kind == PU_LEDGER_LOAD && !is_fenced_off (l, n, o);
 }
 
-/* What is counted for COPY: the largest of its report and its load orders.  */
+/* The memory counted for COPY: the largest of its report and its load orders.
+ */
 static guint32
-copy_mb (const pu_ledger_t *l, const entry_t *n, guint32 copy)
+copy_committed_mb (const pu_ledger_t *l, const backend_t *n, guint32 copy)
 {
-  const pu_ledger_held_t *h = find_held (n, copy);
-  guint32 most = h != NULL ? h->memory_mb : 0;
+  const pu_ledger_held_t *h = find_copy (n, copy);
+  guint32 largest_mb = h != NULL ? h->memory_mb : 0;
 
   for (guint i = 0; i < n->orders->len; i++)
     {
       const pu_ledger_order_t *o
           = &g_array_index (n->orders, pu_ledger_order_t, i);
 
-      if (o->copy == copy && counts (l, n, o))
-        most = MAX (most, o->memory_mb);
+      if (o->copy == copy && is_counted (l, n, o))
+        largest_mb = MAX (largest_mb, o->memory_mb);
     }
-  return most;
+  return largest_mb;
 }
 
-/* Whether the load order at INDEX is the first for a copy that is not held,
-   so that each copy is counted once.  */
+/* Whether the load order at INDEX is the first one that counts for a copy that
+   is not reported, so that each copy is counted once.  */
 static bool
-counts_alone (const pu_ledger_t *l, const entry_t *n, guint index)
+is_first_load_of_new_copy (const pu_ledger_t *l, const backend_t *n,
+                           guint index)
 {
   const pu_ledger_order_t *o
       = &g_array_index (n->orders, pu_ledger_order_t, index);
 
-  if (!counts (l, n, o) || find_held (n, o->copy) != NULL)
+  if (!is_counted (l, n, o) || find_copy (n, o->copy) != NULL)
     return false;
   for (guint i = 0; i < index; i++)
     {
       const pu_ledger_order_t *p
           = &g_array_index (n->orders, pu_ledger_order_t, i);
 
-      if (p->copy == o->copy && counts (l, n, p))
+      if (p->copy == o->copy && is_counted (l, n, p))
         return false;
     }
   return true;
 }
 
 static guint64
-committed_mb (const pu_ledger_t *l, const entry_t *n)
+committed_mb (const pu_ledger_t *l, const backend_t *n)
 {
-  guint64 sum = 0;
+  guint64 sum_mb = 0;
 
-  for (guint i = 0; i < n->held->len; i++)
-    sum += copy_mb (l, n, g_array_index (n->held, pu_ledger_held_t, i).copy);
+  for (guint i = 0; i < n->copies->len; i++)
+    sum_mb += copy_committed_mb (
+        l, n, g_array_index (n->copies, pu_ledger_held_t, i).copy);
   for (guint i = 0; i < n->orders->len; i++)
     {
-      if (counts_alone (l, n, i))
+      if (is_first_load_of_new_copy (l, n, i))
         {
-          sum += copy_mb (
+          sum_mb += copy_committed_mb (
               l, n, g_array_index (n->orders, pu_ledger_order_t, i).copy);
         }
     }
-  return sum;
+  return sum_mb;
 }
 
 static void
-close_order (pu_ledger_t *l, entry_t *n, guint index)
+close_order (pu_ledger_t *l, backend_t *n, guint index)
 {
   guint64 token = g_array_index (n->orders, pu_ledger_order_t, index).token;
 
@@ -187,7 +194,7 @@
 
 /* Closes the unload orders that have been fenced off.  */
 static void
-close_unloads (pu_ledger_t *l, entry_t *n, GArray *closed)
+close_fenced_unloads (pu_ledger_t *l, backend_t *n, GArray *closed)
 {
   for (guint i = n->orders->len; i-- > 0;)
     {
@@ -195,7 +202,7 @@
           = &g_array_index (n->orders, pu_ledger_order_t, i);
       guint64 token = o->token;
 
-      if (o->kind == PU_LEDGER_LOAD || !fenced_off (l, n, o))
+      if (o->kind == PU_LEDGER_LOAD || !is_fenced_off (l, n, o))
         continue;
       close_order (l, n, i);
       if (closed != NULL)
@@ -204,7 +211,7 @@
 }
 
 static void
-take_header (entry_t *n, const pu_ledger_report_t *r)
+set_backend_fields (backend_t *n, const pu_ledger_report_t *r)
 {
   n->incarnation = r->incarnation;
   n->seq = r->seq;
@@ -216,32 +223,32 @@
 }
 
 static void
-replace_held (entry_t *n, const pu_ledger_report_t *r)
+replace_copies (backend_t *n, const pu_ledger_report_t *r)
 {
-  g_array_set_size (n->held, 0);
+  g_array_set_size (n->copies, 0);
   if (r->n_held > 0)
-    g_array_append_vals (n->held, r->held, r->n_held);
+    g_array_append_vals (n->copies, r->held, r->n_held);
 }
 
-/* Believes only what the report adds: a copy that it leaves out stays
-   counted, but no longer as ready; one that was loading stays so.  */
+/* Takes only the additions of the report.  A copy that the report omits stays
+   counted, but not as ready; a copy that was loading stays loading.  */
 static void
-merge_held (entry_t *n, const pu_ledger_report_t *r)
+merge_copies (backend_t *n, const pu_ledger_report_t *r)
 {
-  for (guint i = 0; i < n->held->len; i++)
+  for (guint i = 0; i < n->copies->len; i++)
     {
-      pu_ledger_held_t *h = &g_array_index (n->held, pu_ledger_held_t, i);
+      pu_ledger_held_t *h = &g_array_index (n->copies, pu_ledger_held_t, i);
 
       if (h->phase != PU_LEDGER_LOADING)
         h->phase = PU_LEDGER_UNLOADING;
     }
   for (guint i = 0; i < r->n_held; i++)
     {
-      pu_ledger_held_t *h = find_held (n, r->held[i].copy);
+      pu_ledger_held_t *h = find_copy (n, r->held[i].copy);
 
       if (h == NULL)
         {
-          g_array_append_val (n->held, r->held[i]);
+          g_array_append_val (n->copies, r->held[i]);
           continue;
         }
       h->memory_mb = MAX (h->memory_mb, r->held[i].memory_mb);
@@ -254,7 +261,7 @@
 pu_ledger_backend_up (pu_ledger_t *l, const pu_ledger_report_t *r,
                       GArray *closed)
 {
-  entry_t *n = make_entry (l, r->backend);
+  backend_t *n = get_or_add_backend (l, r->backend);
   bool same = r->incarnation == n->incarnation;
 
   if (r->incarnation < n->incarnation)
@@ -262,22 +269,22 @@
   if (same && r->seq != 0 && r->seq <= n->seq)
     return PU_LEDGER_STALE;
 
-  take_header (n, r);
+  set_backend_fields (n, r);
   if (same && r->token < n->token)
     {
-      merge_held (n, r);
+      merge_copies (n, r);
       return PU_LEDGER_MERGED;
     }
   n->token = r->token;
-  replace_held (n, r);
-  close_unloads (l, n, closed);
+  replace_copies (n, r);
+  close_fenced_unloads (l, n, closed);
   return PU_LEDGER_ACCEPTED;
 }
 
 bool
 pu_ledger_backend_down (pu_ledger_t *l, guint32 backend, guint64 incarnation)
 {
-  entry_t *n = find_entry (l, backend);
+  backend_t *n = find_backend (l, backend);
 
   if (n == NULL || n->incarnation != incarnation)
     return false;
@@ -291,7 +298,7 @@
 pu_ledger_backend_leaving (pu_ledger_t *l, guint32 backend,
                            guint64 incarnation)
 {
-  entry_t *n = find_entry (l, backend);
+  backend_t *n = find_backend (l, backend);
 
   if (n == NULL || n->incarnation != incarnation)
     return false;
@@ -302,31 +309,32 @@
 bool
 pu_ledger_forget (pu_ledger_t *l, guint32 backend)
 {
-  entry_t *n = find_entry (l, backend);
+  backend_t *n = find_backend (l, backend);
 
   if (n == NULL || !n->down || n->orders->len > 0)
     return false;
-  return g_hash_table_remove (l->entries, GUINT_TO_POINTER (backend));
+  return g_hash_table_remove (l->backends, GUINT_TO_POINTER (backend));
 }
 
-/* What the memory of N would come to with a load of COPY.  */
+/* The memory that would be counted for N with a load of COPY.  */
 static guint64
-committed_with (const pu_ledger_t *l, const entry_t *n, guint32 copy,
-                guint32 memory_mb)
+committed_with_load_mb (const pu_ledger_t *l, const backend_t *n, guint32 copy,
+                        guint32 memory_mb)
 {
-  guint32 now_mb = copy_mb (l, n, copy);
+  guint32 counted_mb = copy_committed_mb (l, n, copy);
 
-  return committed_mb (l, n) - now_mb + MAX (now_mb, memory_mb);
+  return committed_mb (l, n) - counted_mb + MAX (counted_mb, memory_mb);
 }
 
 static bool
-fits (const pu_ledger_t *l, const entry_t *n, guint32 copy, guint32 memory_mb)
+fits (const pu_ledger_t *l, const backend_t *n, guint32 copy,
+      guint32 memory_mb)
 {
-  return committed_with (l, n, copy, memory_mb) <= n->memory_mb;
+  return committed_with_load_mb (l, n, copy, memory_mb) <= n->memory_mb;
 }
 
 static void
-add_order (pu_ledger_t *l, entry_t *n, const pu_ledger_order_t *o)
+add_order (pu_ledger_t *l, backend_t *n, const pu_ledger_order_t *o)
 {
   guint i = n->orders->len;
 
@@ -341,8 +349,8 @@
 bool
 pu_ledger_reserve (pu_ledger_t *l, const pu_ledger_order_t *o, pu_error_t *e)
 {
-  entry_t *n = find_entry (l, o->backend);
-  bool checked = (l->breaks & PU_LEDGER_BREAK_NO_CHECK) == 0;
+  backend_t *n = find_backend (l, o->backend);
+  bool check_memory = (l->breaks & PU_LEDGER_BREAK_NO_CHECK) == 0;
 
   if (o->token == 0)
     return pu_error_set (e, PU_ERROR_INVALID, "an order needs a token");
@@ -360,13 +368,13 @@
       return pu_error_set (e, PU_ERROR_CONFLICT,
                            "the backend server is leaving");
     }
-  if (o->kind == PU_LEDGER_LOAD && checked
+  if (o->kind == PU_LEDGER_LOAD && check_memory
       && !fits (l, n, o->copy, o->memory_mb))
     {
       return pu_error_set (
           e, PU_ERROR_CONFLICT,
           "no memory: %" G_GUINT64_FORMAT " MB of %u MB would be committed",
-          committed_with (l, n, o->copy, o->memory_mb), n->memory_mb);
+          committed_with_load_mb (l, n, o->copy, o->memory_mb), n->memory_mb);
     }
   add_order (l, n, o);
   return true;
@@ -375,7 +383,7 @@
 bool
 pu_ledger_release (pu_ledger_t *l, guint64 token)
 {
-  entry_t *n = g_hash_table_lookup (l->tokens, &token);
+  backend_t *n = g_hash_table_lookup (l->tokens, &token);
 
   if (n == NULL)
     return false;
@@ -386,7 +394,7 @@
 
       if (o->token != token)
         continue;
-      if (still_loading (n, o) || (n->fenced && counts (l, n, o)))
+      if (is_loading (n, o) || (n->fenced && is_counted (l, n, o)))
         return false;
       close_order (l, n, i);
       return true;
@@ -398,26 +406,26 @@
 pu_ledger_restore_backend (pu_ledger_t *l, const pu_ledger_report_t *r,
                            bool down)
 {
-  entry_t *n = make_entry (l, r->backend);
+  backend_t *n = get_or_add_backend (l, r->backend);
 
-  take_header (n, r);
+  set_backend_fields (n, r);
   n->token = r->token;
   n->down = down;
-  replace_held (n, r);
+  replace_copies (n, r);
 }
 
 void
 pu_ledger_restore_order (pu_ledger_t *l, const pu_ledger_order_t *o)
 {
   if (!g_hash_table_contains (l->tokens, &o->token))
-    add_order (l, make_entry (l, o->backend), o);
+    add_order (l, get_or_add_backend (l, o->backend), o);
 }
 
 bool
 pu_ledger_backend (const pu_ledger_t *l, guint32 backend,
                    pu_ledger_report_t *r, bool *down)
 {
-  const entry_t *n = find_entry (l, backend);
+  const backend_t *n = find_backend (l, backend);
 
   if (n == NULL)
     return false;
@@ -429,8 +437,8 @@
   r->memory_mb = n->memory_mb;
   r->fenced = n->fenced;
   r->leaving = n->leaving;
-  r->held = (const pu_ledger_held_t *)(void *)n->held->data;
-  r->n_held = n->held->len;
+  r->held = (const pu_ledger_held_t *)(void *)n->copies->data;
+  r->n_held = n->copies->len;
   if (down != NULL)
     *down = n->down;
   return true;
@@ -439,7 +447,7 @@
 guint64
 pu_ledger_committed (const pu_ledger_t *l, guint32 backend)
 {
-  const entry_t *n = find_entry (l, backend);
+  const backend_t *n = find_backend (l, backend);
 
   return n != NULL ? committed_mb (l, n) : 0;
 }
@@ -447,20 +455,20 @@
 guint64
 pu_ledger_free_mb (const pu_ledger_t *l, guint32 backend)
 {
-  const entry_t *n = find_entry (l, backend);
-  guint64 used;
+  const backend_t *n = find_backend (l, backend);
+  guint64 used_mb;
 
   if (n == NULL || n->down || n->leaving)
     return 0;
-  used = committed_mb (l, n);
-  return used < n->memory_mb ? n->memory_mb - used : 0;
+  used_mb = committed_mb (l, n);
+  return used_mb < n->memory_mb ? n->memory_mb - used_mb : 0;
 }
 
 bool
 pu_ledger_fits (const pu_ledger_t *l, guint32 backend, guint32 copy,
                 guint32 memory_mb)
 {
-  const entry_t *n = find_entry (l, backend);
+  const backend_t *n = find_backend (l, backend);
 
   return n != NULL && !n->down && !n->leaving && fits (l, n, copy, memory_mb);
 }
@@ -468,7 +476,7 @@
 const pu_ledger_order_t *
 pu_ledger_order (const pu_ledger_t *l, guint64 token)
 {
-  const entry_t *n = g_hash_table_lookup (l->tokens, &token);
+  const backend_t *n = g_hash_table_lookup (l->tokens, &token);
 
   for (guint i = 0; n != NULL && i < n->orders->len; i++)
     {
@@ -497,10 +505,10 @@
   GHashTableIter i;
   gpointer value;
 
-  g_hash_table_iter_init (&i, l->entries);
+  g_hash_table_iter_init (&i, l->backends);
   while (g_hash_table_iter_next (&i, NULL, &value))
     {
-      const entry_t *n = value;
+      const backend_t *n = value;
 
       if (n->orders->len > 0)
         g_array_append_vals (all, n->orders->data, n->orders->len);
--- a/libplantainusher/placement/ledger.h
+++ b/libplantainusher/placement/ledger.h
@@ -9,49 +9,53 @@
 G_BEGIN_DECLS
 
 /*
- * ledger - the accelerator memory that is, or may come to be, in use.
+ * ledger - accounts for the accelerator memory that is, or may come to be, in
+ * use on each backend server.
  *
- * Every voter runs the ledger while it applies log entries, so it is
- * deterministic: no clock, no random numbers, no I/O.  It never counts less
- * than a backend server can hold, whatever happens to the orders sent to it.
+ * Every voter runs the ledger while it applies log entries, so the ledger is
+ * deterministic: it uses no clock, no random numbers and no I/O.  The memory
+ * counted for a backend server is never less than the server can come to
+ * hold, even if orders to it are lost, delayed or duplicated.
  *
  * A copy takes the same memory on each accelerator of its backend server, so
- * one sum for each backend server, in MB on each accelerator, is enough.
+ * one sum per backend server, in MB on each accelerator, is enough.
  *
  * How the state machine uses it:
- *   BACKEND_UP      pu_ledger_backend_up; on PU_LEDGER_MERGED keep what
- *                   pu_ledger_backend gives, rather than the report, in the
- *                   backend record; drop the order records whose tokens come
- *                   back in CLOSED.
- *   BACKEND_DOWN    pu_ledger_backend_down.  Keep the record, marked as down:
- *                   the process may be alive beyond a partition, and what
- *                   was known of it must outlive a snapshot.
- *   RESERVE         pu_ledger_reserve with the log position as the token;
- *                   its refusal is the answer PU_OUTCOME_CONFLICT.
- *   RELEASE         pu_ledger_release; keep the record when it says false
- *                   (PU_OUTCOME_REFUSED).
+ *   BACKEND_UP      pu_ledger_backend_up; on PU_LEDGER_MERGED the backend
+ *                   record keeps the result of pu_ledger_backend instead of
+ *                   the report; the order records whose tokens are returned
+ *                   in CLOSED are deleted.
+ *   BACKEND_DOWN    pu_ledger_backend_down.  The record is kept and marked as
+ *                   down: the process may be alive on the other side of a
+ *                   partition, and its known state must be in the next
+ *                   snapshot.
+ *   RESERVE         pu_ledger_reserve with the log position as the token; a
+ *                   refusal is answered with PU_OUTCOME_CONFLICT.
+ *   RELEASE         pu_ledger_release; when it returns false the record is
+ *                   kept and the answer is PU_OUTCOME_REFUSED.
  *   image -> state  pu_ledger_restore_backend for each backend record, then
  *                   pu_ledger_restore_order for each order record.
- * Handles are the state machine's own small integers: one for each name of a
- * backend server, one for each pair of model and version.
+ * Handles are small integers assigned by the state machine: one for each name
+ * of a backend server, one for each pair of model and version.
  *
  * When a load order stops counting.  A backend server that checks tokens has
- * fenced an order off when its process reports a LATER token: whatever the
- * order did is in that report, and it is refused from now on.  (Its own token
- * is no proof: a doubled order could come again.)  The order then counts no
- * more, but stays open: a new process would know no tokens, and an order under
- * way could still reach it.  So with a new incarnation it counts again, until
- * that one reports a later token.
- * RELEASE removes an order for good when its life is over: it can reach no
- * process any more.  The leader says so, counted on its monotonic clock from
- * the last moment at which it, or a leader before it, could have sent the
- * order (see orders.h).  It is refused while a backend server that checks
- * tokens has not fenced the order off, since what has reached a process may
- * wait there for any time.  For those that ignore tokens it is the only proof.
- * Either way a load counts while its copy is reported as loading, since it may
- * report less than it will take.
- * Neither an answer, a lost answer, a timeout, a lost lease nor a restart is a
- * proof.
+ * fenced an order off when its process reports a later token: every effect of
+ * the order is in that report, and the server refuses the order from then on.
+ * A report of the order's own token is not enough, because a duplicate of the
+ * order could still arrive.  An order that is fenced off no longer counts but
+ * stays open: a new process knows no tokens, and a copy of the order in
+ * transit could still reach it.  So the order counts again for a new
+ * incarnation, until that incarnation reports a later token.
+ * RELEASE removes an order permanently when its lifetime has ended and it can
+ * reach no process any more.  The leader decides this on its monotonic clock,
+ * counting from the last moment at which it, or a leader before it, could have
+ * sent the order (see orders.h).  A release is refused while a backend server
+ * that checks tokens has not fenced the order off, because an order that has
+ * reached a process may wait there for any time.  For a backend server that
+ * ignores tokens, the end of the lifetime is the only proof.
+ * In both cases a load counts while its copy is reported as loading, because
+ * such a copy may report less memory than it will take.
+ * An answer, a lost answer, a time-out, a lost lease or a restart is no proof.
  * Orders and reports for the same copy are not added up: a backend server
  * holds a copy at most once, so the largest of them counts.
  */
@@ -82,29 +86,29 @@
   pu_ledger_phase_t phase;
 } pu_ledger_held_t;
 
-/* What a backend server says of itself: always the whole list.  */
+/* A report of a backend server; it always lists all copies.  */
 typedef struct
 {
   guint32 backend;
   guint64 incarnation;
-  guint64 seq;   /* of the report within the incarnation; 0: whoever sends
-                    the reports keeps their order */
-  guint64 token; /* highest order token that it has seen */
+  guint64 seq;   /* number of the report within the incarnation; 0: the
+                    sender of the reports keeps them in order */
+  guint64 token; /* highest order token that the process has seen */
   guint32 accelerators;
-  guint32 memory_mb; /* size of each accelerator */
-  bool fenced;       /* refuses an order with an old token */
+  guint32 memory_mb; /* memory of each accelerator */
+  bool fenced;       /* checks tokens: refuses an order with an old one */
   bool leaving;
   const pu_ledger_held_t *held;
   guint n_held;
 } pu_ledger_report_t;
 
-/* An order that takes (load) or gives back (unload) memory.  */
+/* An order that takes memory (load) or frees it (unload).  */
 typedef struct
 {
   guint64 token; /* log position of the reservation; never 0 */
   pu_ledger_kind_t kind;
   guint32 backend;
-  guint64 incarnation; /* that the order was meant for */
+  guint64 incarnation; /* of the backend server the order is for */
   guint32 copy;
   guint32 memory_mb; /* on each accelerator, KV-cache reserve included;
                         not counted for an unload */
@@ -112,19 +116,20 @@
 
 typedef enum
 {
-  PU_LEDGER_ACCEPTED, /* the report replaces what was known */
-  PU_LEDGER_MERGED,   /* the report contradicts a later token: only what it
-                         adds is believed */
-  PU_LEDGER_STALE     /* an old incarnation or an old report; nothing done */
+  PU_LEDGER_ACCEPTED, /* the report replaced the known state */
+  PU_LEDGER_MERGED,   /* the report has a lower token than an earlier one:
+                         only its additions were taken */
+  PU_LEDGER_STALE     /* an old incarnation or an old report; ignored */
 } pu_ledger_verdict_t;
 
-/* Deliberate faults for the tests that show the checks can fail.  */
+/* Faults that tests inject to show that their checks can fail.  */
 typedef enum
 {
   PU_LEDGER_BREAK_NONE = 0,
-  PU_LEDGER_BREAK_NO_CHECK = 1,  /* reserve without looking at the size */
+  PU_LEDGER_BREAK_NO_CHECK = 1,  /* reserve without a check of the memory */
   PU_LEDGER_BREAK_OWN_TOKEN = 2, /* an order's own token fences it off */
-  PU_LEDGER_BREAK_DOWN_FREES = 4 /* a lost backend server closes its orders */
+  PU_LEDGER_BREAK_DOWN_FREES = 4 /* a backend server that is down has its
+                                    orders closed */
 } pu_ledger_break_t;
 
 typedef struct
@@ -136,68 +141,73 @@
 pu_ledger_t *pu_ledger_new (const pu_ledger_options_t *o);
 void pu_ledger_free (pu_ledger_t *l);
 
-/* pu_ledger_backend_up - takes in the report R.  The tokens (guint64) of the
-   unload orders that it fences off, which are open no more, are appended to
-   CLOSED; it may be NULL.  */
+/* pu_ledger_backend_up - applies the report R and closes the unload orders
+   that it fences off.  Their tokens (guint64) are appended to CLOSED, which
+   may be NULL.  */
 pu_ledger_verdict_t pu_ledger_backend_up (pu_ledger_t *l,
                                           const pu_ledger_report_t *r,
                                           GArray *closed);
 
-/* pu_ledger_backend_down - its lease is over.  It takes no reservations until
-   the next report; its memory and its open orders stay counted.  False when
-   another incarnation, or none, is known.  */
+/* pu_ledger_backend_down - the lease of BACKEND has expired.  Reservations for
+   it are refused until its next report; its memory and open orders stay
+   counted.  False when BACKEND is unknown or known by another incarnation.  */
 bool pu_ledger_backend_down (pu_ledger_t *l, guint32 backend,
                              guint64 incarnation);
 
-/* pu_ledger_backend_leaving - it takes no more load orders.  */
+/* pu_ledger_backend_leaving - load orders for BACKEND are refused from now on.
+   False as for pu_ledger_backend_down.  */
 bool pu_ledger_backend_leaving (pu_ledger_t *l, guint32 backend,
                                 guint64 incarnation);
 
-/* pu_ledger_forget - removes a backend server that is down and has no open
-   order; false otherwise.  For names that will not come back.  */
+/* pu_ledger_forget - removes BACKEND, whose name will not be used again. False
+   when it is unknown, not down or has open orders.  */
 bool pu_ledger_forget (pu_ledger_t *l, guint32 backend);
 
-/* pu_ledger_reserve - counts the order O from now on.  A token that is open
-   already is accepted again.  Errors: PU_ERROR_NOT_FOUND (backend server not
-   known or down), PU_ERROR_CONFLICT (another incarnation, leaving, or no
-   memory: the message gives the sum), PU_ERROR_INVALID (token 0).  */
+/* pu_ledger_reserve - opens the order O and counts its memory.  No effect when
+   an order with its token is open.  Errors: PU_ERROR_NOT_FOUND (the backend
+   server is unknown or down), PU_ERROR_CONFLICT (another incarnation, leaving,
+   or not enough memory; the message then gives the sum), PU_ERROR_INVALID
+   (token 0).  */
 bool pu_ledger_reserve (pu_ledger_t *l, const pu_ledger_order_t *o,
                         pu_error_t *e);
 
-/* pu_ledger_release - the life of the order TOKEN is over (the caller's
-   word: see above).  False when no such order is open, or when it must stay
-   open: its copy is loading, or it is not fenced off by a backend server that
-   checks tokens.  Keep its record then; it is released again later.  */
+/* pu_ledger_release - closes the order TOKEN, whose lifetime has ended; the
+   caller guarantees that (see above).  False when no such order is open, or
+   when it must stay open: its copy is loading, or a backend server that checks
+   tokens has not fenced it off.  The caller then keeps the record and releases
+   the order again later.  */
 bool pu_ledger_release (pu_ledger_t *l, guint64 token);
 
 /* pu_ledger_restore_backend, pu_ledger_restore_order - rebuild a ledger from
-   an image, without checks: all that was counted is counted again.  */
+   an image, without checks, so that the same memory is counted again.  */
 void pu_ledger_restore_backend (pu_ledger_t *l, const pu_ledger_report_t *r,
                                 bool down);
 void pu_ledger_restore_order (pu_ledger_t *l, const pu_ledger_order_t *o);
 
-/* pu_ledger_backend - fills R with what is believed of BACKEND; held points
-   into the ledger until its next change.  DOWN may be NULL.  False when it is
-   not known.  */
+/* pu_ledger_backend - sets R to the known state of BACKEND and DOWN, which may
+   be NULL, to whether it is down.  R->held is valid until the next change of
+   the ledger.  False when BACKEND is unknown.  */
 bool pu_ledger_backend (const pu_ledger_t *l, guint32 backend,
                         pu_ledger_report_t *r, bool *down);
 
-/* pu_ledger_committed - MB counted on each accelerator of BACKEND.  */
+/* pu_ledger_committed - MB counted on each accelerator of BACKEND; 0 when it
+   is unknown.  */
 guint64 pu_ledger_committed (const pu_ledger_t *l, guint32 backend);
 
 /* pu_ledger_free_mb - MB that a new copy may take on each accelerator; 0 when
-   the backend server is down, leaving, not known or over its size.  */
+   BACKEND is unknown, down, leaving or overcommitted.  */
 guint64 pu_ledger_free_mb (const pu_ledger_t *l, guint32 backend);
 
-/* pu_ledger_fits - whether a load of COPY with MEMORY_MB would be accepted
-   now; memory counted for the same copy is not needed twice.  */
+/* pu_ledger_fits - whether BACKEND is up, not leaving and has memory for a
+   load of COPY with MEMORY_MB; memory already counted for COPY is not counted
+   twice.  */
 bool pu_ledger_fits (const pu_ledger_t *l, guint32 backend, guint32 copy,
                      guint32 memory_mb);
 
 /* pu_ledger_order - the open order TOKEN, or NULL.  */
 const pu_ledger_order_t *pu_ledger_order (const pu_ledger_t *l, guint64 token);
 
-/* pu_ledger_orders - the open orders by rising token, as a new array of
+/* pu_ledger_orders - the open orders by ascending token, as a new array of
    pu_ledger_order_t that the caller frees with g_array_unref.  */
 GArray *pu_ledger_orders (const pu_ledger_t *l);
 
