--- a/libplantainusher/placement/dispatcher_test.cc
+++ b/libplantainusher/placement/dispatcher_test.cc
@@ -17,31 +17,31 @@
 {
 
 constexpr guint32 kEngine = 0;
-constexpr guint32 kRoom = 100;
+constexpr guint32 kCapacityMb = 100;
 
-/* An engine that counts the orders it accepts, as its protocol says.  */
+/* A simulated engine that counts the orders it accepts.  */
 struct Engine
 {
   guint64 accepted = 0;
   guint64 fence = 0;
   std::map<guint32, guint32> held; /* item: MB */
-  guint32 on_way = 0;
-  guint32 on_way_mb = 0;
+  guint32 pending_item = 0;
+  guint32 pending_mb = 0;
   guint64 done_at = 0;
-  bool loads = false;
-  bool unloads = false;
-  bool overfull = false;
+  bool loading = false;
+  bool unloading = false;
+  bool overcommitted = false;
 
   bool
   Busy () const
   {
-    return loads || unloads;
+    return loading || unloading;
   }
 
   guint32
-  Taken () const
+  UsedMb () const
   {
-    guint32 mb = loads ? on_way_mb : 0;
+    guint32 mb = loading ? pending_mb : 0;
 
     for (auto const &[item, size] : held)
       mb += size;
@@ -49,15 +49,15 @@
   }
 
   void
-  Pass (guint64 now)
+  Advance (guint64 now)
   {
     if (!Busy () || now < done_at)
       return;
-    if (loads)
-      held[on_way] = on_way_mb;
+    if (loading)
+      held[pending_item] = pending_mb;
     else
-      held.erase (on_way);
-    loads = unloads = false;
+      held.erase (pending_item);
+    loading = unloading = false;
   }
 
   pu_dispatcher_answer_t
@@ -72,12 +72,12 @@
     if ((o.op == PU_DISPATCHER_LOAD) == (held.count (o.item) != 0))
       return PU_DISPATCHER_HOLDS;
     accepted++;
-    loads = o.op == PU_DISPATCHER_LOAD;
-    unloads = !loads;
-    on_way = o.item;
-    on_way_mb = mb;
+    loading = o.op == PU_DISPATCHER_LOAD;
+    unloading = !loading;
+    pending_item = o.item;
+    pending_mb = mb;
     done_at = now + 700;
-    overfull = overfull || Taken () > kRoom;
+    overcommitted = overcommitted || UsedMb () > kCapacityMb;
     return PU_DISPATCHER_ACCEPTED;
   }
 };
@@ -90,7 +90,7 @@
 };
 
 Report
-Look (const Engine &e)
+ReportOf (const Engine &e)
 {
   Report r = { e.accepted, e.Busy (), {} };
 
@@ -99,7 +99,7 @@
   return r;
 }
 
-/* One leader's dispatcher, with the messages on their way.  */
+/* The dispatcher of one leader, for the engine kEngine.  */
 class Dispatcher
 {
 public:
@@ -126,7 +126,7 @@
   Add (guint64 now)
   {
     pu_dispatcher_add (d, kEngine, now);
-    pu_dispatcher_set_room (d, kEngine, kRoom);
+    pu_dispatcher_set_room (d, kEngine, kCapacityMb);
   }
 
   bool
@@ -151,7 +151,7 @@
   }
 
   void
-  Tell (const Report &r, guint64 asked, guint64 now)
+  DeliverReport (const Report &r, guint64 asked, guint64 now)
   {
     pu_dispatcher_report_t c
         = { r.accepted, r.busy, r.held.data (), (guint)r.held.size (),
@@ -164,12 +164,12 @@
   guint64 term;
 };
 
-TEST (Dispatcher, SendsAnOrderThatExpectsTheCountOfTheReport)
+TEST (Dispatcher, OrderExpectsTheCountOfTheReport)
 {
   Dispatcher k (1);
 
   k.Add (0);
-  k.Tell ({ 7, false, {} }, 0, 10);
+  k.DeliverReport ({ 7, false, {} }, 0, 10);
   ASSERT_TRUE (k.Want (PU_DISPATCHER_LOAD, 1, 20));
   auto a = k.Step (20);
   ASSERT_EQ (a.size (), 1U);
@@ -177,7 +177,7 @@
   EXPECT_EQ (a[0].expected, 7U);
 }
 
-TEST (Dispatcher, TakesNoOrderBeforeAReport)
+TEST (Dispatcher, RefusesOrdersBeforeTheFirstReport)
 {
   Dispatcher k (1);
 
@@ -185,12 +185,12 @@
   EXPECT_FALSE (k.Want (PU_DISPATCHER_LOAD, 1, 0));
 }
 
-TEST (Dispatcher, SendsAgainWithTheSameCountWhenNoAnswerComes)
+TEST (Dispatcher, ResendsWithTheSameCountAfterALostAnswer)
 {
   Dispatcher k (1);
 
   k.Add (0);
-  k.Tell ({ 7, false, {} }, 0, 10);
+  k.DeliverReport ({ 7, false, {} }, 0, 10);
   k.Want (PU_DISPATCHER_LOAD, 1, 20);
   k.Step (20);
   pu_dispatcher_answer (k.d, kEngine, PU_DISPATCHER_LOST, 320);
@@ -200,9 +200,9 @@
   EXPECT_EQ (a[0].expected, 7U);
 }
 
-/* A dispatcher with N engines that have all reported at 0.  */
+/* A dispatcher with N engines that have all reported at time 0.  */
 pu_dispatcher_t *
-DeskOf (guint32 n)
+DispatcherWithEngines (guint32 n)
 {
   pu_dispatcher_options_t o;
   pu_dispatcher_t *d;
@@ -233,14 +233,14 @@
   return n;
 }
 
-/* One leader asks them all: 3,000 engines each 400 ms were 7,500 reports a
-   second.  */
-TEST (Dispatcher, ManyEnginesAreAskedForReportsLessOften)
+/* One leader polls all engines: 3,000 engines polled every 400 ms would give
+   7,500 reports per second.  */
+TEST (Dispatcher, PollIntervalGrowsWithTheNumberOfEngines)
 {
   for (guint32 n : { 20U, 3000U })
     {
       const guint64 due = n == 20 ? 400 : 6000;
-      pu_dispatcher_t *d = DeskOf (n);
+      pu_dispatcher_t *d = DispatcherWithEngines (n);
 
       EXPECT_EQ (0U, FetchesAt (d, due - 1)) << n;
       EXPECT_EQ (n, FetchesAt (d, due)) << n;
@@ -248,9 +248,9 @@
     }
 }
 
-TEST (Dispatcher, EnginesThatWentDontCount)
+TEST (Dispatcher, RemovedEnginesDoNotLengthenThePollInterval)
 {
-  pu_dispatcher_t *d = DeskOf (3000);
+  pu_dispatcher_t *d = DispatcherWithEngines (3000);
 
   for (guint32 i = 20; i < 3000; i++)
     pu_dispatcher_remove (d, i);
@@ -265,9 +265,9 @@
   pu_dispatcher_free (d);
 }
 
-TEST (Dispatcher, WordFromOneEngineLooksAtNoOther)
+TEST (Dispatcher, StepEngineActsOnThatEngineOnly)
 {
-  pu_dispatcher_t *d = DeskOf (3);
+  pu_dispatcher_t *d = DispatcherWithEngines (3);
   GArray *a = g_array_new (FALSE, FALSE, sizeof (pu_dispatcher_action_t));
 
   pu_dispatcher_step_engine (d, 1, NULL, NULL, 400, a);
@@ -277,29 +277,28 @@
   pu_dispatcher_free (d);
 }
 
-/* The leader before had ordered what nobody told us of, and its load shows
-   itself together with its end.  */
-TEST (Dispatcher, DropsALoadThatNoLongerFits)
+/* The engine is executing a load of the previous leader that this dispatcher
+   does not know; the item first appears in a report when it has loaded.  */
+TEST (Dispatcher, FailsALoadThatNoLongerFits)
 {
   Dispatcher k (2);
 
   k.Add (0);
-  k.Tell ({ 4, true, {} }, 0, 10);
+  k.DeliverReport ({ 4, true, {} }, 0, 10);
   ASSERT_TRUE (k.Want (PU_DISPATCHER_LOAD, 7, 20));
   EXPECT_TRUE (k.Step (20).empty ());
-  k.Tell ({ 4, false, { 6 } }, 600, 610);
+  k.DeliverReport ({ 4, false, { 6 } }, 600, 610);
   auto a = k.Step (610);
   ASSERT_EQ (a.size (), 1U);
   EXPECT_EQ (a[0].what, PU_DISPATCHER_DO_FAILED);
   EXPECT_EQ (pu_dispatcher_phase (k.d, kEngine, 7), PU_DISPATCHER_ABSENT);
 }
 
-/* An engine with two places, and a leader who wants to load the third adapter
-   into one of them.  */
-class Places : public ::testing::Test
+/* An engine with two adapter slots and three adapters to load.  */
+class AdapterSlots : public ::testing::Test
 {
 protected:
-  Places () : k (2)
+  AdapterSlots () : k (2)
   {
     k.Add (0);
     pu_dispatcher_set_places (k.d, kEngine, 2);
@@ -318,23 +317,23 @@
   Dispatcher k;
 };
 
-/* The first sending is refused, since the leader before had given orders that
-   the report, fetched earlier, doesn't show yet.  */
-TEST_F (Places, AnAdapterWhosePlaceAnotherTookFailsAfterARefusal)
+/* The first sending gets a conflict because the previous leader had sent an
+   order after the report was made; that order filled the slot.  */
+TEST_F (AdapterSlots, LoadFailsWhenItsSlotIsTakenAfterAConflict)
 {
-  k.Tell ({ 4, false, { 1 } }, 0, 10);
+  k.DeliverReport ({ 4, false, { 1 } }, 0, 10);
   ASSERT_TRUE (Want (PU_DISPATCHER_LOAD, 3, 20));
   ASSERT_EQ (k.Step (20)[0].what, PU_DISPATCHER_DO_SEND);
   pu_dispatcher_answer (k.d, kEngine, PU_DISPATCHER_CONFLICT, 30);
-  k.Tell ({ 5, false, { 1, 2 } }, 600, 610);
+  k.DeliverReport ({ 5, false, { 1, 2 } }, 600, 610);
   auto a = k.Step (1000);
   ASSERT_EQ (a.size (), 1U);
   EXPECT_EQ (a[0].what, PU_DISPATCHER_DO_FAILED);
 }
 
-TEST_F (Places, AnAdapterWaitsForAPlaceThatIsBeingGivenUp)
+TEST_F (AdapterSlots, LoadWaitsForTheSlotOfAnAcceptedUnload)
 {
-  k.Tell ({ 4, false, { 1, 2 } }, 0, 10);
+  k.DeliverReport ({ 4, false, { 1, 2 } }, 0, 10);
   ASSERT_TRUE (Want (PU_DISPATCHER_UNLOAD, 1, 20));
   ASSERT_TRUE (Want (PU_DISPATCHER_LOAD, 3, 20));
   ASSERT_EQ (k.Step (20)[0].order.op, PU_DISPATCHER_UNLOAD);
@@ -344,18 +343,18 @@
       EXPECT_NE (a.what, PU_DISPATCHER_DO_SEND);
       EXPECT_NE (a.what, PU_DISPATCHER_DO_FAILED);
     }
-  k.Tell ({ 5, false, { 2 } }, 600, 610);
+  k.DeliverReport ({ 5, false, { 2 } }, 600, 610);
   auto a = k.Step (610);
   ASSERT_FALSE (a.empty ());
   EXPECT_EQ (a[0].what, PU_DISPATCHER_DO_SEND);
   EXPECT_EQ (a[0].order.item, 3U);
 }
 
-/* An adapter's unload waits for its runs, and the engine takes a model's order
-   meanwhile: that one doesn't show that the place is free.  */
-TEST_F (Places, AModelsLoadDoesNotFreeThePlaceOfAnAdapterThatLeaves)
+/* While an adapter's unload waits for running requests, the engine may accept
+   an order for a model; that does not mean that the slot is free.  */
+TEST_F (AdapterSlots, ModelLoadDoesNotFreeTheSlotOfAnUnloadingAdapter)
 {
-  k.Tell ({ 4, false, { 1, 2 } }, 0, 10);
+  k.DeliverReport ({ 4, false, { 1, 2 } }, 0, 10);
   ASSERT_TRUE (Want (PU_DISPATCHER_UNLOAD, 1, 20));
   ASSERT_EQ (k.Step (20)[0].order.op, PU_DISPATCHER_UNLOAD);
   pu_dispatcher_answer (k.d, kEngine, PU_DISPATCHER_ACCEPTED, 30);
@@ -372,20 +371,21 @@
   ASSERT_TRUE (Want (PU_DISPATCHER_LOAD, 3, now));
   for (auto const &a : k.Step (now))
     EXPECT_NE (a.what, PU_DISPATCHER_DO_SEND);
-  k.Tell ({ 6, false, { 2, 5 } }, now + 600, now + 610);
+  k.DeliverReport ({ 6, false, { 2, 5 } }, now + 600, now + 610);
   sent = false;
   for (auto const &a : k.Step (now + 610))
     sent = sent || (a.what == PU_DISPATCHER_DO_SEND && a.order.item == 3);
   EXPECT_TRUE (sent);
 }
 
-/* What has no place would hold up all orders behind it.  */
-TEST_F (Places, AnAdapterWithoutAPlaceIsNotWaitedFor)
+/* A load that waited for a slot that nothing frees would block all orders
+   behind it.  */
+TEST_F (AdapterSlots, LoadWithoutASlotDoesNotBlockTheQueue)
 {
-  k.Tell ({ 4, true, { 1 } }, 0, 10);
+  k.DeliverReport ({ 4, true, { 1 } }, 0, 10);
   ASSERT_TRUE (Want (PU_DISPATCHER_LOAD, 3, 20));
   ASSERT_TRUE (Want (PU_DISPATCHER_UNLOAD, 1, 20));
-  k.Tell ({ 4, false, { 1, 2 } }, 600, 610);
+  k.DeliverReport ({ 4, false, { 1, 2 } }, 600, 610);
   auto a = k.Step (610);
   ASSERT_FALSE (a.empty ());
   EXPECT_EQ (a.back ().what, PU_DISPATCHER_DO_FAILED);
@@ -394,27 +394,28 @@
   EXPECT_EQ (a[0].order.op, PU_DISPATCHER_UNLOAD);
 }
 
-/* Another leader loaded what we wanted to load, and it fills the engine.  */
-TEST (Dispatcher, ALoadThatFailsLeavesWhatAReportShowed)
+/* Another leader loaded the item that this dispatcher has queued, and the
+   engine is full with it.  */
+TEST (Dispatcher, FailedLoadKeepsAReportedItem)
 {
   Dispatcher k (2);
 
   k.Add (0);
-  k.Tell ({ 4, true, { 6 } }, 0, 10);
+  k.DeliverReport ({ 4, true, { 6 } }, 0, 10);
   ASSERT_TRUE (k.Want (PU_DISPATCHER_LOAD, 7, 20));
-  k.Tell ({ 5, false, { 6, 7 } }, 600, 610);
+  k.DeliverReport ({ 5, false, { 6, 7 } }, 600, 610);
   k.Step (610);
   EXPECT_EQ (pu_dispatcher_phase (k.d, kEngine, 7), PU_DISPATCHER_READY);
 }
 
-TEST (Dispatcher, SaysWhenAnEngineDoesWhatWeDontKnow)
+TEST (Dispatcher, DetectsAnUnknownOrder)
 {
   Dispatcher k (2);
 
   k.Add (0);
-  k.Tell ({ 4, true, {} }, 0, 10);
+  k.DeliverReport ({ 4, true, {} }, 0, 10);
   EXPECT_TRUE (pu_dispatcher_secret (k.d, kEngine));
-  k.Tell ({ 4, false, { 6 } }, 600, 610);
+  k.DeliverReport ({ 4, false, { 6 } }, 600, 610);
   EXPECT_FALSE (pu_dispatcher_secret (k.d, kEngine));
   k.Want (PU_DISPATCHER_LOAD, 1, 620);
   k.Step (620);
@@ -422,26 +423,26 @@
   EXPECT_FALSE (pu_dispatcher_secret (k.d, kEngine));
 }
 
-TEST (Dispatcher, AReportOfBeforeTheAnswerTakesNothingBack)
+TEST (Dispatcher, OlderReportDoesNotRevertAnAcceptedOrder)
 {
   Dispatcher k (1);
 
   k.Add (0);
-  k.Tell ({ 7, false, {} }, 0, 10);
+  k.DeliverReport ({ 7, false, {} }, 0, 10);
   k.Want (PU_DISPATCHER_LOAD, 1, 1000);
   k.Step (1000);
   pu_dispatcher_answer (k.d, kEngine, PU_DISPATCHER_ACCEPTED, 1010);
-  k.Tell ({ 7, false, {} }, 1005, 1020);
+  k.DeliverReport ({ 7, false, {} }, 1005, 1020);
   EXPECT_EQ (pu_dispatcher_phase (k.d, kEngine, 1), PU_DISPATCHER_LOADING);
   EXPECT_TRUE (pu_dispatcher_busy (k.d, kEngine));
 }
 
-TEST (Dispatcher, ALaterLeaderEndsOurOrders)
+TEST (Dispatcher, LaterLeaderFencesTheDispatcher)
 {
   Dispatcher k (1);
 
   k.Add (0);
-  k.Tell ({ 7, false, {} }, 0, 10);
+  k.DeliverReport ({ 7, false, {} }, 0, 10);
   k.Want (PU_DISPATCHER_LOAD, 1, 20);
   k.Step (20);
   pu_dispatcher_answer (k.d, kEngine, PU_DISPATCHER_FENCED, 30);
@@ -449,40 +450,41 @@
   EXPECT_FALSE (k.Want (PU_DISPATCHER_LOAD, 2, 40));
 }
 
-/* A world of one engine and leaders that follow one another, who may both
-   believe they lead; orders, answers and reports are lost, late, doubled.  */
-struct World
+/* Simulates one engine and a succession of leaders, of which two at a time may
+   believe that they lead.  Orders are lost, delayed or duplicated; answers and
+   reports are lost or delayed.  */
+struct Simulation
 {
   struct Sent
   {
     pu_dispatcher_action_t a;
     guint64 term;
     guint64 at;
-    bool answered;
+    bool wants_answer;
   };
   struct Fetched
   {
     guint64 term;
     guint64 asked;
-    guint64 look_at;
-    bool looked;
+    guint64 snapshot_at;
+    bool snapshot_taken;
     Report r;
     guint64 at;
   };
 
-  explicit World (unsigned seed) : rng (seed) { Lead (); }
+  explicit Simulation (unsigned seed) : rng (seed) { StartLeader (); }
 
   void
-  Lead ()
+  StartLeader ()
   {
-    if (desks.size () == 2)
-      desks.erase (desks.begin ());
-    desks.push_back (std::make_unique<Dispatcher> (++term));
-    desks.back ()->Add (now);
+    if (dispatchers.size () == 2)
+      dispatchers.erase (dispatchers.begin ());
+    dispatchers.push_back (std::make_unique<Dispatcher> (++term));
+    dispatchers.back ()->Add (now);
   }
 
   guint64
-  Delay ()
+  DelayMs ()
   {
     if (!faults)
       return 3;
@@ -490,7 +492,7 @@
   }
 
   bool
-  Lost ()
+  IsLost ()
   {
     return faults && rng () % 7 == 0;
   }
@@ -498,7 +500,7 @@
   Dispatcher *
   Find (guint64 of_term)
   {
-    for (auto const &k : desks)
+    for (auto const &k : dispatchers)
       {
         if (k->term == of_term)
           return k.get ();
@@ -507,22 +509,23 @@
   }
 
   void
-  Act (const Dispatcher &k, const pu_dispatcher_action_t &a)
+  Execute (const Dispatcher &k, const pu_dispatcher_action_t &a)
   {
     pu_fuzz_report::get ().steps++;
     if (a.what == PU_DISPATCHER_DO_SEND)
       {
-        if (!Lost ())
-          sent.push_back ({ a, k.term, now + Delay (), true });
+        if (!IsLost ())
+          sent.push_back ({ a, k.term, now + DelayMs (), true });
         if (faults && rng () % 9 == 0)
-          sent.push_back ({ a, k.term, now + 40 * Delay (), false });
+          sent.push_back ({ a, k.term, now + 40 * DelayMs (), false });
         timeouts.push_back ({ a, k.term, now + 300, true });
       }
     else if (a.what == PU_DISPATCHER_DO_FETCH)
       {
-        guint64 look = now + Delay ();
+        guint64 snapshot_at = now + DelayMs ();
 
-        fetched.push_back ({ k.term, now, look, false, {}, look + Delay () });
+        fetched.push_back (
+            { k.term, now, snapshot_at, false, {}, snapshot_at + DelayMs () });
       }
   }
 
@@ -542,7 +545,7 @@
         auto answer = engine.Order (s.a.order, s.a.expected, s.term,
                                     Dispatcher::Size (s.a.order.item), now);
         Dispatcher *k = Find (s.term);
-        if (k == nullptr || !s.answered || Lost ())
+        if (k == nullptr || !s.wants_answer || IsLost ())
           continue;
         timeouts.clear ();
         pu_dispatcher_answer (k->d, kEngine, answer, now);
@@ -565,10 +568,10 @@
       {
         Fetched &f = fetched[i];
 
-        if (!f.looked && now >= f.look_at)
+        if (!f.snapshot_taken && now >= f.snapshot_at)
           {
-            f.r = Look (engine);
-            f.looked = true;
+            f.r = ReportOf (engine);
+            f.snapshot_taken = true;
           }
         if (now < f.at)
           {
@@ -576,38 +579,38 @@
             continue;
           }
         Dispatcher *k = Find (f.term);
-        if (k != nullptr && Lost ())
+        if (k != nullptr && IsLost ())
           pu_dispatcher_report (k->d, kEngine, nullptr, f.asked, now);
         else if (k != nullptr)
-          k->Tell (f.r, f.asked, now);
+          k->DeliverReport (f.r, f.asked, now);
         fetched.erase (fetched.begin () + (long)i);
       }
   }
 
   void
-  Pass (guint64 ms)
+  RunFor (guint64 ms)
   {
     for (guint64 end = now + ms; now < end; now += 3)
       {
-        engine.Pass (now);
+        engine.Advance (now);
         Deliver ();
-        for (auto const &k : desks)
+        for (auto const &k : dispatchers)
           {
             for (auto const &a : k->Step (now))
-              Act (*k, a);
+              Execute (*k, a);
           }
       }
   }
 
   void
-  Op (unsigned op)
+  ApplyOp (unsigned op)
   {
-    Dispatcher &k = *desks[op % desks.size ()];
+    Dispatcher &k = *dispatchers[op % dispatchers.size ()];
 
     switch (op / 2 % 8)
       {
       case 0:
-        Lead ();
+        StartLeader ();
         pu_fuzz_report::get ().faults++;
         break;
       case 1:
@@ -620,38 +623,40 @@
         k.Want (PU_DISPATCHER_LOAD, op / 16 % 8, now);
         break;
       default:
-        Pass (op / 16 % 900);
+        RunFor (op / 16 % 900);
         break;
       }
   }
 
-  /* Without faults, the last leader's dispatcher comes to show what is so.  */
+  /* Without faults, the dispatcher of the last leader converges to the state
+     of the engine.  The result is empty or says what went wrong.  */
   std::string
-  Calm ()
+  Settle ()
   {
     faults = false;
-    /* Doubles that are still on their way come to nothing.  */
-    sent.erase (std::remove_if (sent.begin (), sent.end (),
-                                [] (const Sent &s) { return !s.answered; }),
-                sent.end ());
-    Pass (8000);
+    /* Drops the duplicates in transit.  */
+    sent.erase (
+        std::remove_if (sent.begin (), sent.end (),
+                        [] (const Sent &s) { return !s.wants_answer; }),
+        sent.end ());
+    RunFor (8000);
     guint n;
     const pu_dispatcher_item_t *items
-        = pu_dispatcher_items (desks.back ()->d, kEngine, &n);
+        = pu_dispatcher_items (dispatchers.back ()->d, kEngine, &n);
     std::set<guint32> shown;
     std::set<guint32> held;
 
     for (guint i = 0; i < n; i++)
       {
         if (items[i].phase != PU_DISPATCHER_READY)
-          return "an order never ends";
+          return "an order does not complete";
         shown.insert (items[i].item);
       }
     for (auto const &[item, mb] : engine.held)
       held.insert (item);
-    if (!pu_dispatcher_known (desks.back ()->d, kEngine))
-      return "the last leader is fenced";
-    return shown == held ? "" : "shows what is not so";
+    if (!pu_dispatcher_known (dispatchers.back ()->d, kEngine))
+      return "the engine is fenced against the last leader";
+    return shown == held ? "" : "the dispatcher differs from the engine";
   }
 
   std::mt19937 rng;
@@ -659,38 +664,38 @@
   guint64 now = 1000;
   guint64 term = 0;
   Engine engine;
-  std::vector<std::unique_ptr<Dispatcher> > desks;
+  std::vector<std::unique_ptr<Dispatcher> > dispatchers;
   std::vector<Sent> sent;
   std::vector<Sent> timeouts;
   std::vector<Fetched> fetched;
 };
 
 std::string
-FaultOf (unsigned seed, const std::vector<unsigned> &ops)
+FindFault (unsigned seed, const std::vector<unsigned> &ops)
 {
-  World w (seed);
+  Simulation w (seed);
 
   for (unsigned op : ops)
     {
-      w.Op (op);
-      if (w.engine.overfull)
+      w.ApplyOp (op);
+      if (w.engine.overcommitted)
         return "an engine holds more than its memory";
     }
-  return w.Calm ();
+  return w.Settle ();
 }
 
-RC_GTEST_PROP (DeskFuzz, NeverHoldsTooMuchAndComesToKnow, ())
+RC_GTEST_PROP (DispatcherFuzz, NeverExceedsMemoryAndConverges, ())
 {
   auto seed = *rc::gen::resize (100, rc::gen::arbitrary<unsigned> ());
   auto ops
       = *rc::gen::resize (100, rc::gen::container<std::vector<unsigned> > (
                                    80, rc::gen::arbitrary<unsigned> ()));
 
-  RC_ASSERT (FaultOf (seed, ops) == "");
+  RC_ASSERT (FindFault (seed, ops) == "");
 }
 
 std::vector<unsigned>
-OpsOf (unsigned seed, int n)
+RandomOps (unsigned seed, int n)
 {
   std::mt19937 rng (seed);
   std::vector<unsigned> ops;
@@ -700,24 +705,25 @@
   return ops;
 }
 
-/* Seeds that showed a fault.  */
-TEST (DeskFuzz, HoldsWhereAFailedLoadHidAReportedOne)
+/* Seeds at which a failed load removed an item that a report had shown.  */
+TEST (DispatcherFuzz, FailedLoadKeepsAReportedItem)
 {
-  EXPECT_EQ (FaultOf (77963, OpsOf (77963, 33)), "");
-  EXPECT_EQ (FaultOf (76237, OpsOf (76237, 47)), "");
+  EXPECT_EQ (FindFault (77963, RandomOps (77963, 33)), "");
+  EXPECT_EQ (FindFault (76237, RandomOps (76237, 47)), "");
 }
 
-/* An order of another leader's was taken for the unload that had no answer. */
-TEST (DeskFuzz, HoldsWhereAnothersLoadLookedLikeOurUnload)
+/* Seeds at which another leader's load was taken for the dispatcher's own
+   unload, whose answer was lost.  */
+TEST (DispatcherFuzz, AnotherLeadersLoadIsNotTakenForAnUnload)
 {
-  EXPECT_EQ (FaultOf (32472, OpsOf (32472, 22)), "");
-  EXPECT_EQ (FaultOf (4098, OpsOf (4098, 28)), "");
+  EXPECT_EQ (FindFault (32472, RandomOps (32472, 22)), "");
+  EXPECT_EQ (FindFault (4098, RandomOps (4098, 28)), "");
 }
 
-TEST (DeskFuzz, HoldsOverARowOfSeeds)
+TEST (DispatcherFuzz, HoldsForSeeds1To60)
 {
   for (unsigned seed = 1; seed <= 60; seed++)
-    ASSERT_EQ (FaultOf (seed, OpsOf (seed, 100)), "") << "seed " << seed;
+    ASSERT_EQ (FindFault (seed, RandomOps (seed, 100)), "") << "seed " << seed;
 }
 
 }
--- a/libplantainusher/placement/ledger_test.cc
+++ b/libplantainusher/placement/ledger_test.cc
@@ -10,7 +10,7 @@
 namespace
 {
 
-/* One backend server of 100 MB with handle 1.  */
+/* A ledger with one backend server, of handle 1, with 100 MB.  */
 struct Ledger : ::testing::Test
 {
   pu_ledger_t *l = pu_ledger_new (nullptr);
@@ -45,13 +45,13 @@
   }
 
   guint64
-  Used ()
+  CommittedMb ()
   {
     return pu_ledger_committed (l, 1);
   }
 };
 
-TEST_F (Ledger, RefusesWhatDoesNotFitAndGivesTheSum)
+TEST_F (Ledger, RefusesALoadThatDoesNotFitAndGivesTheSum)
 {
   Report (1, 0, { { 7, 60, PU_LEDGER_READY } });
   EXPECT_FALSE (Load (2, 8, 41));
@@ -59,7 +59,7 @@
   EXPECT_STREQ ("no memory: 101 MB of 100 MB would be committed", e.message);
   EXPECT_TRUE (Load (3, 8, 40));
   EXPECT_TRUE (Load (3, 8, 40)) << "the same token again";
-  EXPECT_EQ (100u, Used ());
+  EXPECT_EQ (100u, CommittedMb ());
 }
 
 TEST_F (Ledger, RefusesAnUnknownDownRestartedOrLeavingBackend)
@@ -76,12 +76,12 @@
   EXPECT_EQ (PU_ERROR_NOT_FOUND, e.kind);
 }
 
-TEST_F (Ledger, CountsACopyOnceHoweverOftenItIsOrdered)
+TEST_F (Ledger, CountsACopyOnceWhenOrderedSeveralTimes)
 {
   Report (1, 0, { { 7, 60, PU_LEDGER_LOADING } });
   EXPECT_TRUE (Load (2, 7, 70));
   EXPECT_TRUE (Load (3, 7, 65));
-  EXPECT_EQ (70u, Used ());
+  EXPECT_EQ (70u, CommittedMb ());
 }
 
 TEST_F (Ledger, OnlyALaterTokenFencesAnOrderOff)
@@ -89,77 +89,79 @@
   Report (1, 0, {});
   Load (5, 7, 60);
   Report (2, 5, {});
-  EXPECT_EQ (60u, Used ()) << "a doubled order could still come";
-  EXPECT_FALSE (pu_ledger_release (l, 5)) << "whatever its life";
+  EXPECT_EQ (60u, CommittedMb ())
+      << "a duplicate of the order could still arrive";
+  EXPECT_FALSE (pu_ledger_release (l, 5)) << "even at the end of its lifetime";
   Load (6, 8, 10);
   Report (3, 6, { { 8, 10, PU_LEDGER_READY } });
-  EXPECT_EQ (10u, Used ());
+  EXPECT_EQ (10u, CommittedMb ());
   EXPECT_TRUE (pu_ledger_release (l, 5));
   EXPECT_EQ (nullptr, pu_ledger_order (l, 5));
   EXPECT_NE (nullptr, pu_ledger_order (l, 6));
 }
 
-TEST_F (Ledger, ANewProcessKnowsNoTokens)
+TEST_F (Ledger, OrderCountsAgainForANewProcess)
 {
   Report (1, 0, {});
   Load (5, 7, 60);
   Report (2, 6, {});
-  EXPECT_EQ (0u, Used ());
+  EXPECT_EQ (0u, CommittedMb ());
   Report (1, 0, {}, true, 2);
-  EXPECT_EQ (60u, Used ()) << "the order may reach the new process";
+  EXPECT_EQ (60u, CommittedMb ()) << "the order may reach the new process";
   EXPECT_FALSE (pu_ledger_release (l, 5));
   Report (2, 7, {}, true, 2);
-  EXPECT_EQ (0u, Used ());
+  EXPECT_EQ (0u, CommittedMb ());
   EXPECT_TRUE (pu_ledger_release (l, 5));
 }
 
-TEST_F (Ledger, NoReportClosesAnOrderOfAnUnfencedBackend)
+TEST_F (Ledger, NoReportClosesAnOrderToABackendThatIgnoresTokens)
 {
   Report (1, 0, {}, false);
   Load (5, 7, 60);
   Load (6, 8, 10);
   Report (2, 9, {}, false);
-  EXPECT_EQ (70u, Used ());
+  EXPECT_EQ (70u, CommittedMb ());
   EXPECT_TRUE (pu_ledger_release (l, 5));
   EXPECT_FALSE (pu_ledger_release (l, 5));
-  EXPECT_EQ (10u, Used ());
+  EXPECT_EQ (10u, CommittedMb ());
 }
 
-TEST_F (Ledger, OrdersOutliveALostLeaseAndARestart)
+TEST_F (Ledger, OrdersStayOpenAfterALostLeaseAndARestart)
 {
   Report (1, 0, { { 9, 20, PU_LEDGER_READY } });
   Load (5, 7, 60);
   pu_ledger_backend_down (l, 1, 1);
-  EXPECT_EQ (80u, Used ());
+  EXPECT_EQ (80u, CommittedMb ());
   EXPECT_FALSE (pu_ledger_forget (l, 1));
   Report (1, 0, {}, true, 2);
-  EXPECT_EQ (60u, Used ()) << "what was loaded is gone, the order is not";
+  EXPECT_EQ (60u, CommittedMb ())
+      << "the loaded copy is gone, the open order is not";
   EXPECT_EQ (PU_LEDGER_STALE, Report (9, 9, {}, true, 1));
 }
 
-TEST_F (Ledger, BelievesUpwardsAtOnceAndDownwardsOnlyInOrder)
+TEST_F (Ledger, IgnoresStaleReportsAndMergesLowerTokens)
 {
   Report (1, 4, { { 7, 60, PU_LEDGER_READY } });
   EXPECT_EQ (PU_LEDGER_STALE, Report (1, 4, {}));
   EXPECT_EQ (PU_LEDGER_MERGED, Report (2, 3, { { 8, 30, PU_LEDGER_READY } }));
-  EXPECT_EQ (90u, Used ());
+  EXPECT_EQ (90u, CommittedMb ());
   EXPECT_EQ (PU_LEDGER_ACCEPTED,
              Report (3, 4, { { 8, 50, PU_LEDGER_READY } }));
-  EXPECT_EQ (50u, Used ());
+  EXPECT_EQ (50u, CommittedMb ());
 }
 
-TEST_F (Ledger, ALoadCountsInFullUntilItsCopyIsReady)
+TEST_F (Ledger, LoadCountsInFullUntilItsCopyIsReady)
 {
   Report (1, 0, {});
   Load (5, 7, 60);
   Report (2, 6, { { 7, 10, PU_LEDGER_LOADING } });
   EXPECT_FALSE (pu_ledger_release (l, 5));
-  EXPECT_EQ (60u, Used ());
+  EXPECT_EQ (60u, CommittedMb ());
   Report (3, 6, { { 7, 55, PU_LEDGER_READY } });
-  EXPECT_EQ (55u, Used ());
+  EXPECT_EQ (55u, CommittedMb ());
 }
 
-TEST_F (Ledger, AnImageRestoresTheSameSums)
+TEST_F (Ledger, ImageRestoresTheSameSums)
 {
   pu_ledger_t *m = pu_ledger_new (nullptr);
   pu_ledger_report_t r;
@@ -174,7 +176,7 @@
     pu_ledger_restore_order (m, &g_array_index (orders, pu_ledger_order_t, i));
   pu_ledger_restore_backend (m, &r, down);
   EXPECT_EQ (90u, pu_ledger_committed (m, 1));
-  EXPECT_EQ (0u, pu_ledger_free_mb (m, 1)) << "it is down";
+  EXPECT_EQ (0u, pu_ledger_free_mb (m, 1)) << "the backend server is down";
   g_array_unref (orders);
   pu_ledger_free (m);
 }
