--- a/libplantainusher/placement/planner.c
+++ b/libplantainusher/placement/planner.c
@@ -1,9 +1,10 @@
 #include "placement/planner_round.h"
 
 #define MS_PER_S 1000
-#define PROMISE_MS 60000
-#define NO_ROOM_WAIT_MS 2000
-#define FULL_ROUNDS 100
+#define DEFERRED_LOAD_TIMEOUT_MS 60000
+#define NO_ROOM_BACKOFF_MS 2000
+/* Limit on the rounds of a plan up to a stable placement.  */
+#define STABLE_ROUNDS_MAX 100
 
 static void
 emit (pu_round_t *r, pu_move_kind_t kind, guint32 engine,
@@ -38,9 +39,9 @@
   pu_planner_spread_item (r->p, c->c.item);
 }
 
-/* Puts the copy C on ENGINE's list.  */
+/* Adds C to ENGINE's copies and redistributes the demand of its item.  */
 static void
-place (pu_round_t *r, guint32 engine, const pu_planned_copy_t *c)
+add_copy (pu_round_t *r, guint32 engine, const pu_planned_copy_t *c)
 {
   pu_planned_engine_t *e = pu_planned_engine (r->p, engine);
   pu_planned_item_t *t = pu_planned_item (r->p, c->c.item);
@@ -49,7 +50,7 @@
   g_array_append_val (e->copies, *c);
   g_array_append_val (t->places, at);
   t->coming++;
-  pu_planner_hold (r->p, engine, c->c.item);
+  pu_planner_reserve_for_adapters (r->p, engine, c->c.item);
   pu_planner_spread_item (r->p, c->c.item);
 }
 
@@ -60,12 +61,13 @@
 
   emit (r, PU_MOVE_LOAD, engine, c, c->reason, c->for_item);
   e->committed_mb += c->c.memory_mb;
-  e->loading += pu_planned_item (r->p, c->c.item)->i.base == PU_PLAN_NONE;
+  e->models_loading
+      += pu_planned_item (r->p, c->c.item)->i.base == PU_PLAN_NONE;
   r->loads++;
-  if (pu_planned_quick (e, c->c.item))
+  if (pu_planned_is_cached (e, c->c.item))
     return;
   r->p->coming++;
-  r->p->store -= MIN (r->p->store, 1);
+  r->p->load_slots -= MIN (r->p->load_slots, 1);
 }
 
 void
@@ -88,10 +90,10 @@
   t->no_room = false;
   t->opens_until = 0;
   if (r->v.slots->len == 0
-      && (pu_round_store_takes_urgent (r) || pu_planned_quick (e, item)))
+      && (pu_round_store_takes_urgent (r) || pu_planned_is_cached (e, item)))
     {
       pu_round_emit_load (r, engine, &c);
-      place (r, engine, &c);
+      add_copy (r, engine, &c);
       return;
     }
   for (guint i = 0; i < r->v.slots->len; i++)
@@ -102,15 +104,16 @@
   c.promised = true;
   e->promised = true;
   e->promise = c;
-  e->promise_until = r->now + PROMISE_MS;
+  e->promise_until = r->now + DEFERRED_LOAD_TIMEOUT_MS;
   r->p->promised++;
-  place (r, engine, &c);
+  add_copy (r, engine, &c);
 }
 
 bool
 pu_round_store_takes_urgent (const pu_round_t *r)
 {
-  return r->full || (r->p->coming < r->p->o.max_coming && r->p->store > 0);
+  return r->full
+         || (r->p->coming < r->p->o.max_coming && r->p->load_slots > 0);
 }
 
 bool
@@ -118,7 +121,7 @@
 {
   return r->full
          || (r->p->coming + r->p->promised < r->p->o.max_coming
-             && r->p->promised < r->p->store);
+             && r->p->promised < r->p->load_slots);
 }
 
 bool
@@ -127,8 +130,6 @@
   return t->declared && r->now >= t->not_before;
 }
 
-/* Whether any engine holds the base of an adapter, so that a try makes
-   sense.  */
 bool
 pu_round_base_is_ready (const pu_round_t *r, const pu_planned_item_t *t)
 {
@@ -137,7 +138,7 @@
 }
 
 bool
-pu_round_try_load (pu_round_t *r, guint32 item, pu_room_t room,
+pu_round_try_load (pu_round_t *r, guint32 item, pu_eviction_t room,
                    pu_plan_reason_t reason)
 {
   pu_planned_item_t *t = pu_planned_item (r->p, item);
@@ -156,7 +157,7 @@
   if (engine == PU_PLAN_NONE)
     {
       t->no_room = true;
-      t->not_before = r->now + NO_ROOM_WAIT_MS;
+      t->not_before = r->now + NO_ROOM_BACKOFF_MS;
       return false;
     }
   pu_round_load (r, engine, item, reason, 0, 0);
@@ -202,10 +203,10 @@
   return n;
 }
 
-/* Loads copies elsewhere of the adapters that keep the base in PLACE from
-   being unloaded.  */
+/* Loads copies on other engines of the adapters whose last copies prevent the
+   base at PLACE from being unloaded.  */
 static void
-free_adapters (pu_round_t *r, pu_place_t place)
+load_adapters_elsewhere (pu_round_t *r, pu_place_t place)
 {
   const pu_planned_engine_t *e = pu_planned_engine (r->p, place.engine);
   guint32 base = pu_planned_copy (e, place.slot)->c.item;
@@ -223,7 +224,8 @@
     }
 }
 
-/* Unloads the copy in PLACE with the adapters beside it, when they may.  */
+/* Unloads the copy at PLACE with its adapters there.  Returns false, and
+   unloads nothing, when one of them must not be unloaded.  */
 static bool
 unload_bundle (pu_round_t *r, pu_place_t place, pu_plan_reason_t reason)
 {
@@ -241,21 +243,22 @@
 }
 
 static void
-unload_old (pu_round_t *r, const pu_planned_item_t *t, const pu_versions_t *n,
-            pu_plan_reason_t reason)
+unload_old_version (pu_round_t *r, const pu_planned_item_t *t,
+                    const pu_versions_t *n, pu_plan_reason_t reason)
 {
   guint least = MAX (1, t->i.min_copies);
   guint64 watch = (guint64)(r->p->o.watch_s * MS_PER_S);
-  bool watched = t->rolled_back || r->full
-                 || (t->first_ready != 0 && r->now >= t->first_ready + watch);
+  bool observed
+      = t->rolled_back || r->full
+        || (t->new_ready_since != 0 && r->now >= t->new_ready_since + watch);
   guint keep = t->no_room ? least : MAX (least, t->copies_before);
 
-  if (n->new_ready == 0 || n->old_ready == 0 || !watched)
+  if (n->new_ready == 0 || n->old_ready == 0 || !observed)
     return;
   if (n->new_ready + n->old_ready <= MIN (keep, t->i.max_copies))
     return;
   if (!unload_bundle (r, n->old_place, reason))
-    free_adapters (r, n->old_place);
+    load_adapters_elsewhere (r, n->old_place);
 }
 
 static void
@@ -269,23 +272,23 @@
 
   if (n.old_any == 0)
     {
-      t->first_ready = 0;
+      t->new_ready_since = 0;
       t->copies_before = 0;
       return;
     }
   if (t->copies_before == 0)
     t->copies_before = MAX (1, n.old_ready + n.new_ready);
-  if (n.new_ready > 0 && t->first_ready == 0)
-    t->first_ready = r->now;
+  if (n.new_ready > 0 && t->new_ready_since == 0)
+    t->new_ready_since = r->now;
   target = MIN (t->copies_before, t->i.max_copies);
   if (n.new_any < target && t->coming == 0 && pu_round_may_try (r, t)
       && pu_round_base_is_ready (r, t) && pu_round_store_takes (r))
     {
-      pu_room_t room = n.new_any == 0 ? PU_ROOM_MINIMUM : PU_ROOM_SPARE;
+      pu_eviction_t room = n.new_any == 0 ? PU_ROOM_MINIMUM : PU_ROOM_SPARE;
 
       pu_round_try_load (r, item, room, reason);
     }
-  unload_old (r, t, &n, reason);
+  unload_old_version (r, t, &n, reason);
 }
 
 /* Phase 3.  */
@@ -301,9 +304,9 @@
     }
 }
 
-/* Phase 4: copies that are not declared, or too many.  */
+/* Phase 4: copies of undeclared items, and copies above the maximum.  */
 static void
-unload_undeclared (pu_round_t *r)
+unload_unneeded (pu_round_t *r)
 {
   for (guint32 i = 0; i < r->p->items->len; i++)
     {
@@ -335,14 +338,14 @@
 }
 
 static void
-advance (pu_planner_t *p, guint64 now)
+advance_forecasts (pu_planner_t *p, guint64 now)
 {
-  guint64 ms = now - p->last_advance;
+  guint64 ms = now - p->last_forecast_ms;
   pu_forecast_period_t period;
 
-  if (p->last_advance != 0 && ms < p->o.advance_ms)
+  if (p->last_forecast_ms != 0 && ms < p->o.advance_ms)
     return;
-  if (p->last_advance == 0)
+  if (p->last_forecast_ms == 0)
     ms = p->o.advance_ms;
   period = pu_forecast_period (&p->o.forecast, ms / (double)MS_PER_S);
   for (guint i = 0; i < p->items->len; i++)
@@ -350,7 +353,7 @@
       pu_forecast_advance (&pu_planned_item (p, i)->forecast, &p->o.forecast,
                            &period);
     }
-  p->last_advance = now;
+  p->last_forecast_ms = now;
 }
 
 static void
@@ -358,8 +361,8 @@
 {
   bool idle_first;
 
-  pu_planner_index (r->p, r->now);
-  pu_planner_spread (r->p);
+  pu_planner_rebuild_index (r->p, r->now);
+  pu_planner_spread_demand (r->p);
   r->v.slots = g_array_new (FALSE, FALSE, sizeof (guint));
   pu_round_keep_promises (r, false);
   pu_round_repair_asked (r);
@@ -367,7 +370,7 @@
   if (idle_first)
     pu_round_repair_idle (r);
   change_versions (r);
-  unload_undeclared (r);
+  unload_unneeded (r);
   if (r->full || !r->lacking)
     pu_round_follow_demand (r);
   if (!idle_first)
@@ -386,13 +389,13 @@
   r.for_item = PU_PLAN_NONE;
   r.now = now;
   r.moves = moves;
-  advance (p, now);
+  advance_forecasts (p, now);
   run_round (&r);
 }
 
-/* Ends all that is under way: loads are ready, unloads gone.  */
+/* Completes all ordered moves: loads become ready, unloaded copies go.  */
 static void
-settle (pu_planner_t *p)
+complete_moves (pu_planner_t *p)
 {
   for (guint i = 0; i < p->engines->len; i++)
     {
@@ -422,8 +425,9 @@
     }
 }
 
+/* Appends moves to MOVES until a round adds none.  */
 static void
-run_full (pu_planner_t *p, guint64 now, GArray *moves)
+run_until_stable (pu_planner_t *p, guint64 now, GArray *moves)
 {
   pu_round_t r = { 0 };
 
@@ -432,12 +436,12 @@
   r.now = now;
   r.moves = moves;
   r.full = true;
-  for (guint i = 0; i < FULL_ROUNDS; i++)
+  for (guint i = 0; i < STABLE_ROUNDS_MAX; i++)
     {
       guint before = moves->len;
 
       run_round (&r);
-      settle (p);
+      complete_moves (p);
       if (moves->len == before)
         return;
     }
@@ -448,7 +452,7 @@
 {
   pu_planner_t *q = pu_planner_clone (p);
 
-  run_full (q, now, moves);
+  run_until_stable (q, now, moves);
   pu_planner_free (q);
 }
 
@@ -462,6 +466,6 @@
     pu_planner_set_item (q, i, items[i]);
   for (guint32 i = n; i < q->items->len; i++)
     pu_planner_set_item (q, i, NULL);
-  run_full (q, now, moves);
+  run_until_stable (q, now, moves);
   pu_planner_free (q);
 }
--- a/libplantainusher/placement/planner.h
+++ b/libplantainusher/placement/planner.h
@@ -9,23 +9,28 @@
 G_BEGIN_DECLS
 
 /*
- * planner - decides which copies of which models the engines should hold.
+ * planner - decides which engines hold copies of which models.
  *
- * Pure: engines, models, demand and time come in, moves come out, each with
- * its reason.  An `item` is a model or an adapter.  Handles of engines, items
- * and versions are small integers of the caller; tables grow to the highest.
+ * The planner does no I/O: the caller passes in engines, models, demand and
+ * the time, and receives moves, each with its reason.  An item is a model or
+ * an adapter.  The caller chooses the handles of engines, items and versions;
+ * they should be small integers, as the tables grow to the highest one.
  *
- * One step looks at these, in this order, and stops at the store's limit on
- * loads under way:
- *   1. items without any ready copy,
+ * A step handles the following in order, within the weights store's limit on
+ * loads in flight:
+ *   1. items without a ready copy,
  *   2. items below their minimum of copies,
- *   3. version changes: load beside, watch, unload the old one,
- *   4. copies of items that are no longer declared,
+ *   3. version changes: load the new version, observe it, unload the old one,
+ *   4. copies of undeclared items, and copies above an item's maximum,
  *   5. demand: one more copy where the forecast gain exceeds the price,
- *   6. spare memory: second copies in other zones, and with their adapters.
- * A copy is unloaded only while another copy of its item is ready; in case 5
- * only after its minimum stay.  A load that needs memory of others is a
- * promise: their unloads come out first, the load when the memory is free.
+ *   6. spare memory: second copies in other zones, with their adapters.
+ * A ready copy of a declared item is unloaded only while another copy of the
+ * item is ready; in case 5 the price is higher before its minimum stay is
+ * over.  A load that needs memory held by other copies is deferred: their
+ * unloads are issued first, and the load once the memory is free.
+ *
+ * A late stream is one that is served late or rejected, weighted by the
+ * importance of its item.  Gain and price are in late stream-seconds.
  */
 
 #define PU_PLAN_NONE G_MAXUINT32
@@ -34,10 +39,11 @@
 
 typedef enum
 {
-  PU_PLAN_ORDERED, /* a load is on its way, nothing is seen of it yet */
+  PU_PLAN_ORDERED, /* load ordered, not yet reported by the engine */
   PU_PLAN_LOADING,
   PU_PLAN_READY,
-  PU_PLAN_LEAVING /* draining, unloading, or an unload order may arrive */
+  PU_PLAN_LEAVING /* draining, unloading, or subject to an unload order that
+                     may still arrive */
 } pu_plan_phase_t;
 
 typedef struct
@@ -53,11 +59,11 @@
   guint32 zone;
   guint32 accelerators;
   guint32 memory_mb;    /* size of each accelerator */
-  guint32 committed_mb; /* what the ledger counts, and loads asked for that
+  guint32 committed_mb; /* counted by the ledger, plus requested loads that
                            are not reserved yet */
-  double streams;       /* requests that it runs at once at full speed */
-  bool usable;          /* up, not leaving */
-  bool closed;          /* takes no loads for now */
+  double streams;       /* concurrent requests that run at full speed */
+  bool usable;          /* up and not leaving */
+  bool closed;          /* accepts no loads at present */
   const pu_plan_copy_t *copies;
   guint n_copies;
 } pu_plan_engine_t;
@@ -67,9 +73,9 @@
   const char *name;
   guint32 base; /* the item of an adapter's base model, or PU_PLAN_NONE */
   guint32 version;
-  guint32 previous_version; /* to fall back to; PU_PLAN_NONE when unknown */
+  guint32 previous_version; /* roll-back target; PU_PLAN_NONE when unknown */
   guint32 memory_mb;        /* weights and KV-cache reserve */
-  guint32 accelerators;     /* an engine needs at least as many */
+  guint32 accelerators;     /* minimum that an engine must have */
   guint32 min_copies;
   guint32 max_copies;
   guint32 importance; /* 1..10 */
@@ -84,9 +90,11 @@
   PU_REASON_UNDECLARED,
   PU_REASON_MAXIMUM, /* more copies than declared */
   PU_REASON_DEMAND,  /* the forecast gain exceeds the price */
-  PU_REASON_SPARE,   /* free memory, one more copy for a burst or a loss */
-  PU_REASON_ROOM,    /* unloaded to make room for another item */
-  PU_REASON_FOUND    /* it was there when this planner began */
+  PU_REASON_SPARE,   /* extra copy in free memory, for a burst or the loss of
+                        another copy */
+  PU_REASON_ROOM,    /* unloaded, or loaded elsewhere, to free memory for
+                        another item */
+  PU_REASON_FOUND    /* present when the planner started */
 } pu_plan_reason_t;
 
 typedef enum
@@ -103,12 +111,12 @@
   guint32 version;
   guint32 memory_mb;
   pu_plan_reason_t reason;
-  guint32 for_item; /* PU_REASON_ROOM: what the room is for */
+  guint32 for_item; /* PU_REASON_ROOM: the item that needs the memory */
   double gain;      /* late stream-seconds saved over the pay-back time */
-  double price;     /* in the same unit */
+  double price;     /* late stream-seconds */
 } pu_move_t;
 
-/* Deliberate faults for the tests that show the checks can fail.  */
+/* Faults that tests inject to show that the checks detect them.  */
 typedef enum
 {
   PU_PLANNER_BREAK_NONE = 0,
@@ -118,17 +126,21 @@
 typedef struct
 {
   double moves_weight; /* 0: attainment only, 1: fewest moves */
-  double payback_s;    /* a move must pay within this time */
-  double move_price;   /* late stream-seconds that a move is worth, at 0 */
-  double min_stay_s;
-  double watch_s;     /* version change: ready until the old one goes */
-  guint max_failures; /* of loading a new version, until the roll-back */
-  guint advance_ms;   /* the forecast takes the demand in so often */
-  guint max_coming;   /* loads under way at once: the store's full speed */
-  double hot;         /* engines above this use are looked at */
-  bool zone_spread;
-  bool one_load; /* an engine carries out one load after the other: none is
-                    ordered only to wait there for another's end */
+  double payback_s;    /* a move must be worth its price within this time */
+  double move_price;   /* late stream-seconds per move at moves_weight 0 */
+  double min_stay_s;   /* unloading a copy earlier raises the price */
+  double watch_s;      /* the new version is ready this long before the old
+                          one is unloaded */
+  guint max_failures;  /* failed loads until the item is held back on all
+                          engines and a new version is rolled back */
+  guint advance_ms;    /* period at which the forecast takes in demand */
+  guint max_coming;    /* loads from the store in flight: as many as it serves
+                          at full speed */
+  double hot;          /* utilization above which an engine's items are
+                          candidates for another copy */
+  bool zone_spread;    /* prefer zones without a copy of the item */
+  bool one_load;       /* an engine runs one load at a time: no load is
+                          ordered on an engine that is still loading */
   pu_forecast_options_t forecast;
   guint test_breaks; /* pu_planner_break_t; 0 outside tests */
 } pu_planner_options_t;
@@ -138,114 +150,127 @@
 pu_planner_t *pu_planner_new (const pu_planner_options_t *o);
 void pu_planner_free (pu_planner_t *p);
 
-/* pu_planner_set_options - replaces the options, when the settings of the
-   document change; what is under way goes on.  */
+/* pu_planner_set_options - replaces the options, as when the settings of the
+   document change.  Loads and unloads in progress are not affected.  */
 void pu_planner_set_options (pu_planner_t *p, const pu_planner_options_t *o);
 
-/* pu_planner_clone - a copy to try things on.  */
+/* pu_planner_clone - returns an independent copy of P, for planning that must
+   not change P.  Free with pu_planner_free.  */
 pu_planner_t *pu_planner_clone (const pu_planner_t *p);
 
-/* pu_planner_set_engine - replaces what is known of ENGINE; E NULL: it is
-   gone.  NOW in milliseconds, here and below.  */
+/* pu_planner_set_engine - replaces the state of ENGINE; E is NULL when the
+   engine is gone.  NOW is in milliseconds, here and below.  */
 void pu_planner_set_engine (pu_planner_t *p, guint32 engine,
                             const pu_plan_engine_t *e, guint64 now);
 
-/* pu_planner_set_quick - a copy of ITEM on ENGINE would not come from the
-   weights store (QUICK): its disk or its host's memory has it.  Said of an
-   engine before pu_planner_set_engine too; stands until it is said anew.  */
+/* pu_planner_set_quick - sets whether the weights of ITEM are cached for
+   ENGINE (CACHED), on its disk or in its host's memory, so that a load does
+   not use the weights store.  May be called before pu_planner_set_engine;
+   holds until the next call for the same engine and item.  */
 void pu_planner_set_quick (pu_planner_t *p, guint32 engine, guint32 item,
-                           bool quick);
+                           bool cached);
 
-/* pu_planner_set_store - the store lets N loads begin now: those most needed
-   are to get them, and none is ordered only to wait for the store.  Without
-   this call max_coming alone bounds them.  */
+/* pu_planner_set_store - limits to N the loads from the weights store that are
+   ordered until the next call.  They go to the items that need them most, and
+   no load is ordered only to queue at the store.  Without this call only
+   max_coming limits loads.  */
 void pu_planner_set_store (pu_planner_t *p, guint n);
 
-/* pu_planner_set_item - declares ITEM; I NULL: it is no longer declared.  */
+/* pu_planner_set_item - declares ITEM; with I NULL, removes its declaration.
+ */
 void pu_planner_set_item (pu_planner_t *p, guint32 item,
                           const pu_plan_item_t *i);
 
-/* pu_planner_set_least - ITEM is to have at least LEAST copies from now on,
-   until it is declared anew.  */
-void pu_planner_set_least (pu_planner_t *p, guint32 item, guint32 least);
+/* pu_planner_set_least - sets the minimum of copies of ITEM to MIN_COPIES, or
+   to its maximum if that is lower, until the item is declared again.  */
+void pu_planner_set_least (pu_planner_t *p, guint32 item, guint32 min_copies);
 
-/* pu_planner_demand - REQUESTS for ITEM arrived since the last call, which
-   need STREAM_MS in all on engines that are not crowded.  */
+/* pu_planner_demand - adds REQUESTS for ITEM that arrived since the last call.
+   STREAM_MS is the time that they need in total on engines that are not
+   overloaded.  */
 void pu_planner_demand (pu_planner_t *p, guint32 item, guint32 requests,
                         double stream_ms);
 
-/* pu_planner_load_failed - a load of VERSION of ITEM on ENGINE was given up,
-   or a ready copy was lost while the engine went on.  ENGINE is not tried
-   again for a while; enough failures hold back the item everywhere, and roll
-   a new version back.  */
+/* pu_planner_load_failed - records that a load of VERSION of ITEM on ENGINE
+   failed, or that a ready copy was lost while the engine kept running.  ENGINE
+   is not tried again for a backoff period; max_failures of them hold back the
+   item on all engines, and roll back a new version.  */
 void pu_planner_load_failed (pu_planner_t *p, guint32 engine, guint32 item,
                              guint32 version, guint64 now);
 
-/* pu_planner_block - no load of ITEM on ENGINE before UNTIL: one failed there,
-   or cannot be ordered.  */
+/* pu_planner_block - plans no load of ITEM on ENGINE before UNTIL, because one
+   failed there or cannot be ordered.  */
 void pu_planner_block (pu_planner_t *p, guint32 engine, guint32 item,
                        guint64 until);
 
-/* pu_planner_step - appends the next moves (pu_move_t) to MOVES, first things
-   first.  Call it about once a second, and after a loss.  The caller shows
-   by pu_planner_set_engine, before the next step, what became of each.  */
+/* pu_planner_step - appends the next moves (pu_move_t) to MOVES, in order of
+   urgency.  Call it about once a second, and after the loss of a copy or an
+   engine.  Before the next step, the caller reports the effect of each move
+   with pu_planner_set_engine.  */
 void pu_planner_step (pu_planner_t *p, guint64 now, GArray *moves);
 
-/* pu_planner_full - all moves from here to where steps would end, were the
-   store without limits.  P itself is not changed.  */
+/* pu_planner_full - appends all moves up to a stable placement, without the
+   store's limits.  P is not changed.  */
 void pu_planner_full (const pu_planner_t *p, guint64 now, GArray *moves);
 
-/* pu_planner_what_if - the same with other items: ITEMS[i] replaces item i of
-   N; NULL stands for one that is not declared.  */
+/* pu_planner_what_if - like pu_planner_full, with the N declarations ITEMS in
+   place of those of P.  ITEMS[i] replaces item i; NULL, and any item from N
+   on, is undeclared.  */
 void pu_planner_what_if (const pu_planner_t *p,
                          const pu_plan_item_t *const *items, guint n,
                          guint64 now, GArray *moves);
 
-/* pu_planner_ready - ready copies of ITEM on usable engines.  */
+/* pu_planner_ready - returns the number of ready copies of ITEM on usable
+   engines.  */
 guint pu_planner_ready (const pu_planner_t *p, guint32 item);
 
-/* How an item stands with its callers.  */
+/* Availability of an item to its callers.  */
 typedef enum
 {
   PU_ITEM_STATE_READY,
-  PU_ITEM_STATE_LOADING,    /* no copy is ready, a load is under way */
-  PU_ITEM_STATE_WAIT_STORE, /* next, when the store takes another load */
-  PU_ITEM_STATE_WAIT_BASE,  /* next, when its base model is ready */
-  PU_ITEM_STATE_WAIT_RETRY, /* a load failed, or found no room; tried again */
+  PU_ITEM_STATE_LOADING,    /* no copy is ready, a load is in progress */
+  PU_ITEM_STATE_WAIT_STORE, /* waits for the store to accept another load */
+  PU_ITEM_STATE_WAIT_BASE,  /* waits for its base model to be ready */
+  PU_ITEM_STATE_WAIT_RETRY, /* in backoff: a load failed or no engine had
+                               memory for it */
   PU_ITEM_STATE_UNDECLARED
 } pu_item_state_t;
 
-/* pu_planner_item_state - as of the last step.  */
+/* pu_planner_item_state - returns the state of ITEM as of the last step.  */
 pu_item_state_t pu_planner_item_state (const pu_planner_t *p, guint32 item,
                                        guint64 now);
 const char *pu_item_state_name (pu_item_state_t s);
 
-/* pu_planner_wants - whether ITEM should have VERSION and no copy is ready. */
+/* pu_planner_wants - returns whether VERSION is the version that ITEM should
+   have and no copy of ITEM is ready.  */
 bool pu_planner_wants (const pu_planner_t *p, guint32 item, guint32 version);
 
-/* pu_planner_may_unload - whether another copy of ITEM is ready, so that the
-   one on ENGINE may go, or that one is not ready.  Asked again whenever an
-   unload order is sent.  */
+/* pu_planner_may_unload - returns whether the copy of VERSION of ITEM on
+   ENGINE may be unloaded: the copy is not ready, another copy is, or the item
+   is not declared.  Call it again whenever an unload order is sent.  */
 bool pu_planner_may_unload (const pu_planner_t *p, guint32 engine,
                             guint32 item, guint32 version);
 
-/* pu_planner_expected - streams of ITEM that the forecast expects.  */
-double pu_planner_expected (const pu_planner_t *p, guint32 item);
+/* pu_planner_expected_streams - returns the demand for ITEM that the forecast
+   expects, in streams.  */
+double pu_planner_expected_streams (const pu_planner_t *p, guint32 item);
 
-/* pu_planner_rolled_back - whether the declared version was given up.  */
+/* pu_planner_rolled_back - returns whether the declared version was rolled
+   back after failed loads.  */
 bool pu_planner_rolled_back (const pu_planner_t *p, guint32 item);
 
-/* pu_planner_explain_item - appends why ITEM is where it is, one line for
-   the item and one for each copy.  */
+/* pu_planner_explain_item - appends the reasons for the placement of ITEM to
+   OUT: one line for the item and one for each copy.  */
 void pu_planner_explain_item (const pu_planner_t *p, guint32 item, guint64 now,
                               GString *out);
 
-/* pu_planner_copy_reason - why VERSION of ITEM came to ENGINE;
-   PU_REASON_FOUND when that is not known.  */
+/* pu_planner_copy_reason - returns why VERSION of ITEM was loaded on ENGINE;
+   PU_REASON_FOUND when the reason is not known.  */
 pu_plan_reason_t pu_planner_copy_reason (const pu_planner_t *p, guint32 engine,
                                          guint32 item, guint32 version);
 
-/* pu_planner_explain_move - appends one line: what M does, and why.  */
+/* pu_planner_explain_move - appends one line to OUT with the action and the
+   reason of M.  */
 void pu_planner_explain_move (const pu_planner_t *p, const pu_move_t *m,
                               GString *out);
 
--- a/libplantainusher/placement/planner_choose.c
+++ b/libplantainusher/placement/planner_choose.c
@@ -2,18 +2,20 @@
 
 #include <string.h>
 
-/* Weights of the score by which engines are ranked, in units of use.  */
+/* Terms of the score by which engines are ranked, in units of utilization.  */
 #define SAME_ZONE_SCORE 0.5
 #define FULL_MEMORY_SCORE 0.2
-/* A load that takes a second instead of six, and nothing of the store.  */
-#define QUICK_SCORE 0.6
-/* Engines tried for making room, the least used first.  */
-#define ROOM_TRIES 8
-#define CROWDED 0.5
-/* Use of its ready copies above which an item needs those that come.  */
-#define NEEDED 0.3
-/* What a stream that has to end before its copy is unloaded counts where an
-   unreachable item waits for the room, in late streams.  */
+/* A load of cached weights takes one second instead of six and does not use
+   the store.  */
+#define CACHED_SCORE 0.6
+/* Engines on which eviction is tried, in order of score.  */
+#define EVICTION_TRIES 8
+#define CROWDED_UTILIZATION 0.5
+/* Utilization of its ready copies above which an item needs its pending loads.
+ */
+#define PENDING_NEEDED_UTILIZATION 0.3
+/* Loss for each stream that must drain before its copy is unloaded, while an
+   item without a ready copy waits for the memory, in late streams.  */
 #define DRAIN_LOSS 2.0
 #define MS_PER_S 1000
 
@@ -24,18 +26,18 @@
 }
 
 guint32
-pu_planned_room (const pu_planned_engine_t *e, const pu_planned_item_t *t)
+pu_planned_usable_mb (const pu_planned_engine_t *e, const pu_planned_item_t *t)
 {
   guint32 free = pu_planned_free (e);
   bool waits = t->i.base != PU_PLAN_NONE && t->ready == 0;
 
   if (waits)
     return free;
-  return free - MIN (free, e->held_mb);
+  return free - MIN (free, e->adapter_mb);
 }
 
 guint32
-pu_planned_need (const pu_planner_t *p, const pu_planned_item_t *t)
+pu_planned_need_mb (const pu_planner_t *p, const pu_planned_item_t *t)
 {
   guint32 need = t->i.memory_mb;
 
@@ -53,7 +55,7 @@
 {
   const pu_planned_item_t *t = pu_planned_item (p, item);
 
-  p->stamp++;
+  p->item_stamp++;
   memset (p->zone_copies, 0, p->n_zones * sizeof *p->zone_copies);
   for (guint i = 0; i < t->places->len; i++)
     {
@@ -62,7 +64,7 @@
       const pu_planned_copy_t *c = pu_planned_copy (e, at.slot);
 
       if (c->c.version == version)
-        p->mark[at.engine] = p->stamp;
+        p->holder_stamp[at.engine] = p->item_stamp;
       if (c->c.phase != PU_PLAN_LEAVING)
         p->zone_copies[e->zone]++;
     }
@@ -86,13 +88,13 @@
 {
   for (guint i = 0; i < e->blocks->len; i++)
     {
-      if (g_array_index (e->blocks, pu_block_t, i).item == item)
+      if (g_array_index (e->blocks, pu_load_block_t, i).item == item)
         return true;
     }
   return false;
 }
 
-/* The same as pu_planner_can_hold for T, which needs NEED MB.  */
+/* Does the same as pu_planner_can_hold, for T, which needs NEED MB.  */
 static inline bool
 can_hold (const pu_planner_t *p, guint32 engine, guint32 item,
           const pu_planned_item_t *t, guint32 need)
@@ -100,9 +102,10 @@
   const pu_planned_engine_t *e = pu_planned_engine (p, engine);
 
   if (!e->usable || e->closed || e->promised || need > e->memory_mb
-      || e->accelerators < t->i.accelerators || p->mark[engine] == p->stamp)
+      || e->accelerators < t->i.accelerators
+      || p->holder_stamp[engine] == p->item_stamp)
     return false;
-  if (p->quick_only && !pu_planned_quick (e, item))
+  if (p->quick_only && !pu_planned_is_cached (e, item))
     return false;
   if (e->blocks->len > 0 && blocked (e, item))
     return false;
@@ -114,14 +117,14 @@
 {
   const pu_planned_item_t *t = pu_planned_item (p, item);
 
-  return can_hold (p, engine, item, t, pu_planned_need (p, t));
+  return can_hold (p, engine, item, t, pu_planned_need_mb (p, t));
 }
 
-/* Whether T needs more than the copies that are ready: room for it would have
-   to be made elsewhere.  Loads that came too late, as demand had moved on,
-   keep none of its copies.  */
+/* Whether T needs its pending loads beside its ready copies, so that memory
+   would have to be freed elsewhere for a copy that is evicted.  Pending loads
+   for demand that has since gone do not protect the item's copies.  */
 static bool
-grows (const pu_planner_t *p, const pu_planned_item_t *t)
+needs_pending_loads (const pu_planner_t *p, const pu_planned_item_t *t)
 {
   double capacity = 0;
 
@@ -133,13 +136,14 @@
       if (pu_planned_copy (e, at.slot)->c.phase == PU_PLAN_READY)
         capacity += e->streams;
     }
-  return t->ready <= 1 || t->forecast.expected > NEEDED * capacity;
+  return t->ready <= 1
+         || t->forecast.expected > PENDING_NEEDED_UTILIZATION * capacity;
 }
 
-/* Whether the copy in SLOT may go, so far as its own item is concerned.  */
+/* Whether the copy in SLOT may be unloaded for ITEM, its adapters aside.  */
 static bool
-removable (const pu_planner_t *p, const pu_planned_engine_t *e, guint slot,
-           guint32 item, pu_room_t room)
+may_remove (const pu_planner_t *p, const pu_planned_engine_t *e, guint slot,
+            guint32 item, pu_eviction_t room)
 {
   const pu_planned_copy_t *c = pu_planned_copy (e, slot);
   const pu_planned_item_t *t = pu_planned_item (p, c->c.item);
@@ -153,7 +157,7 @@
     return false;
   if (!t->declared)
     return true;
-  if (room == PU_ROOM_SPARE && t->coming > 0 && grows (p, t))
+  if (room == PU_ROOM_SPARE && t->coming > 0 && needs_pending_loads (p, t))
     return false;
   if (c->c.item == item && c->c.version == pu_planned_version (t))
     return false;
@@ -162,21 +166,23 @@
   return t->ready > keep;
 }
 
+/* Whether C is below its minimum stay.  */
 static bool
-is_young (const pu_planner_t *p, const pu_planned_copy_t *c, guint64 now)
+is_below_min_stay (const pu_planner_t *p, const pu_planned_copy_t *c,
+                   guint64 now)
 {
   return now < c->since + (guint64)(p->o.min_stay_s * MS_PER_S);
 }
 
 bool
 pu_planner_bundle (const pu_planner_t *p, guint32 engine, guint slot,
-                   guint32 item, pu_room_t room, GArray *slots)
+                   guint32 item, pu_eviction_t room, GArray *slots)
 {
   const pu_planned_engine_t *e = pu_planned_engine (p, engine);
   guint32 base = pu_planned_copy (e, slot)->c.item;
 
   g_array_set_size (slots, 0);
-  if (!removable (p, e, slot, item, room))
+  if (!may_remove (p, e, slot, item, room))
     return false;
   for (guint s = 0; s < e->copies->len; s++)
     {
@@ -185,7 +191,7 @@
       if (pu_planned_item (p, c->c.item)->i.base != base
           || c->c.phase == PU_PLAN_LEAVING)
         continue;
-      if (!removable (p, e, s, item, room))
+      if (!may_remove (p, e, s, item, room))
         return false;
       g_array_append_val (slots, s);
     }
@@ -194,7 +200,7 @@
 }
 
 static bool
-taken (const GArray *slots, guint slot)
+has_slot (const GArray *slots, guint slot)
 {
   for (guint i = 0; i < slots->len; i++)
     {
@@ -204,10 +210,12 @@
   return false;
 }
 
-/* Adds the copies in SLOTS to V; returns the memory that they give back.  */
+/* Adds the copies in SLOTS to V; returns the memory that they free, in MB.
+   Their items' counts of ready copies are lowered, so that later victims take
+   them into account.  */
 static guint32
-take (const pu_planner_t *p, const pu_planned_engine_t *e, const GArray *slots,
-      guint64 now, pu_victims_t *v)
+add_victims (const pu_planner_t *p, const pu_planned_engine_t *e,
+             const GArray *slots, guint64 now, pu_victims_t *v)
 {
   guint32 memory_mb = 0;
 
@@ -216,20 +224,21 @@
       guint s = g_array_index (slots, guint, i);
       const pu_planned_copy_t *c = pu_planned_copy (e, s);
 
-      if (taken (v->slots, s))
+      if (has_slot (v->slots, s))
         continue;
       g_array_append_val (v->slots, s);
-      v->young += is_young (p, c, now);
+      v->young += is_below_min_stay (p, c, now);
       memory_mb += c->c.memory_mb;
       pu_planned_item (p, c->c.item)->ready--;
     }
   return memory_mb;
 }
 
-/* Loss of letting SLOTS go; MB is set to their memory.  */
+/* Returns the loss of evicting the copies in SLOTS, in late streams; sets MB
+   to their memory.  */
 static double
-loss_of (pu_planner_t *p, guint32 engine, const GArray *slots, pu_room_t room,
-         double *mb)
+slots_loss (pu_planner_t *p, guint32 engine, const GArray *slots,
+            pu_eviction_t room, double *mb)
 {
   const pu_planned_engine_t *e = pu_planned_engine (p, engine);
   double loss = 0;
@@ -244,15 +253,17 @@
       if (room == PU_ROOM_MINIMUM)
         loss += DRAIN_LOSS * c->share;
       if (pu_planned_item (p, c->c.item)->declared)
-        loss += pu_planner_loss (p, c->c.item, at, i + 1 < slots->len);
+        loss
+            += pu_planner_eviction_loss (p, c->c.item, at, i + 1 < slots->len);
     }
   return loss;
 }
 
-/* The cheapest bundle that is not in V yet, in BEST; its loss, or -1.  */
+/* Sets BEST to the bundle with the least loss per MB that is not in V yet.
+   Returns its loss, or -1 when there is none.  */
 static double
-cheapest (pu_planner_t *p, guint32 engine, guint32 item, pu_room_t room,
-          const pu_victims_t *v, GArray *best)
+find_cheapest_bundle (pu_planner_t *p, guint32 engine, guint32 item,
+                      pu_eviction_t room, const pu_victims_t *v, GArray *best)
 {
   const pu_planned_engine_t *e = pu_planned_engine (p, engine);
   GArray *slots = g_array_new (FALSE, FALSE, sizeof (guint));
@@ -264,10 +275,10 @@
       double mb;
       double loss;
 
-      if (taken (v->slots, s)
+      if (has_slot (v->slots, s)
           || !pu_planner_bundle (p, engine, s, item, room, slots))
         continue;
-      loss = loss_of (p, engine, slots, room, &mb);
+      loss = slots_loss (p, engine, slots, room, &mb);
       if (best_rate >= 0 && (loss + 1e-6) / mb >= best_rate)
         continue;
       best_rate = (loss + 1e-6) / MAX (1.0, mb);
@@ -281,11 +292,11 @@
 
 bool
 pu_planner_victims (pu_planner_t *p, guint32 engine, guint32 item,
-                    pu_room_t room, guint64 now, pu_victims_t *v)
+                    pu_eviction_t room, guint64 now, pu_victims_t *v)
 {
   const pu_planned_engine_t *e = pu_planned_engine (p, engine);
-  guint32 need = pu_planned_need (p, pu_planned_item (p, item));
-  guint32 have = pu_planned_room (e, pu_planned_item (p, item));
+  guint32 need = pu_planned_need_mb (p, pu_planned_item (p, item));
+  guint32 have = pu_planned_usable_mb (e, pu_planned_item (p, item));
   GArray *best;
 
   v->loss = 0;
@@ -297,12 +308,12 @@
   best = g_array_new (FALSE, FALSE, sizeof (guint));
   while (have < need)
     {
-      double loss = cheapest (p, engine, item, room, v, best);
+      double loss = find_cheapest_bundle (p, engine, item, room, v, best);
 
       if (loss < 0)
         break;
       v->loss += loss;
-      have += take (p, e, best, now, v);
+      have += add_victims (p, e, best, now, v);
     }
   for (guint i = 0; i < v->slots->len; i++)
     {
@@ -319,18 +330,19 @@
 {
   double s = e->load / e->streams;
 
-  if (pu_planned_quick (e, item))
-    s -= QUICK_SCORE;
+  if (pu_planned_is_cached (e, item))
+    s -= CACHED_SCORE;
 
   if (p->o.zone_spread && p->zone_copies[e->zone] > 0)
     s += SAME_ZONE_SCORE;
   return s + FULL_MEMORY_SCORE * e->committed_mb / MAX (1, e->memory_mb);
 }
 
-/* Keeps the N lowest scores, sorted.  */
+/* Inserts ENGINE with its score VALUE into the sorted arrays, which keep the
+   MAX lowest scores.  */
 static void
-keep_low (guint32 *engines, double *scores, guint *n, guint max,
-          guint32 engine, double value)
+insert_ranked (guint32 *engines, double *scores, guint *n, guint max,
+               guint32 engine, double value)
 {
   guint i;
 
@@ -346,16 +358,17 @@
   engines[i] = engine;
 }
 
-/* Whether one more copy on ENGINE would meet a crowd.  */
+/* Whether ENGINE is so utilized that an eviction on another engine may be
+   better than its free memory.  */
 static bool
-crowded (const pu_planner_t *p, guint32 engine)
+is_crowded (const pu_planner_t *p, guint32 engine)
 {
   const pu_planned_engine_t *e = pu_planned_engine (p, engine);
 
-  return e->load > CROWDED * e->streams;
+  return e->load > CROWDED_UTILIZATION * e->streams;
 }
 
-/* Engines that can hold an item once room is made, the lowest score first.  */
+/* Engines that can hold an item after an eviction, the lowest score first.  */
 typedef struct
 {
   guint32 *engines;
@@ -364,19 +377,19 @@
   guint max;
 } ranked_t;
 
-/* Whether a load that is ordered now would wait on E for another's end.  Four
-   or five models that were lost with one engine queued up at the next one, in
-   the order in which they were missed: the busiest waited for up to eleven
-   seconds behind models that nobody asked for.  */
+/* Whether a load ordered on E now would wait for another one to end.  When
+   four or five models are lost with an engine and their loads queue at one
+   other engine, the model with the most demand waits for up to eleven seconds
+   behind models without demand.  */
 static bool
-is_taken (const pu_planner_t *p, const pu_planned_engine_t *e)
+is_busy_loading (const pu_planner_t *p, const pu_planned_engine_t *e)
 {
-  return p->o.one_load && e->loading > 0;
+  return p->o.one_load && e->models_loading > 0;
 }
 
-/* The engine with the lowest score that has NEED MB free, or PU_PLAN_NONE;
-   its score in BEST_SCORE.  Those that are full go to FULL.  Notes whether one
-   would do that is taken.  */
+/* Returns the engine with the lowest score that has NEED MB free, or
+   PU_PLAN_NONE, and sets BEST_SCORE to its score.  Engines without the memory
+   go to FULL.  Sets p->waits_turn when one has the memory but is loading.  */
 static guint32
 find_free (pu_planner_t *p, guint32 item, guint32 need, double *best_score,
            ranked_t *full)
@@ -387,26 +400,27 @@
   for (guint i = 0; i < p->engines->len; i++)
     {
       const pu_planned_engine_t *e = pu_planned_engine (p, i);
-      bool free = pu_planned_room (e, t) >= need;
+      bool free = pu_planned_usable_mb (e, t) >= need;
       double s;
 
       if (!free && full->max == 0)
         continue;
-      /* Most are ruled out by their score, which is the cheaper check.  */
+      /* The score excludes most engines and is cheaper than can_hold.  */
       s = score (p, e, item);
       if (free ? best != PU_PLAN_NONE && s >= *best_score
                : full->n == full->max && s >= full->scores[full->max - 1])
         continue;
       if (!can_hold (p, i, item, t, need))
         continue;
-      if (is_taken (p, e))
+      if (is_busy_loading (p, e))
         {
           p->waits_turn = p->waits_turn || free;
           continue;
         }
       if (!free)
         {
-          keep_low (full->engines, full->scores, &full->n, full->max, i, s);
+          insert_ranked (full->engines, full->scores, &full->n, full->max, i,
+                         s);
         }
       else
         {
@@ -417,26 +431,26 @@
   return best;
 }
 
-/* Whether ITEM, which fits on engines that load now alone, is to wait for one
-   of these.  What callers ask for takes the place of another's second copy
-   instead: with two empty engines that had just joined, nothing was loaded
-   anywhere else for as long as these took, six seconds each time.  */
+/* Whether ITEM waits for one of the engines that are loading, as only these
+   have the memory free.  An item in demand does not wait and evicts another
+   item's second copy: otherwise, when two empty engines join, nothing is
+   loaded on the other engines while those two load, six seconds each time.  */
 static bool
-waits_for_turn (const pu_planner_t *p, guint32 item)
+waits_for_loading_engine (const pu_planner_t *p, guint32 item)
 {
   return p->waits_turn && !pu_planned_asked (pu_planned_item (p, item));
 }
 
 guint32
 pu_planner_choose (pu_planner_t *p, guint32 item, guint32 version,
-                   pu_room_t room, guint64 now, pu_victims_t *v)
+                   pu_eviction_t room, guint64 now, pu_victims_t *v)
 {
-  /* When nothing else would do, every engine is tried.  */
-  guint tries = room == PU_ROOM_MINIMUM ? p->engines->len : ROOM_TRIES;
+  /* All engines are candidates when the item has no other way to be loaded. */
+  guint tries = room == PU_ROOM_MINIMUM ? p->engines->len : EVICTION_TRIES;
   guint32 engines[tries + 1];
   double scores[tries + 1];
   ranked_t full = { engines, scores, 0, room == PU_ROOM_NONE ? 0 : tries };
-  guint32 need = pu_planned_need (p, pu_planned_item (p, item));
+  guint32 need = pu_planned_need_mb (p, pu_planned_item (p, item));
   double least = 0;
   guint32 best;
 
@@ -447,14 +461,15 @@
   p->waits_turn = false;
   best = find_free (p, item, need, &least, &full);
   p->waits_turn = p->waits_turn && best == PU_PLAN_NONE;
-  if (waits_for_turn (p, item))
+  if (waits_for_loading_engine (p, item))
     return PU_PLAN_NONE;
-  if (best != PU_PLAN_NONE && (room == PU_ROOM_MINIMUM || !crowded (p, best)))
+  if (best != PU_PLAN_NONE
+      && (room == PU_ROOM_MINIMUM || !is_crowded (p, best)))
     return best;
 
   for (guint i = 0; i < full.n; i++)
     {
-      if (best != PU_PLAN_NONE && i >= ROOM_TRIES)
+      if (best != PU_PLAN_NONE && i >= EVICTION_TRIES)
         break;
       if (!pu_planner_victims (p, engines[i], item, room, now, v))
         continue;
--- a/libplantainusher/placement/planner_internal.h
+++ b/libplantainusher/placement/planner_internal.h
@@ -4,35 +4,38 @@
 #include "placement/planner.h"
 
 /*
- * planner_internal - the tables of the planner, shared by its files only:
- *   planner_tables.c  what comes in, and what can be asked
- *   planner_load.c    index of copies, spread of demand, cost of a crowd
- *   planner_choose.c  which engine, and who makes room
- *   planner.c         the phases of a step, the full plan
- *   planner_repair.c  unreachable items first, kept promises
- *   planner_room.c    moves a last copy away, for an unreachable item
+ * planner_internal - the planner's tables, shared by its files only:
+ *   planner_tables.c  input and queries
+ *   planner_load.c    index of copies, distribution of demand over copies,
+ *                     cost of overload
+ *   planner_choose.c  choice of an engine for a load, and of eviction victims
+ *   planner.c         phases of a step, plan up to a stable placement
+ *   planner_repair.c  loads for items without a ready copy or below their
+ *                     minimum, deferred loads
+ *   planner_room.c    moves last copies to other engines to free memory for an
+ *                     item without a ready copy
  *   planner_grow.c    copies for demand and in spare memory
- *   planner_explain.c texts
+ *   planner_explain.c messages
  */
 
 typedef struct
 {
   pu_plan_copy_t c;
   pu_plan_reason_t reason;
-  guint64 since;    /* when it came to its phase */
-  guint32 for_item; /* PU_REASON_ROOM: whom it makes room for */
-  double gain;      /* of the move that brought it */
+  guint64 since;    /* when it entered its phase */
+  guint32 for_item; /* PU_REASON_ROOM: the item that needs the memory */
+  double gain;      /* of the move that loaded it */
   double price;
-  double share;  /* streams of its item's demand that come to it */
-  bool promised; /* not ordered yet: waits for room */
+  double share;  /* streams of its item's demand assigned to it */
+  bool promised; /* not ordered yet: waits for memory or the store */
 } pu_planned_copy_t;
 
-/* No load of ITEM on an engine before UNTIL.  */
+/* Excludes loads of ITEM on an engine before UNTIL.  */
 typedef struct
 {
   guint32 item;
   guint64 until;
-} pu_block_t;
+} pu_load_block_t;
 
 typedef struct
 {
@@ -43,16 +46,16 @@
   guint32 accelerators;
   guint32 memory_mb;
   guint32 committed_mb;
-  guint32 held_mb; /* free, but for adapters of bases that are on it */
+  guint32 adapter_mb; /* free, but reserved for adapters of bases on it */
   double streams;
-  GArray *copies;    /* of pu_planned_copy_t */
-  GArray *blocks;    /* of pu_block_t; those that are over are dropped */
-  GHashTable *quick; /* set of items that it need not get from the store; NULL:
-                        none */
-  guint loading;     /* models on their way to it, adapters not counted */
-  double load;       /* streams expected on it */
-  double weight;     /* the same, times importance */
-  bool promised;     /* room is being made for `promise` */
+  GArray *copies;       /* of pu_planned_copy_t */
+  GArray *blocks;       /* of pu_load_block_t; expired ones are dropped */
+  GHashTable *cached;   /* set of items whose weights are cached locally; NULL:
+                          none */
+  guint models_loading; /* loads of models in flight; adapters not counted */
+  double load;          /* expected demand, streams */
+  double weighted_load; /* expected demand times importance, streams */
+  bool promised; /* a load is deferred until memory or the store is free */
   pu_planned_copy_t promise;
   guint64 promise_until;
 } pu_planned_engine_t;
@@ -69,20 +72,25 @@
   pu_plan_item_t i; /* its name is owned */
   bool rolled_back;
   guint failures;
-  guint64 first_ready;  /* of the declared version beside an older one; 0 */
-  guint64 lost_since;   /* when its last ready copy was missed; 0: has one */
-  guint64 not_before;   /* no load before, after a failure or a try in vain */
-  guint64 spare_after;  /* no spare copy before, after a try in vain */
-  guint32 opens_engine; /* where room is being opened for it, */
-  guint64 opens_until;  /* and until when; 0: nowhere */
-  bool no_room;         /* the last try found no engine */
+  guint64 new_ready_since; /* when the new version became ready beside an
+                              older one; 0: not yet */
+  guint64 lost_since;  /* when it was found without a ready copy; 0: has one */
+  guint64 not_before;  /* no load earlier: backoff after a failure, or after
+                          no engine had memory */
+  guint64 spare_after; /* no spare copy earlier: backoff after no engine was
+                          found for one */
+  guint32 opens_engine; /* engine whose last copies are moved away for it */
+  guint64 opens_until;  /* deadline of that; 0: none in progress */
+  bool no_room;         /* the last attempt found no engine */
   pu_forecast_t forecast;
   GArray *places;   /* of pu_place_t: copies on usable engines */
-  GArray *adapters; /* of guint32: items whose base this is */
+  GArray *adapters; /* of guint32: the items whose base it is */
   guint ready;
-  guint coming;        /* ordered, loading or promised */
-  guint slow;          /* of them, promised long ago, while ready is 0 */
-  guint copies_before; /* ready when a version change began; 0: none */
+  guint coming;        /* ordered, loading or deferred */
+  guint slow;          /* of them, deferred for long with memory still not
+                          free, while ready is 0 */
+  guint copies_before; /* ready when a version change began, at least 1; 0: no
+                          change in progress */
 } pu_planned_item_t;
 
 struct pu_planner
@@ -90,23 +98,26 @@
   pu_planner_options_t o;
   GArray *engines; /* of pu_planned_engine_t */
   GArray *items;   /* of pu_planned_item_t */
-  guint64 last_advance;
+  guint64 last_forecast_ms;
   pu_forecast_common_t common;
-  guint coming;    /* loads under way from the store, all items */
-  guint store;     /* loads that it lets begin now */
-  bool grew;       /* the last turn of the store went to demand */
-  bool any_quick;  /* an engine has something that needs no store */
-  bool quick_only; /* it takes no more: only what it need not give */
-  bool waits_turn; /* the last choice: none yet, but engines that load now */
-  guint promised;  /* loads that wait for room, all items */
-  bool lean;       /* a base needs no room for its adapters beside it */
-  guint32 *mark;   /* by engine: stamp of the item that it holds */
-  double *other;   /* scratch by place: load without the item */
-  double *filled;  /* scratch by place: the item's share */
-  guint n_mark;
-  guint n_places; /* of other and filled */
-  guint32 stamp;
-  guint *zone_copies; /* scratch by zone */
+  guint coming;     /* loads from the store in flight, all items */
+  guint load_slots; /* loads from the store that may still be ordered */
+  bool grew;        /* the last turn at the store went to demand, not to items
+                       without demand */
+  bool any_quick;   /* some engine has weights cached locally */
+  bool quick_only;  /* the store accepts no load: only cached weights */
+  bool waits_turn;  /* the last pu_planner_choose found free memory only on
+                       engines that are loading */
+  guint promised;   /* deferred loads, all items */
+  bool lean;        /* the memory need of a base leaves out its adapters */
+  guint32 *holder_stamp; /* by engine: equals item_stamp if the engine holds
+                            the marked item */
+  double *scratch_load;  /* scratch by copy: engine load without the item */
+  double *scratch_share; /* scratch by copy: the item's share */
+  guint n_holder_stamp;
+  guint n_scratch; /* length of the scratch arrays by copy */
+  guint32 item_stamp;
+  guint *zone_copies; /* scratch by zone: copies of the marked item */
   guint n_zones;
 };
 
@@ -135,96 +146,109 @@
 }
 
 static inline bool
-pu_planned_quick (const pu_planned_engine_t *e, guint32 item)
+pu_planned_is_cached (const pu_planned_engine_t *e, guint32 item)
 {
-  return e->quick != NULL
-         && g_hash_table_contains (e->quick, GUINT_TO_POINTER (item));
+  return e->cached != NULL
+         && g_hash_table_contains (e->cached, GUINT_TO_POINTER (item));
 }
 
-/* Streams expected of an item that is asked for: less than one request in some
-   seconds.  */
-#define PU_ASKED_STREAMS 0.01
+/* Expected demand above which an item counts as in demand, in streams; it is
+   less than one request in several seconds.  */
+#define PU_DEMAND_MIN_STREAMS 0.01
 
-/* Whether callers ask for T now.  */
+/* Whether there is demand for T.  */
 static inline bool
 pu_planned_asked (const pu_planned_item_t *t)
 {
-  return t->forecast.expected > PU_ASKED_STREAMS;
+  return t->forecast.expected > PU_DEMAND_MIN_STREAMS;
 }
 
-/* The version that the item should have now: the declared one, or after a
-   roll-back the one before.  */
+/* Returns the version that T should have: the declared one, or the previous
+   one after a roll-back.  */
 guint32 pu_planned_version (const pu_planned_item_t *t);
 
-/* pu_planner_index - rebuilds places, counts and scratch.  */
-void pu_planner_index (pu_planner_t *p, guint64 now);
+/* pu_planner_rebuild_index - rebuilds the locations and counts of copies and
+   drops expired blocks.  */
+void pu_planner_rebuild_index (pu_planner_t *p, guint64 now);
 
-/* pu_planner_hold - holds memory on ENGINE, where the base ITEM is to be, for
-   its adapters that have no copy.  */
-void pu_planner_hold (pu_planner_t *p, guint32 engine, guint32 item);
+/* pu_planner_reserve_for_adapters - reserves memory on ENGINE, which has or
+   will have the base ITEM, for adapters of ITEM that have no copy.  */
+void pu_planner_reserve_for_adapters (pu_planner_t *p, guint32 engine,
+                                      guint32 item);
 
-/* pu_planner_spread - spreads the expected demand of each item over its
-   copies, the less used engines first.  */
-void pu_planner_spread (pu_planner_t *p);
+/* pu_planner_spread_demand - distributes the expected demand of each item over
+   its copies, so that the utilization of their engines is level.  */
+void pu_planner_spread_demand (pu_planner_t *p);
 
-/* pu_planner_spread_item - the same for one item.  */
+/* pu_planner_spread_item - does the same for ITEM alone.  */
 void pu_planner_spread_item (pu_planner_t *p, guint32 item);
 
-/* pu_planner_gain - late streams that one more copy of ITEM on ENGINE would
-   save, its adapters' demand going with it.  */
+/* pu_planner_gain - returns the late streams that one more copy of ITEM on
+   ENGINE would save.  The demand of an adapter that has as many copies as its
+   base counts too, as it can spread to the new copy.  */
 double pu_planner_gain (pu_planner_t *p, guint32 item, guint32 engine);
 
-/* pu_planner_loss - late streams that ITEM without its copy in PLACE, and
-   without the adapters beside it, would cost, for the demand held in memory.
-   LED: an adapter that goes with its base, which counts its demand.  */
-double pu_planner_loss (pu_planner_t *p, guint32 item, pu_place_t place,
-                        bool led);
+/* pu_planner_eviction_loss - returns the late streams that the removal of the
+   copy of ITEM at PLACE, with its adapters there, would cost at the forecast's
+   held demand.  WITH_BASE: ITEM is an adapter that is removed along with its
+   base, whose loss already includes its demand.  */
+double pu_planner_eviction_loss (pu_planner_t *p, guint32 item,
+                                 pu_place_t place, bool with_base);
 
-/* Who makes room on an engine.  */
+/* Copies on one engine to evict.  */
 typedef struct
 {
   GArray *slots; /* of guint */
   double loss;   /* late streams */
-  guint young;   /* of them, have not stayed long */
+  guint young;   /* victims below their minimum stay */
 } pu_victims_t;
 
-/* How far a load may push others.  */
+/* Which copies a load may evict.  */
 typedef enum
 {
-  PU_ROOM_NONE,   /* only free memory */
-  PU_ROOM_SPARE,  /* copies above the minimum */
-  PU_ROOM_MINIMUM /* down to one ready copy */
-} pu_room_t;
-
-/* pu_planner_choose - the engine for a copy of VERSION of ITEM, or
-   PU_PLAN_NONE.  V is filled with those who make room (empty: it fits).  */
+  PU_ROOM_NONE,   /* none: only free memory is used */
+  PU_ROOM_SPARE,  /* copies above their item's minimum */
+  PU_ROOM_MINIMUM /* all but the last ready copy of an item */
+} pu_eviction_t;
+
+/* pu_planner_choose - returns the engine for a copy of VERSION of ITEM, or
+   PU_PLAN_NONE.  Sets V to the copies to evict there, empty when it fits in
+   free memory.  */
 guint32 pu_planner_choose (pu_planner_t *p, guint32 item, guint32 version,
-                           pu_room_t room, guint64 now, pu_victims_t *v);
+                           pu_eviction_t room, guint64 now, pu_victims_t *v);
 
-/* pu_planner_victims - fills V with the copies on ENGINE that make room for
-   ITEM at the least loss.  False when there is no way.  */
+/* pu_planner_victims - fills V with the copies on ENGINE to evict for ITEM,
+   chosen in order of loss per MB.  Returns false when they do not free enough
+   memory.  */
 bool pu_planner_victims (pu_planner_t *p, guint32 engine, guint32 item,
-                         pu_room_t room, guint64 now, pu_victims_t *v);
+                         pu_eviction_t room, guint64 now, pu_victims_t *v);
 
-/* pu_planner_can_hold - whether ENGINE may take VERSION of ITEM, memory
-   aside.  pu_planner_mark_item must have been called for the item.  */
-bool pu_planner_can_hold (const pu_planner_t *p, guint32 engine, guint32 item);
+/* pu_planner_mark_item - marks the engines that hold VERSION of ITEM, and
+   counts the copies of ITEM by zone.  */
 void pu_planner_mark_item (pu_planner_t *p, guint32 item, guint32 version);
 
-/* pu_planner_bundle - fills SLOTS with what goes with the copy in SLOT of
-   ENGINE: its adapters there, then itself.  False when one of them may not
-   go to make room for ITEM (PU_PLAN_NONE: for none).  */
+/* pu_planner_can_hold - returns whether ENGINE can take a copy of ITEM once
+   memory is free there.  Call pu_planner_mark_item for the item and version
+   first.  */
+bool pu_planner_can_hold (const pu_planner_t *p, guint32 engine, guint32 item);
+
+/* pu_planner_bundle - fills SLOTS with the copies to unload along with the
+   copy in SLOT of ENGINE: its adapters there, then the copy.  Returns false
+   when one of them must not be unloaded for ITEM; PU_PLAN_NONE: for no
+   particular item.  */
 bool pu_planner_bundle (const pu_planner_t *p, guint32 engine, guint slot,
-                        guint32 item, pu_room_t room, GArray *slots);
+                        guint32 item, pu_eviction_t room, GArray *slots);
 
-/* MB that a copy of T should find free: a base's adapters go with it.  */
-guint32 pu_planned_need (const pu_planner_t *p, const pu_planned_item_t *t);
+/* Returns the free memory that a copy of T needs, in MB.  That of a base
+   includes its adapters, unless p->lean.  */
+guint32 pu_planned_need_mb (const pu_planner_t *p, const pu_planned_item_t *t);
 
-/* MB that are free on E now.  */
+/* Returns the free memory of E, in MB.  */
 guint32 pu_planned_free (const pu_planned_engine_t *e);
 
-/* MB that a new copy of T may take on E now.  */
-guint32 pu_planned_room (const pu_planned_engine_t *e,
-                         const pu_planned_item_t *t);
+/* Returns the free memory of E that a new copy of T may use, in MB.  Memory
+   reserved for adapters counts only for an adapter without a ready copy.  */
+guint32 pu_planned_usable_mb (const pu_planned_engine_t *e,
+                              const pu_planned_item_t *t);
 
 #endif
--- a/libplantainusher/placement/planner_load.c
+++ b/libplantainusher/placement/planner_load.c
@@ -2,10 +2,11 @@
 
 #include <string.h>
 
-/* Use of an engine above which requests are late, or refused.  */
-#define LATE_FROM 0.7
+/* Utilization of an engine above which requests are late or rejected.  */
+#define LATE_UTILIZATION 0.7
 #define MEAN_IMPORTANCE 5.0
-/* What being left with one ready copy costs, beside the demand itself.  */
+/* Loss, beside that for the demand, of leaving an item with one ready copy at
+   most, in late streams for mean importance.  */
 #define LAST_COPY_LOSS 0.05
 
 guint32
@@ -14,27 +15,28 @@
   return t->rolled_back ? t->i.previous_version : t->i.version;
 }
 
-/* Room for N places: an engine may hold two versions of an item.  */
+/* Resizes the scratch arrays for N copies.  An item can have more copies than
+   there are engines, as an engine may hold two versions of it.  */
 static void
-reserve_places (pu_planner_t *p, guint n)
+reserve_scratch (pu_planner_t *p, guint n)
 {
-  if (n <= p->n_places)
+  if (n <= p->n_scratch)
     return;
-  p->n_places = 2 * n;
-  p->other = g_renew (double, p->other, p->n_places);
-  p->filled = g_renew (double, p->filled, p->n_places);
+  p->n_scratch = 2 * n;
+  p->scratch_load = g_renew (double, p->scratch_load, p->n_scratch);
+  p->scratch_share = g_renew (double, p->scratch_share, p->n_scratch);
 }
 
 static void
-resize_mark (pu_planner_t *p)
+resize_holder_stamp (pu_planner_t *p)
 {
   guint n = p->engines->len + 1;
 
-  if (n <= p->n_mark)
+  if (n <= p->n_holder_stamp)
     return;
-  p->mark = g_renew (guint32, p->mark, n);
-  memset (p->mark, 0, n * sizeof *p->mark);
-  p->n_mark = n;
+  p->holder_stamp = g_renew (guint32, p->holder_stamp, n);
+  memset (p->holder_stamp, 0, n * sizeof *p->holder_stamp);
+  p->n_holder_stamp = n;
 }
 
 static void
@@ -53,10 +55,10 @@
     }
 }
 
-/* A promised copy stands last in its engine's list, so that demand is spread
-   over it too.  */
+/* Lists the copy of E's deferred load, if there is one, as its last copy, so
+   that demand is distributed to it too.  */
 static void
-list_promise (pu_planned_engine_t *e)
+list_deferred (pu_planned_engine_t *e)
 {
   for (guint s = e->copies->len; s-- > 0;)
     {
@@ -72,11 +74,11 @@
 {
   pu_planned_engine_t *e = pu_planned_engine (p, engine);
 
-  list_promise (e);
-  e->held_mb = 0;
-  e->loading = 0;
+  list_deferred (e);
+  e->adapter_mb = 0;
+  e->models_loading = 0;
   e->load = 0;
-  e->weight = 0;
+  e->weighted_load = 0;
   for (guint s = 0; s < e->copies->len; s++)
     {
       pu_planned_copy_t *c = pu_planned_copy (e, s);
@@ -89,24 +91,24 @@
       if (c->c.phase > PU_PLAN_LOADING)
         continue;
       t->coming++;
-      e->loading += !c->promised && t->i.base == PU_PLAN_NONE;
-      p->coming += !c->promised && !pu_planned_quick (e, c->c.item);
+      e->models_loading += !c->promised && t->i.base == PU_PLAN_NONE;
+      p->coming += !c->promised && !pu_planned_is_cached (e, c->c.item);
       p->promised += c->promised;
     }
 }
 
 static void
-drop_blocks (pu_planned_engine_t *e, guint64 now)
+drop_expired_blocks (pu_planned_engine_t *e, guint64 now)
 {
   for (guint i = e->blocks->len; i-- > 0;)
     {
-      if (now >= g_array_index (e->blocks, pu_block_t, i).until)
+      if (now >= g_array_index (e->blocks, pu_load_block_t, i).until)
         g_array_remove_index_fast (e->blocks, i);
     }
 }
 
 void
-pu_planner_hold (pu_planner_t *p, guint32 engine, guint32 item)
+pu_planner_reserve_for_adapters (pu_planner_t *p, guint32 engine, guint32 item)
 {
   const pu_planned_item_t *t = pu_planned_item (p, item);
 
@@ -116,12 +118,12 @@
           = pu_planned_item (p, g_array_index (t->adapters, guint32, i));
 
       if (a->ready + a->coming == 0)
-        pu_planned_engine (p, engine)->held_mb += a->i.memory_mb;
+        pu_planned_engine (p, engine)->adapter_mb += a->i.memory_mb;
     }
 }
 
 static void
-hold_for_adapters (pu_planner_t *p)
+reserve_for_all_adapters (pu_planner_t *p)
 {
   for (guint32 i = 0; i < p->items->len; i++)
     {
@@ -130,34 +132,37 @@
       if (t->adapters->len == 0)
         continue;
       for (guint k = 0; k < t->places->len; k++)
-        pu_planner_hold (p, pu_item_place (t, k).engine, i);
+        pu_planner_reserve_for_adapters (p, pu_item_place (t, k).engine, i);
     }
 }
 
 void
-pu_planner_index (pu_planner_t *p, guint64 now)
+pu_planner_rebuild_index (pu_planner_t *p, guint64 now)
 {
-  resize_mark (p);
+  resize_holder_stamp (p);
   clear_counts (p);
   for (guint i = 0; i < p->engines->len; i++)
     {
-      drop_blocks (pu_planned_engine (p, i), now);
+      drop_expired_blocks (pu_planned_engine (p, i), now);
       if (pu_planned_engine (p, i)->usable)
         index_engine (p, i);
     }
-  hold_for_adapters (p);
+  reserve_for_all_adapters (p);
 }
 
-/* Fills p->filled for DEMAND over N places with the loads p->other and
-   the engines' streams CAPACITY, so that the use of those filled is level. */
+/* Distributes DEMAND over N copies, whose engines have the load
+   p->scratch_load from other items and the streams CAPACITY.  Sets
+   p->scratch_share to the shares: those above zero give their engines the same
+   utilization; engines already above it get zero.  */
 static void
-fill_level (pu_planner_t *p, guint n, const double *capacity, double demand)
+level_utilization (pu_planner_t *p, guint n, const double *capacity,
+                   double demand)
 {
   bool dropped = true;
   double level = 0;
 
   for (guint i = 0; i < n; i++)
-    p->filled[i] = 1;
+    p->scratch_share[i] = 1;
   while (dropped)
     {
       double load = demand;
@@ -165,24 +170,25 @@
 
       for (guint i = 0; i < n; i++)
         {
-          load += p->filled[i] > 0 ? p->other[i] : 0;
-          room += p->filled[i] > 0 ? capacity[i] : 0;
+          load += p->scratch_share[i] > 0 ? p->scratch_load[i] : 0;
+          room += p->scratch_share[i] > 0 ? capacity[i] : 0;
         }
       level = load / room;
       dropped = false;
       for (guint i = 0; i < n; i++)
         {
-          if (p->filled[i] > 0 && p->other[i] > level * capacity[i])
+          if (p->scratch_share[i] > 0
+              && p->scratch_load[i] > level * capacity[i])
             {
-              p->filled[i] = 0;
+              p->scratch_share[i] = 0;
               dropped = true;
             }
         }
     }
   for (guint i = 0; i < n; i++)
     {
-      if (p->filled[i] > 0)
-        p->filled[i] = level * capacity[i] - p->other[i];
+      if (p->scratch_share[i] > 0)
+        p->scratch_share[i] = level * capacity[i] - p->scratch_load[i];
     }
 }
 
@@ -199,7 +205,7 @@
   double capacity[t->places->len + 1];
   guint n = 0;
 
-  reserve_places (p, t->places->len + 1);
+  reserve_scratch (p, t->places->len + 1);
   for (guint i = 0; i < t->places->len; i++)
     {
       pu_place_t at = pu_item_place (t, i);
@@ -207,17 +213,17 @@
       pu_planned_copy_t *c = pu_planned_copy (e, at.slot);
 
       e->load -= c->share;
-      e->weight -= c->share * t->i.importance;
+      e->weighted_load -= c->share * t->i.importance;
       c->share = 0;
       if (!takes_demand (c))
         continue;
-      p->other[n] = e->load;
+      p->scratch_load[n] = e->load;
       capacity[n++] = e->streams;
     }
   if (n == 0 || t->forecast.expected <= 0)
     return;
 
-  fill_level (p, n, capacity, t->forecast.expected);
+  level_utilization (p, n, capacity, t->forecast.expected);
   n = 0;
   for (guint i = 0; i < t->places->len; i++)
     {
@@ -227,46 +233,47 @@
 
       if (!takes_demand (c))
         continue;
-      c->share = p->filled[n++];
+      c->share = p->scratch_share[n++];
       e->load += c->share;
-      e->weight += c->share * t->i.importance;
+      e->weighted_load += c->share * t->i.importance;
     }
 }
 
 void
-pu_planner_spread (pu_planner_t *p)
+pu_planner_spread_demand (pu_planner_t *p)
 {
   for (guint i = 0; i < p->items->len; i++)
     pu_planner_spread_item (p, i);
 }
 
-/* Streams that are late on an engine with LOAD of CAPACITY, weighted by
-   importance.  What an engine answers on target stays the same however much
-   more is asked of it, as the rest is refused: so one copy more is a gain also
-   where ten would be needed.  */
+/* Returns the late streams on an engine with LOAD of CAPACITY, weighted by
+   importance.  An overloaded engine still serves the same number of streams on
+   time, as it rejects the rest, so that one more copy is a gain even where ten
+   are needed.  */
 static double
-late (double load, double weight, double capacity)
+late_streams (double load, double weighted_load, double capacity)
 {
-  double on_target = LATE_FROM * capacity;
+  double on_target = LATE_UTILIZATION * capacity;
 
   if (load <= on_target)
     return 0;
-  return weight / MEAN_IMPORTANCE * (1 - on_target / load);
+  return weighted_load / MEAN_IMPORTANCE * (1 - on_target / load);
 }
 
-/* Whether the adapter T is wherever its base is, so that it needs another copy
-   of the base to spread further.  */
+/* Whether the adapter T has as many copies as its base, so that it needs
+   another copy of the base to gain one.  */
 static bool
-fills_base (const pu_planner_t *p, const pu_planned_item_t *t)
+covers_base (const pu_planner_t *p, const pu_planned_item_t *t)
 {
   return t->places->len >= pu_planned_item (p, t->i.base)->places->len;
 }
 
-/* Share of ITEM on the engine E, and of its adapters: ALL of them, or those
-   that fill their base.  */
+/* Returns the demand on E for ITEM and its adapters, in streams.
+   ALL_ADAPTERS: all of them count, else those with as many copies as the base.
+ */
 static double
 bundle_share (const pu_planner_t *p, const pu_planned_engine_t *e,
-              guint32 item, bool all)
+              guint32 item, bool all_adapters)
 {
   double sum = 0;
 
@@ -276,15 +283,16 @@
       const pu_planned_item_t *t = pu_planned_item (p, c->c.item);
 
       if (c->c.item == item
-          || (t->i.base == item && (all || fills_base (p, t))))
+          || (t->i.base == item && (all_adapters || covers_base (p, t))))
         sum += c->share;
     }
   return sum;
 }
 
-/* Whether one of the first N places is on ENGINE: two versions may be.  */
+/* Whether one of the first N copies of T is on ENGINE, which may hold two
+   versions.  */
 static bool
-seen_before (const pu_planned_item_t *t, guint n, guint32 engine)
+is_on_engine (const pu_planned_item_t *t, guint n, guint32 engine)
 {
   for (guint i = 0; i < n; i++)
     {
@@ -294,21 +302,21 @@
   return false;
 }
 
-/* Whether place I of T, on E, takes no demand; the place after the last is one
-   to come.  */
+/* Whether copy I of T, which is on E, takes no demand.  The index after the
+   last copy stands for a copy to be added.  */
 static bool
-leaves (const pu_planned_item_t *t, guint i, const pu_planned_engine_t *e)
+is_leaving (const pu_planned_item_t *t, guint i, const pu_planned_engine_t *e)
 {
   return i < t->places->len
          && !takes_demand (pu_planned_copy (e, pu_item_place (t, i).slot));
 }
 
-/* Late streams before and after the demand of ITEM is spread again over its
-   places without SKIP and with EXTRA; PU_PLAN_NONE for either.  SCALE
-   enlarges the demand.  */
+/* Returns the increase in late streams when the demand for ITEM is distributed
+   anew over its engines without SKIP and with EXTRA, either of which may be
+   PU_PLAN_NONE.  The demand is multiplied by SCALE.  */
 static double
-change (pu_planner_t *p, guint32 item, guint32 skip, guint32 extra,
-        double scale)
+late_streams_delta (pu_planner_t *p, guint32 item, guint32 skip, guint32 extra,
+                    double scale)
 {
   pu_planned_item_t *t = pu_planned_item (p, item);
   guint n_max = t->places->len + 1;
@@ -320,7 +328,7 @@
   double after = 0;
   guint n = 0;
 
-  reserve_places (p, n_max);
+  reserve_scratch (p, n_max);
   for (guint i = 0; i <= t->places->len; i++)
     {
       guint32 engine
@@ -328,35 +336,37 @@
       pu_planned_engine_t *e;
       double mine;
 
-      if (engine == PU_PLAN_NONE || seen_before (t, i, engine))
+      if (engine == PU_PLAN_NONE || is_on_engine (t, i, engine))
         continue;
       e = pu_planned_engine (p, engine);
       mine = bundle_share (p, e, item, skip != PU_PLAN_NONE);
       demand += mine * scale;
-      before += late (e->load + mine * (scale - 1),
-                      e->weight + mine * (scale - 1) * t->i.importance,
-                      e->streams);
-      if (engine == skip || leaves (t, i, e))
+      before += late_streams (
+          e->load + mine * (scale - 1),
+          e->weighted_load + mine * (scale - 1) * t->i.importance, e->streams);
+      if (engine == skip || is_leaving (t, i, e))
         {
-          after += late (e->load - mine, e->weight - mine * t->i.importance,
-                         e->streams);
+          after += late_streams (e->load - mine,
+                                 e->weighted_load - mine * t->i.importance,
+                                 e->streams);
           continue;
         }
       at[n] = e;
       share[n] = mine;
-      p->other[n] = e->load - mine;
+      p->scratch_load[n] = e->load - mine;
       capacity[n++] = e->streams;
     }
   if (n == 0)
     return demand * t->i.importance / MEAN_IMPORTANCE;
 
-  fill_level (p, n, capacity, demand);
+  level_utilization (p, n, capacity, demand);
   for (guint i = 0; i < n; i++)
     {
-      double weight = at[i]->weight - share[i] * t->i.importance
-                      + p->filled[i] * t->i.importance;
+      double weight = at[i]->weighted_load - share[i] * t->i.importance
+                      + p->scratch_share[i] * t->i.importance;
 
-      after += late (p->other[i] + p->filled[i], weight, capacity[i]);
+      after += late_streams (p->scratch_load[i] + p->scratch_share[i], weight,
+                             capacity[i]);
     }
   return after - before;
 }
@@ -364,19 +374,21 @@
 double
 pu_planner_gain (pu_planner_t *p, guint32 item, guint32 engine)
 {
-  return -change (p, item, PU_PLAN_NONE, engine, 1.0);
+  return -late_streams_delta (p, item, PU_PLAN_NONE, engine, 1.0);
 }
 
 double
-pu_planner_loss (pu_planner_t *p, guint32 item, pu_place_t place, bool led)
+pu_planner_eviction_loss (pu_planner_t *p, guint32 item, pu_place_t place,
+                          bool with_base)
 {
   pu_planned_item_t *t = pu_planned_item (p, item);
   const pu_forecast_t *f = &t->forecast;
   double scale = f->expected > 0 ? MAX (1.0, f->held / f->expected) : 1.0;
   double loss = 0;
 
-  if (!led)
-    loss = MAX (0.0, change (p, item, place.engine, PU_PLAN_NONE, scale));
+  if (!with_base)
+    loss = MAX (
+        0.0, late_streams_delta (p, item, place.engine, PU_PLAN_NONE, scale));
 
   if (t->ready <= 2)
     loss += LAST_COPY_LOSS * (1 + f->held) * t->i.importance / MEAN_IMPORTANCE;
--- a/libplantainusher/placement/planner_round.h
+++ b/libplantainusher/placement/planner_round.h
@@ -4,9 +4,9 @@
 #include "placement/planner_internal.h"
 
 /*
- * planner_round - one pass over the phases of a step, shared by planner.c,
- * planner_repair.c, which mends what is missing, planner_room.c, which opens
- * room for it, and planner_grow.c, which adds copies where they pay.
+ * planner_round - one pass over the phases of a step.  Shared by planner.c,
+ * planner_repair.c (missing copies), planner_room.c (memory for them) and
+ * planner_grow.c (additional copies).
  */
 
 typedef struct
@@ -15,65 +15,72 @@
   guint64 now;
   GArray *moves;
   pu_victims_t v;
-  guint32 for_item;  /* whom loads make room for; PU_PLAN_NONE */
-  bool full;         /* the store has no limits */
-  bool repairing;    /* an item is unreachable: spare copies wait */
+  guint32 for_item;  /* the item that loads free memory for; PU_PLAN_NONE */
+  bool full;         /* plans up to a stable placement: the store's limits do
+                        not apply */
+  bool repairing;    /* an item has no ready copy: spare copies wait */
   guint loads;       /* ordered in this round */
-  bool lacking;      /* nothing is under way for one that is asked for: growth
-                        waits */
-  bool idle_lacking; /* or for any: growth takes every other turn */
+  bool lacking;      /* an item in demand has no ready copy and no load in
+                        flight: copies for demand wait */
+  bool idle_lacking; /* any item has none: copies for demand get every other
+                        load slot */
 } pu_round_t;
 
-/* pu_round_load - loads ITEM on ENGINE: at once when it fits and the store
-   takes it, else after the copies in r->v have made room.  */
+/* pu_round_load - plans a load of ITEM on ENGINE.  The load is ordered now if
+   r->v has no victims, and the store accepts it or the weights are cached.
+   Otherwise unloads of the victims are ordered and the load is deferred.  */
 void pu_round_load (pu_round_t *r, guint32 engine, guint32 item,
                     pu_plan_reason_t reason, double gain, double price);
 
-/* pu_round_emit_load - orders C, which is on ENGINE's list.  */
+/* pu_round_emit_load - orders the load of C on ENGINE.  */
 void pu_round_emit_load (pu_round_t *r, guint32 engine,
                          const pu_planned_copy_t *c);
 
-/* pu_round_try_load - finds an engine and loads; false without room, and the
-   item waits a little.  */
-bool pu_round_try_load (pu_round_t *r, guint32 item, pu_room_t room,
+/* pu_round_try_load - chooses an engine for ITEM and plans a load there.
+   Returns false when there is none; the item is then in backoff, unless an
+   engine may be available once the store or a loading engine is free.  */
+bool pu_round_try_load (pu_round_t *r, guint32 item, pu_eviction_t room,
                         pu_plan_reason_t reason);
 
-/* pu_round_store_takes_urgent - whether the store takes one more load.  */
+/* pu_round_store_takes_urgent - returns whether the store accepts one more
+   load.  */
 bool pu_round_store_takes_urgent (const pu_round_t *r);
 
-/* pu_round_store_takes - whether the store takes one more load that is not
-   urgent.  */
+/* pu_round_store_takes - returns whether the store accepts one more load that
+   is not urgent, beside all deferred loads.  */
 bool pu_round_store_takes (const pu_round_t *r);
 
-/* pu_round_may_try - whether T is declared and not held back.  */
+/* pu_round_may_try - returns whether T is declared and not in backoff.  */
 bool pu_round_may_try (const pu_round_t *r, const pu_planned_item_t *t);
 
-/* pu_round_base_is_ready - whether any engine holds the base of an adapter, so
-   that a try makes sense.  */
+/* pu_round_base_is_ready - returns whether T is a model, or an adapter whose
+   base has a ready copy that the adapter can be loaded beside.  */
 bool pu_round_base_is_ready (const pu_round_t *r, const pu_planned_item_t *t);
 
-/* pu_round_keep_promises - loads what was promised where the room has become
-   free, the unreachable first.  */
+/* pu_round_keep_promises - orders deferred loads whose memory is free now,
+   those of items without a ready copy first.  IDLE: only those of items that
+   have neither a ready copy nor demand, else all others.  */
 void pu_round_keep_promises (pu_round_t *r, bool idle);
 
-/* pu_round_is_hot - whether an engine has more to do than it can do in time.
- */
+/* pu_round_is_hot - returns whether the utilization of any engine is above
+   the option `hot`.  */
 bool pu_round_is_hot (const pu_round_t *r);
 
-/* pu_round_open_room - begins or goes on to move a last copy elsewhere, so
-   that ITEM, which found no room, may have its place.  */
+/* pu_round_open_room - starts or continues to move last copies from one engine
+   to others, to free memory for ITEM, which no engine has memory for.  */
 void pu_round_open_room (pu_round_t *r, guint32 item);
 
-/* pu_round_repair_asked, pu_round_repair_idle - phases 1 and 2: what is
-   unreachable, then what is below its minimum; of what callers ask for, and of
-   the rest.  */
+/* pu_round_repair_asked, pu_round_repair_idle - phases 1 and 2: plan loads for
+   items without a ready copy, then for those below their minimum of copies.
+   The first handles the items in demand, the second the others.  */
 void pu_round_repair_asked (pu_round_t *r);
 void pu_round_repair_idle (pu_round_t *r);
 
-/* pu_round_follow_demand - phase 5: copies whose gain exceeds their price.  */
+/* pu_round_follow_demand - phase 5: plans copies whose gain exceeds their
+   price.  */
 void pu_round_follow_demand (pu_round_t *r);
 
-/* pu_round_use_spare - phase 6: copies in free memory.  */
+/* pu_round_use_spare - phase 6: plans copies in free memory.  */
 void pu_round_use_spare (pu_round_t *r);
 
 #endif
--- a/libplantainusher/placement/planner_tables.c
+++ b/libplantainusher/placement/planner_tables.c
@@ -8,14 +8,15 @@
 #define DEFAULT_MIN_STAY_S 120.0
 #define DEFAULT_WATCH_S 60.0
 #define DEFAULT_MAX_FAILURES 3
-#define DEFAULT_MAX_COMING 3
-#define DEFAULT_ADVANCE_MS 1000
+#define DEFAULT_MAX_CONCURRENT_LOADS 3
+#define DEFAULT_FORECAST_PERIOD_MS 1000
 #define DEFAULT_HOT 0.7
 #define MS_PER_S 1000
-#define LEAST_STREAMS 0.001
-#define FAILURE_WAIT_MS 5000
-#define FAILURE_DOUBLINGS 8
-#define FAILURE_WAIT_MAX_MS 300000
+/* Lower limit for the streams of an engine, by which loads are divided.  */
+#define MIN_STREAMS 0.001
+#define FAILURE_BACKOFF_MS 5000
+#define FAILURE_BACKOFF_DOUBLINGS_MAX 8
+#define FAILURE_BACKOFF_MAX_MS 300000
 
 void
 pu_planner_options_init (pu_planner_options_t *o)
@@ -26,8 +27,8 @@
   o->min_stay_s = DEFAULT_MIN_STAY_S;
   o->watch_s = DEFAULT_WATCH_S;
   o->max_failures = DEFAULT_MAX_FAILURES;
-  o->max_coming = DEFAULT_MAX_COMING;
-  o->advance_ms = DEFAULT_ADVANCE_MS;
+  o->max_coming = DEFAULT_MAX_CONCURRENT_LOADS;
+  o->advance_ms = DEFAULT_FORECAST_PERIOD_MS;
   o->hot = DEFAULT_HOT;
   o->zone_spread = true;
   o->one_load = false;
@@ -42,7 +43,7 @@
 
   g_array_unref (e->copies);
   g_array_unref (e->blocks);
-  g_clear_pointer (&e->quick, g_hash_table_unref);
+  g_clear_pointer (&e->cached, g_hash_table_unref);
 }
 
 static void
@@ -66,7 +67,7 @@
   g_array_set_clear_func (p->engines, clear_engine);
   g_array_set_clear_func (p->items, clear_item);
   p->n_zones = 1;
-  p->store = G_MAXUINT;
+  p->load_slots = G_MAXUINT;
   p->zone_copies = g_new0 (guint, p->n_zones);
   return p;
 }
@@ -84,24 +85,24 @@
     return;
   g_array_unref (p->engines);
   g_array_unref (p->items);
-  g_free (p->mark);
-  g_free (p->other);
-  g_free (p->filled);
+  g_free (p->holder_stamp);
+  g_free (p->scratch_load);
+  g_free (p->scratch_share);
   g_free (p->zone_copies);
   g_free (p);
 }
 
 static GHashTable *
-quick_copy (GHashTable *quick)
+copy_item_set (GHashTable *set)
 {
   GHashTable *copy;
   GHashTableIter it;
   gpointer item;
 
-  if (quick == NULL)
+  if (set == NULL)
     return NULL;
   copy = g_hash_table_new (NULL, NULL);
-  g_hash_table_iter_init (&it, quick);
+  g_hash_table_iter_init (&it, set);
   while (g_hash_table_iter_next (&it, &item, NULL))
     g_hash_table_add (copy, item);
   return copy;
@@ -112,8 +113,8 @@
 {
   pu_planner_t *q = pu_planner_new (&p->o);
 
-  q->last_advance = p->last_advance;
-  q->store = p->store;
+  q->last_forecast_ms = p->last_forecast_ms;
+  q->load_slots = p->load_slots;
   q->any_quick = p->any_quick;
   q->n_zones = p->n_zones;
   q->zone_copies = g_renew (guint, q->zone_copies, p->n_zones);
@@ -123,7 +124,7 @@
 
       e.copies = g_array_copy (e.copies);
       e.blocks = g_array_copy (e.blocks);
-      e.quick = quick_copy (e.quick);
+      e.cached = copy_item_set (e.cached);
       g_array_append_val (q->engines, e);
     }
   for (guint i = 0; i < p->items->len; i++)
@@ -146,8 +147,8 @@
       pu_planned_engine_t e = { 0 };
 
       e.copies = g_array_new (FALSE, FALSE, sizeof (pu_planned_copy_t));
-      e.blocks = g_array_new (FALSE, FALSE, sizeof (pu_block_t));
-      e.streams = LEAST_STREAMS;
+      e.blocks = g_array_new (FALSE, FALSE, sizeof (pu_load_block_t));
+      e.streams = MIN_STREAMS;
       g_array_append_val (p->engines, e);
     }
 }
@@ -189,7 +190,8 @@
   return NULL;
 }
 
-/* The new list of copies, with what was known of those that stay.  */
+/* Returns the copies of FROM, with the state of E for those that it already
+   has.  */
 static GArray *
 merge_copies (const pu_planned_engine_t *e, const pu_plan_engine_t *from,
               guint64 now)
@@ -215,10 +217,11 @@
   return copies;
 }
 
-/* A declared version that has stayed ready is no longer held to have failed.
- */
+/* Resets the count of failed loads of items whose wanted version has been
+   ready on E for watch_s.  */
 static void
-forgive (const pu_planner_t *p, const pu_planned_engine_t *e, guint64 now)
+reset_failures (const pu_planner_t *p, const pu_planned_engine_t *e,
+                guint64 now)
 {
   guint64 watch = (guint64)(p->o.watch_s * MS_PER_S);
 
@@ -233,9 +236,10 @@
     }
 }
 
-/* A promise is kept when its copy has come, and dropped with its engine.  */
+/* Clears the deferred load of E when its copy is reported, or E is not usable.
+ */
 static void
-check_promise (pu_planned_engine_t *e)
+clear_obsolete_deferred (pu_planned_engine_t *e)
 {
   if (!e->promised)
     return;
@@ -273,9 +277,9 @@
   e->accelerators = from->accelerators;
   e->memory_mb = from->memory_mb;
   e->committed_mb = from->committed_mb;
-  e->streams = fmax (from->streams, LEAST_STREAMS);
-  check_promise (e);
-  forgive (p, e, now);
+  e->streams = fmax (from->streams, MIN_STREAMS);
+  clear_obsolete_deferred (e);
+  reset_failures (p, e, now);
 }
 
 static void
@@ -292,9 +296,10 @@
     }
 }
 
-/* The version to fall back to: as declared, else the one before in T.  */
+/* Returns the version to roll back to when T is declared anew as I: the one
+   that I names, else the version that T had before.  */
 static guint32
-previous_of (const pu_planned_item_t *t, const pu_plan_item_t *i)
+previous_version (const pu_planned_item_t *t, const pu_plan_item_t *i)
 {
   if (i->previous_version != PU_PLAN_NONE || !t->declared)
     return i->previous_version;
@@ -302,13 +307,13 @@
 }
 
 void
-pu_planner_set_least (pu_planner_t *p, guint32 item, guint32 least)
+pu_planner_set_least (pu_planner_t *p, guint32 item, guint32 min_copies)
 {
   pu_planned_item_t *t;
 
   grow_items (p, item);
   t = pu_planned_item (p, item);
-  t->i.min_copies = MIN (least, t->i.max_copies);
+  t->i.min_copies = MIN (min_copies, t->i.max_copies);
 }
 
 void
@@ -330,13 +335,13 @@
   else
     {
       char *name = g_strdup (i->name);
-      guint32 previous = previous_of (t, i);
+      guint32 previous = previous_version (t, i);
 
       if (t->declared && t->i.version != i->version)
         {
           t->rolled_back = false;
           t->failures = 0;
-          t->first_ready = 0;
+          t->new_ready_since = 0;
         }
       g_free ((char *)t->i.name);
       t->i = *i;
@@ -358,10 +363,10 @@
                    stream_ms);
 }
 
-/* The version of a ready copy of ITEM that is not the declared one, or
-   PU_PLAN_NONE.  */
+/* Returns a version of ITEM other than the declared one that has a ready copy,
+   or PU_PLAN_NONE.  */
 static guint32
-other_version (const pu_planner_t *p, guint32 item)
+ready_other_version (const pu_planner_t *p, guint32 item)
 {
   guint32 declared = pu_planned_item (p, item)->i.version;
 
@@ -383,42 +388,42 @@
 
 void
 pu_planner_set_quick (pu_planner_t *p, guint32 engine, guint32 item,
-                      bool quick)
+                      bool cached)
 {
   pu_planned_engine_t *e;
 
   grow_engines (p, engine);
   e = pu_planned_engine (p, engine);
-  if (e->quick == NULL && !quick)
+  if (e->cached == NULL && !cached)
     return;
-  if (e->quick == NULL)
-    e->quick = g_hash_table_new (NULL, NULL);
-  if (!quick)
+  if (e->cached == NULL)
+    e->cached = g_hash_table_new (NULL, NULL);
+  if (!cached)
     {
-      g_hash_table_remove (e->quick, GUINT_TO_POINTER (item));
+      g_hash_table_remove (e->cached, GUINT_TO_POINTER (item));
       return;
     }
-  g_hash_table_add (e->quick, GUINT_TO_POINTER (item));
+  g_hash_table_add (e->cached, GUINT_TO_POINTER (item));
   p->any_quick = true;
 }
 
 void
 pu_planner_set_store (pu_planner_t *p, guint n)
 {
-  p->store = n;
+  p->load_slots = n;
 }
 
 void
 pu_planner_block (pu_planner_t *p, guint32 engine, guint32 item, guint64 until)
 {
-  pu_block_t b = { item, until };
+  pu_load_block_t b = { item, until };
   GArray *blocks;
 
   grow_engines (p, engine);
   blocks = pu_planned_engine (p, engine)->blocks;
   for (guint i = 0; i < blocks->len; i++)
     {
-      pu_block_t *o = &g_array_index (blocks, pu_block_t, i);
+      pu_load_block_t *o = &g_array_index (blocks, pu_load_block_t, i);
 
       if (o->item == item)
         {
@@ -439,23 +444,24 @@
 
   grow_items (p, item);
   t = pu_planned_item (p, item);
-  wait = (guint64)FAILURE_WAIT_MS << MIN (t->failures, FAILURE_DOUBLINGS);
-  wait = MIN (wait, FAILURE_WAIT_MAX_MS);
+  wait = (guint64)FAILURE_BACKOFF_MS
+         << MIN (t->failures, FAILURE_BACKOFF_DOUBLINGS_MAX);
+  wait = MIN (wait, FAILURE_BACKOFF_MAX_MS);
   t->failures++;
   pu_planner_block (p, engine, item, now + wait);
   if (t->failures < p->o.max_failures)
     return;
 
   t->not_before = now + wait;
-  older = other_version (p, item);
+  older = ready_other_version (p, item);
   if (older != PU_PLAN_NONE)
     t->i.previous_version = older;
   if (version != pu_planned_version (t)
       || t->i.previous_version == PU_PLAN_NONE
       || t->i.previous_version == t->i.version)
     return;
-  /* Should the version before fail as well, the declared one has its turn
-     again.  */
+  /* When the previous version fails as well, the declared one is tried again.
+   */
   t->rolled_back = !t->rolled_back;
   t->failures = 0;
 }
@@ -479,7 +485,8 @@
   return n;
 }
 
-/* Whether the one copy of ITEM that comes has its room, but no load order.  */
+/* Whether the only pending load of ITEM is deferred although its memory is
+   free, so that it waits for the store alone.  */
 static bool
 waits_for_store (const pu_planner_t *p, guint32 item)
 {
@@ -518,7 +525,8 @@
   return PU_ITEM_STATE_WAIT_STORE;
 }
 
-/* Whether a copy is ready there, or was when its unload was planned.  */
+/* Whether the copy of VERSION of ITEM on E is ready, or is leaving and may
+   still be ready.  */
 static bool
 may_be_ready_on (const pu_planned_engine_t *e, guint32 item, guint32 version)
 {
@@ -568,7 +576,7 @@
 }
 
 double
-pu_planner_expected (const pu_planner_t *p, guint32 item)
+pu_planner_expected_streams (const pu_planner_t *p, guint32 item)
 {
   if (item >= p->items->len)
     return 0;
