--- a/libplantainusher/placement/planner.c
+++ b/libplantainusher/placement/planner.c
@@ -138,18 +138,18 @@
 }
 
 bool
-pu_round_try_load (pu_round_t *r, guint32 item, pu_eviction_t room,
+pu_round_try_load (pu_round_t *r, guint32 item, pu_eviction_t evict,
                    pu_plan_reason_t reason)
 {
   pu_planned_item_t *t = pu_planned_item (r->p, item);
   guint32 version = pu_planned_version (t);
   guint32 engine
-      = pu_planner_choose (r->p, item, version, room, r->now, &r->v);
+      = pu_planner_choose (r->p, item, version, evict, r->now, &r->v);
 
-  if (engine == PU_PLAN_NONE && room == PU_ROOM_MINIMUM && !r->p->waits_turn)
+  if (engine == PU_PLAN_NONE && evict == PU_ROOM_MINIMUM && !r->p->waits_turn)
     {
       r->p->lean = true;
-      engine = pu_planner_choose (r->p, item, version, room, r->now, &r->v);
+      engine = pu_planner_choose (r->p, item, version, evict, r->now, &r->v);
       r->p->lean = false;
     }
   if (engine == PU_PLAN_NONE && (r->p->quick_only || r->p->waits_turn))
@@ -284,9 +284,9 @@
   if (n.new_any < target && t->coming == 0 && pu_round_may_try (r, t)
       && pu_round_base_is_ready (r, t) && pu_round_store_takes (r))
     {
-      pu_eviction_t room = n.new_any == 0 ? PU_ROOM_MINIMUM : PU_ROOM_SPARE;
+      pu_eviction_t evict = n.new_any == 0 ? PU_ROOM_MINIMUM : PU_ROOM_SPARE;
 
-      pu_round_try_load (r, item, room, reason);
+      pu_round_try_load (r, item, evict, reason);
     }
   unload_old_version (r, t, &n, reason);
 }
--- a/libplantainusher/placement/planner_choose.c
+++ b/libplantainusher/placement/planner_choose.c
@@ -33,7 +33,7 @@
 
   if (waits)
     return free;
-  return free - MIN (free, e->adapter_mb);
+  return free - MIN (free, e->for_adapters_mb);
 }
 
 guint32
@@ -143,13 +143,13 @@
 /* Whether the copy in SLOT may be unloaded for ITEM, its adapters aside.  */
 static bool
 may_remove (const pu_planner_t *p, const pu_planned_engine_t *e, guint slot,
-            guint32 item, pu_eviction_t room)
+            guint32 item, pu_eviction_t evict)
 {
   const pu_planned_copy_t *c = pu_planned_copy (e, slot);
   const pu_planned_item_t *t = pu_planned_item (p, c->c.item);
   const pu_planned_item_t *wants
       = item != PU_PLAN_NONE ? pu_planned_item (p, item) : NULL;
-  guint keep = room == PU_ROOM_MINIMUM ? 1 : MAX (1, t->i.min_copies);
+  guint keep = evict == PU_ROOM_MINIMUM ? 1 : MAX (1, t->i.min_copies);
 
   if (c->c.phase != PU_PLAN_READY)
     return false;
@@ -157,7 +157,7 @@
     return false;
   if (!t->declared)
     return true;
-  if (room == PU_ROOM_SPARE && t->coming > 0 && needs_pending_loads (p, t))
+  if (evict == PU_ROOM_SPARE && t->coming > 0 && needs_pending_loads (p, t))
     return false;
   if (c->c.item == item && c->c.version == pu_planned_version (t))
     return false;
@@ -176,13 +176,13 @@
 
 bool
 pu_planner_bundle (const pu_planner_t *p, guint32 engine, guint slot,
-                   guint32 item, pu_eviction_t room, GArray *slots)
+                   guint32 item, pu_eviction_t evict, GArray *slots)
 {
   const pu_planned_engine_t *e = pu_planned_engine (p, engine);
   guint32 base = pu_planned_copy (e, slot)->c.item;
 
   g_array_set_size (slots, 0);
-  if (!may_remove (p, e, slot, item, room))
+  if (!may_remove (p, e, slot, item, evict))
     return false;
   for (guint s = 0; s < e->copies->len; s++)
     {
@@ -191,7 +191,7 @@
       if (pu_planned_item (p, c->c.item)->i.base != base
           || c->c.phase == PU_PLAN_LEAVING)
         continue;
-      if (!may_remove (p, e, s, item, room))
+      if (!may_remove (p, e, s, item, evict))
         return false;
       g_array_append_val (slots, s);
     }
@@ -238,7 +238,7 @@
    to their memory.  */
 static double
 slots_loss (pu_planner_t *p, guint32 engine, const GArray *slots,
-            pu_eviction_t room, double *mb)
+            pu_eviction_t evict, double *mb)
 {
   const pu_planned_engine_t *e = pu_planned_engine (p, engine);
   double loss = 0;
@@ -250,7 +250,7 @@
       const pu_planned_copy_t *c = pu_planned_copy (e, at.slot);
 
       *mb += c->c.memory_mb;
-      if (room == PU_ROOM_MINIMUM)
+      if (evict == PU_ROOM_MINIMUM)
         loss += DRAIN_LOSS * c->share;
       if (pu_planned_item (p, c->c.item)->declared)
         loss
@@ -263,7 +263,7 @@
    Returns its loss, or -1 when there is none.  */
 static double
 find_cheapest_bundle (pu_planner_t *p, guint32 engine, guint32 item,
-                      pu_eviction_t room, const pu_victims_t *v, GArray *best)
+                      pu_eviction_t evict, const pu_victims_t *v, GArray *best)
 {
   const pu_planned_engine_t *e = pu_planned_engine (p, engine);
   GArray *slots = g_array_new (FALSE, FALSE, sizeof (guint));
@@ -276,9 +276,9 @@
       double loss;
 
       if (has_slot (v->slots, s)
-          || !pu_planner_bundle (p, engine, s, item, room, slots))
+          || !pu_planner_bundle (p, engine, s, item, evict, slots))
         continue;
-      loss = slots_loss (p, engine, slots, room, &mb);
+      loss = slots_loss (p, engine, slots, evict, &mb);
       if (best_rate >= 0 && (loss + 1e-6) / mb >= best_rate)
         continue;
       best_rate = (loss + 1e-6) / MAX (1.0, mb);
@@ -292,7 +292,7 @@
 
 bool
 pu_planner_victims (pu_planner_t *p, guint32 engine, guint32 item,
-                    pu_eviction_t room, guint64 now, pu_victims_t *v)
+                    pu_eviction_t evict, guint64 now, pu_victims_t *v)
 {
   const pu_planned_engine_t *e = pu_planned_engine (p, engine);
   guint32 need = pu_planned_need_mb (p, pu_planned_item (p, item));
@@ -302,13 +302,13 @@
   v->loss = 0;
   v->young = 0;
   g_array_set_size (v->slots, 0);
-  if (have >= need || room == PU_ROOM_NONE)
+  if (have >= need || evict == PU_ROOM_NONE)
     return have >= need;
 
   best = g_array_new (FALSE, FALSE, sizeof (guint));
   while (have < need)
     {
-      double loss = find_cheapest_bundle (p, engine, item, room, v, best);
+      double loss = find_cheapest_bundle (p, engine, item, evict, v, best);
 
       if (loss < 0)
         break;
@@ -443,13 +443,13 @@
 
 guint32
 pu_planner_choose (pu_planner_t *p, guint32 item, guint32 version,
-                   pu_eviction_t room, guint64 now, pu_victims_t *v)
+                   pu_eviction_t evict, guint64 now, pu_victims_t *v)
 {
   /* All engines are candidates when the item has no other way to be loaded. */
-  guint tries = room == PU_ROOM_MINIMUM ? p->engines->len : EVICTION_TRIES;
+  guint tries = evict == PU_ROOM_MINIMUM ? p->engines->len : EVICTION_TRIES;
   guint32 engines[tries + 1];
   double scores[tries + 1];
-  ranked_t full = { engines, scores, 0, room == PU_ROOM_NONE ? 0 : tries };
+  ranked_t full = { engines, scores, 0, evict == PU_ROOM_NONE ? 0 : tries };
   guint32 need = pu_planned_need_mb (p, pu_planned_item (p, item));
   double least = 0;
   guint32 best;
@@ -464,14 +464,14 @@
   if (waits_for_loading_engine (p, item))
     return PU_PLAN_NONE;
   if (best != PU_PLAN_NONE
-      && (room == PU_ROOM_MINIMUM || !is_crowded (p, best)))
+      && (evict == PU_ROOM_MINIMUM || !is_crowded (p, best)))
     return best;
 
   for (guint i = 0; i < full.n; i++)
     {
       if (best != PU_PLAN_NONE && i >= EVICTION_TRIES)
         break;
-      if (!pu_planner_victims (p, engines[i], item, room, now, v))
+      if (!pu_planner_victims (p, engines[i], item, evict, now, v))
         continue;
       if (best != PU_PLAN_NONE && v->loss + scores[i] >= least)
         continue;
@@ -481,7 +481,7 @@
   if (best != PU_PLAN_NONE)
     {
       p->waits_turn = false;
-      pu_planner_victims (p, best, item, room, now, v);
+      pu_planner_victims (p, best, item, evict, now, v);
     }
   return best;
 }
--- a/libplantainusher/placement/planner_internal.h
+++ b/libplantainusher/placement/planner_internal.h
@@ -46,7 +46,7 @@
   guint32 accelerators;
   guint32 memory_mb;
   guint32 committed_mb;
-  guint32 adapter_mb; /* free, but reserved for adapters of bases on it */
+  guint32 for_adapters_mb; /* free, but reserved for adapters of bases on it */
   double streams;
   GArray *copies;       /* of pu_planned_copy_t */
   GArray *blocks;       /* of pu_load_block_t; expired ones are dropped */
@@ -104,7 +104,7 @@
   guint load_slots; /* loads from the store that may still be ordered */
   bool grew;        /* the last turn at the store went to demand, not to items
                        without demand */
-  bool any_quick;   /* some engine has weights cached locally */
+  bool any_quick;   /* weights were cached on some engine so far */
   bool quick_only;  /* the store accepts no load: only cached weights */
   bool waits_turn;  /* the last pu_planner_choose found free memory only on
                        engines that are loading */
@@ -215,13 +215,13 @@
    PU_PLAN_NONE.  Sets V to the copies to evict there, empty when it fits in
    free memory.  */
 guint32 pu_planner_choose (pu_planner_t *p, guint32 item, guint32 version,
-                           pu_eviction_t room, guint64 now, pu_victims_t *v);
+                           pu_eviction_t evict, guint64 now, pu_victims_t *v);
 
 /* pu_planner_victims - fills V with the copies on ENGINE to evict for ITEM,
    chosen in order of loss per MB.  Returns false when they do not free enough
    memory.  */
 bool pu_planner_victims (pu_planner_t *p, guint32 engine, guint32 item,
-                         pu_eviction_t room, guint64 now, pu_victims_t *v);
+                         pu_eviction_t evict, guint64 now, pu_victims_t *v);
 
 /* pu_planner_mark_item - marks the engines that hold VERSION of ITEM, and
    counts the copies of ITEM by zone.  */
@@ -237,7 +237,7 @@
    when one of them must not be unloaded for ITEM; PU_PLAN_NONE: for no
    particular item.  */
 bool pu_planner_bundle (const pu_planner_t *p, guint32 engine, guint slot,
-                        guint32 item, pu_eviction_t room, GArray *slots);
+                        guint32 item, pu_eviction_t evict, GArray *slots);
 
 /* Returns the free memory that a copy of T needs, in MB.  That of a base
    includes its adapters, unless p->lean.  */
--- a/libplantainusher/placement/planner_load.c
+++ b/libplantainusher/placement/planner_load.c
@@ -75,7 +75,7 @@
   pu_planned_engine_t *e = pu_planned_engine (p, engine);
 
   list_deferred (e);
-  e->adapter_mb = 0;
+  e->for_adapters_mb = 0;
   e->models_loading = 0;
   e->load = 0;
   e->weighted_load = 0;
@@ -118,7 +118,7 @@
           = pu_planned_item (p, g_array_index (t->adapters, guint32, i));
 
       if (a->ready + a->coming == 0)
-        pu_planned_engine (p, engine)->adapter_mb += a->i.memory_mb;
+        pu_planned_engine (p, engine)->for_adapters_mb += a->i.memory_mb;
     }
 }
 
@@ -166,14 +166,14 @@
   while (dropped)
     {
       double load = demand;
-      double room = 0;
+      double total_capacity = 0;
 
       for (guint i = 0; i < n; i++)
         {
           load += p->scratch_share[i] > 0 ? p->scratch_load[i] : 0;
-          room += p->scratch_share[i] > 0 ? capacity[i] : 0;
+          total_capacity += p->scratch_share[i] > 0 ? capacity[i] : 0;
         }
-      level = load / room;
+      level = load / total_capacity;
       dropped = false;
       for (guint i = 0; i < n; i++)
         {
--- a/libplantainusher/placement/planner_round.h
+++ b/libplantainusher/placement/planner_round.h
@@ -39,7 +39,7 @@
 /* pu_round_try_load - chooses an engine for ITEM and plans a load there.
    Returns false when there is none; the item is then in backoff, unless an
    engine may be available once the store or a loading engine is free.  */
-bool pu_round_try_load (pu_round_t *r, guint32 item, pu_eviction_t room,
+bool pu_round_try_load (pu_round_t *r, guint32 item, pu_eviction_t evict,
                         pu_plan_reason_t reason);
 
 /* pu_round_store_takes_urgent - returns whether the store accepts one more
