--- a/libplantainusher/placement/planner_choose.c
+++ b/libplantainusher/placement/planner_choose.c
@@ -253,8 +253,10 @@
       if (evict == PU_ROOM_MINIMUM)
         loss += DRAIN_LOSS * c->share;
       if (pu_planned_item (p, c->c.item)->declared)
-        loss
-            += pu_planner_eviction_loss (p, c->c.item, at, i + 1 < slots->len);
+        {
+          loss += pu_planner_eviction_loss (p, c->c.item, at,
+                                            i + 1 < slots->len);
+        }
     }
   return loss;
 }
--- a/libplantainusher/placement/planner_load.c
+++ b/libplantainusher/placement/planner_load.c
@@ -387,8 +387,10 @@
   double loss = 0;
 
   if (!with_base)
-    loss = MAX (
-        0.0, late_streams_delta (p, item, place.engine, PU_PLAN_NONE, scale));
+    {
+      loss = MAX (0.0, late_streams_delta (p, item, place.engine, PU_PLAN_NONE,
+                                           scale));
+    }
 
   if (t->ready <= 2)
     loss += LAST_COPY_LOSS * (1 + f->held) * t->i.importance / MEAN_IMPORTANCE;
