--- a/libplantainusher/placement/planner_internal.h
+++ b/libplantainusher/placement/planner_internal.h
@@ -240,7 +240,7 @@
                         guint32 item, pu_eviction_t evict, GArray *slots);
 
 /* Returns the free memory that a copy of T needs, in MB.  That of a base
-   includes its adapters, unless p->lean.  */
+   includes its adapters, except while the planner ignores them.  */
 guint32 pu_planned_need_mb (const pu_planner_t *p, const pu_planned_item_t *t);
 
 /* Returns the free memory of E, in MB.  */
