--- a/libplantainusher/placement/due.c
+++ b/libplantainusher/placement/due.c
@@ -1,7 +1,6 @@
 #include "placement/due.h"
 
-/* The entry of ITEM among what ENGINE holds or may come to hold; NULL: none.
- */
+/* The entry of ITEM on ENGINE, whatever its phase; NULL: none.  */
 static const pu_dispatcher_item_t *
 find_item (const pu_dispatcher_t *d, guint32 engine, guint32 item)
 {
@@ -16,21 +15,22 @@
   return NULL;
 }
 
-/* What is left of a load of TAKES ms that stands as X says.  */
+/* Remaining milliseconds of the load of X, which takes LOAD_MS in all; one
+   that is not accepted yet counts in full.  */
 static guint32
-left_of (const pu_dispatcher_item_t *x, guint32 takes, guint64 now)
+remaining_ms (const pu_dispatcher_item_t *x, guint32 load_ms, guint64 now)
 {
-  guint64 ran = x->phase == PU_DISPATCHER_LOADING ? now - x->since : 0;
+  guint64 elapsed_ms = x->phase == PU_DISPATCHER_LOADING ? now - x->since : 0;
 
-  return takes - (guint32)MIN (ran, takes);
+  return load_ms - (guint32)MIN (elapsed_ms, load_ms);
 }
 
 guint32
 pu_due_ms (const pu_dispatcher_t *d, const pu_due_engine_t *engines, guint n,
            guint32 item, const pu_due_times_t *t, guint64 now)
 {
-  guint32 coming = G_MAXUINT32;
-  guint32 begun_now = t->store_ms;
+  guint32 ordered_load_ms = G_MAXUINT32;
+  guint32 new_load_ms = t->store_ms;
 
   if (t->store_ms == 0)
     return 0;
@@ -38,18 +38,18 @@
     {
       const pu_due_engine_t *e = &engines[i];
       bool quick = e->quick && t->quick_ms > 0;
-      guint32 takes = quick ? t->quick_ms : t->store_ms;
+      guint32 load_ms = quick ? t->quick_ms : t->store_ms;
       const pu_dispatcher_item_t *x = find_item (d, e->engine, item);
 
       if (!pu_dispatcher_known (d, e->engine))
         return 0;
-      begun_now = MIN (begun_now, takes);
+      new_load_ms = MIN (new_load_ms, load_ms);
       if (x == NULL || x->phase == PU_DISPATCHER_ABSENT
           || x->phase == PU_DISPATCHER_LEAVING)
         continue;
       if (x->phase == PU_DISPATCHER_READY)
         return 0;
-      coming = MIN (coming, left_of (x, takes, now));
+      ordered_load_ms = MIN (ordered_load_ms, remaining_ms (x, load_ms, now));
     }
-  return coming != G_MAXUINT32 ? coming : begun_now;
+  return ordered_load_ms != G_MAXUINT32 ? ordered_load_ms : new_load_ms;
 }
--- a/libplantainusher/placement/due.h
+++ b/libplantainusher/placement/due.h
@@ -6,31 +6,32 @@
 G_BEGIN_DECLS
 
 /*
- * due - how long it takes at the least until a copy of an item is ready.
+ * due - the shortest time until a copy of an item can be ready.
  *
- * Callers of a model that no engine has are told when to come back, or wait,
- * by this: so it may be too short, where a load takes longer than told or has
- * not been planned yet, but not too long.
+ * Callers of a model that no engine holds wait this long, or are told to retry
+ * after it.  It is a lower bound: a load may take longer than expected, or not
+ * be planned yet, but no copy is ready earlier.
  */
 
-/* What a load takes, in milliseconds; 0: not told.  */
+/* Expected times of a load in milliseconds; 0: unknown.  */
 typedef struct
 {
   guint32 store_ms; /* from the weights store */
-  guint32 quick_ms; /* from what an engine has at hand */
+  guint32 quick_ms; /* from the engine's disk or its host's memory */
 } pu_due_times_t;
 
 /* An engine in use.  */
 typedef struct
 {
   guint32 engine;
-  bool quick; /* it has the item at hand */
+  bool quick; /* its disk or its host's memory has the item */
 } pu_due_engine_t;
 
 /* pu_due_ms - milliseconds from NOW until ITEM can be ready on one of the N
-   ENGINES: by the load that ends first, or by one that begins now.  0 when a
-   copy is ready, when the times are not told, or when no report of an engine,
-   which may hold one, has come yet.  */
+   ENGINES: by the load under way that ends first or, when there is none, by
+   the fastest load that could start now.  0 when a copy is ready, when the
+   time of a load from the store is unknown, or when an engine, which may hold
+   a copy, has not reported yet.  */
 guint32 pu_due_ms (const pu_dispatcher_t *d, const pu_due_engine_t *engines,
                    guint n, guint32 item, const pu_due_times_t *t,
                    guint64 now);
--- a/libplantainusher/placement/forecast.c
+++ b/libplantainusher/placement/forecast.c
@@ -7,20 +7,21 @@
 #define DEFAULT_SLOW_S 60.0
 #define DEFAULT_HELD_S 200.0
 #define DEFAULT_LEAD_S 10.0
-#define DEFAULT_SIGMAS 4.0
-#define MOST_GROWTH 1.5 /* of the trend, over the fast average */
+#define DEFAULT_BURST_SIGMAS 4.0
+/* Limit of the extrapolated trend, as a multiple of the fast average.  */
+#define MAX_TREND_GROWTH 1.5
 #define MS_PER_S 1000.0
-/* Requests at which a model's own estimate counts half: a dozen answers are
-   enough for the least of them to be one that met no crowd.  */
-#define FEW_REQUESTS 16.0
-/* Times the mean of all models that is believed without that.  With it, a
-   model that got two requests a second, told to take four to ten seconds
-   each, no longer gets a load of the store for them: served on five days of
-   trouble and high load rose from 0.729 to 0.747 and from 0.887 to 0.896 on
-   two deployments of 21 engines.  */
-#define BELIEVED_MEANS 2.0
-/* Requests that the mean of all models looks back on.  */
-#define COMMON_REQUESTS 100.0
+/* Requests at which a model's own estimate has half the weight: among a
+   dozen answers, the shortest has probably run without contention.  */
+#define TRUST_HALF_REQUESTS 16.0
+/* Multiple of the mean of all models up to which an estimate always counts in
+   full.  The cap keeps a model that gets two requests a second, estimated at
+   four to ten seconds each, from taking a load from the store.  On five days
+   with faults and high load it raised the share of requests served from 0.729
+   to 0.747 and from 0.887 to 0.896 on two deployments of 21 engines.  */
+#define CAP_MEANS 2.0
+/* Number of requests over which the mean of all models is averaged.  */
+#define COMMON_MEAN_REQUESTS 100.0
 
 void
 pu_forecast_options_init (pu_forecast_options_t *o)
@@ -30,30 +31,35 @@
   o->slow_s = DEFAULT_SLOW_S;
   o->held_s = DEFAULT_HELD_S;
   o->lead_s = DEFAULT_LEAD_S;
-  o->sigmas = DEFAULT_SIGMAS;
+  o->burst_sigmas = DEFAULT_BURST_SIGMAS;
 }
 
+/* STREAM_MS, the estimate for REQUESTS, with the part above the cap weighted
+   by the number of requests seen of the model.  */
 static double
-believed_ms (const pu_forecast_t *f, const pu_forecast_common_t *c,
-             guint32 requests, double stream_ms)
+cap_estimate_ms (const pu_forecast_t *f, const pu_forecast_common_t *c,
+                 guint32 requests, double stream_ms)
 {
-  double most = BELIEVED_MEANS * c->request_ms * requests;
-  double trust = f->seen / (f->seen + FEW_REQUESTS);
+  double cap_ms = CAP_MEANS * c->mean_request_ms * requests;
+  double trust
+      = f->weighted_requests / (f->weighted_requests + TRUST_HALF_REQUESTS);
 
-  if (c->request_ms <= 0 || stream_ms <= most)
+  if (c->mean_request_ms <= 0 || stream_ms <= cap_ms)
     return stream_ms;
-  return most + trust * (stream_ms - most);
+  return cap_ms + trust * (stream_ms - cap_ms);
 }
 
 static void
-common_learn (pu_forecast_common_t *c, guint32 requests, double stream_ms)
+update_common_mean (pu_forecast_common_t *c, guint32 requests,
+                    double stream_ms)
 {
   double mean = stream_ms / requests;
-  double newest = requests / (requests + COMMON_REQUESTS);
+  double newest_weight = requests / (requests + COMMON_MEAN_REQUESTS);
 
-  c->request_ms = c->request_ms > 0
-                      ? c->request_ms + newest * (mean - c->request_ms)
-                      : mean;
+  c->mean_request_ms
+      = c->mean_request_ms > 0
+            ? c->mean_request_ms + newest_weight * (mean - c->mean_request_ms)
+            : mean;
 }
 
 void
@@ -64,15 +70,15 @@
 
   if (requests == 0)
     return;
-  f->seen += requests;
-  f->requests += requests;
-  ms = believed_ms (f, c, requests, stream_ms);
-  f->stream_s += ms / MS_PER_S;
-  common_learn (c, requests, ms);
+  f->weighted_requests += requests;
+  f->period_requests += requests;
+  ms = cap_estimate_ms (f, c, requests, stream_ms);
+  f->period_stream_s += ms / MS_PER_S;
+  update_common_mean (c, requests, ms);
 }
 
 static double
-weight (double period_s, double constant_s)
+smoothing_weight (double period_s, double constant_s)
 {
   return 1.0 - exp (-period_s / constant_s);
 }
@@ -83,15 +89,15 @@
   pu_forecast_period_t p;
 
   p.period_s = period_s;
-  p.fast = weight (period_s, o->fast_s);
-  p.mid = weight (period_s, o->mid_s);
-  p.slow = weight (period_s, o->slow_s);
-  p.held = weight (period_s, o->held_s);
+  p.fast_weight = smoothing_weight (period_s, o->fast_s);
+  p.mid_weight = smoothing_weight (period_s, o->mid_s);
+  p.slow_weight = smoothing_weight (period_s, o->slow_s);
+  p.held_weight = smoothing_weight (period_s, o->held_s);
   return p;
 }
 
 static void
-start (pu_forecast_t *f, double sample)
+start_averages (pu_forecast_t *f, double sample)
 {
   f->started = true;
   f->fast = sample;
@@ -100,48 +106,50 @@
   f->held = sample;
 }
 
-/* Standard deviation of the fast average for Poisson arrivals at the slow
-   average's rate.  */
+/* Standard deviation of the fast average for Poisson arrivals at the rate
+   of the slow average.  */
 static double
-deviation (const pu_forecast_t *f, const pu_forecast_options_t *o)
+fast_deviation (const pu_forecast_t *f, const pu_forecast_options_t *o)
 {
-  return sqrt (f->slow * f->request_s / (2.0 * o->fast_s));
+  return sqrt (f->slow * f->mean_request_s / (2.0 * o->fast_s));
 }
 
 void
 pu_forecast_advance (pu_forecast_t *f, const pu_forecast_options_t *o,
                      const pu_forecast_period_t *p)
 {
-  double sample = f->stream_s / p->period_s;
+  double sample = f->period_stream_s / p->period_s;
   double slope;
 
-  if (f->requests > 0)
+  if (f->period_requests > 0)
     {
-      double mean = f->stream_s / f->requests;
+      double mean = f->period_stream_s / f->period_requests;
 
-      f->request_s
-          = f->started ? f->request_s + p->slow * (mean - f->request_s) : mean;
+      f->mean_request_s
+          = f->started ? f->mean_request_s
+                             + p->slow_weight * (mean - f->mean_request_s)
+                       : mean;
     }
-  if (!f->started && f->requests > 0)
-    start (f, sample);
-  f->seen -= p->slow * f->seen;
-  f->requests = 0;
-  f->stream_s = 0;
+  if (!f->started && f->period_requests > 0)
+    start_averages (f, sample);
+  f->weighted_requests -= p->slow_weight * f->weighted_requests;
+  f->period_requests = 0;
+  f->period_stream_s = 0;
   if (!f->started)
     return;
 
-  f->fast += p->fast * (sample - f->fast);
-  f->mid += p->mid * (sample - f->mid);
-  f->slow += p->slow * (sample - f->slow);
+  f->fast += p->fast_weight * (sample - f->fast);
+  f->mid += p->mid_weight * (sample - f->mid);
+  f->slow += p->slow_weight * (sample - f->slow);
   slope = (f->fast - f->mid) / (o->mid_s - o->fast_s);
-  f->burst = f->fast > f->slow + o->sigmas * deviation (f, o);
-  f->expected = MAX (f->slow, f->fast - deviation (f, o));
+  f->burst = f->fast > f->slow + o->burst_sigmas * fast_deviation (f, o);
+  f->expected = MAX (f->slow, f->fast - fast_deviation (f, o));
   if (f->burst)
     {
       double ahead = f->fast + MAX (0.0, slope) * o->lead_s;
 
-      f->expected = MIN (ahead, MOST_GROWTH * f->fast);
+      f->expected = MIN (ahead, MAX_TREND_GROWTH * f->fast);
     }
-  f->held += p->held * (f->expected - f->held);
+  f->held += p->held_weight * (f->expected - f->held);
   f->held = MAX (f->held, f->expected);
 }
--- a/libplantainusher/placement/forecast.h
+++ b/libplantainusher/placement/forecast.h
@@ -9,71 +9,78 @@
 /*
  * forecast - the demand for one model in the near future, in streams.
  *
- * A stream is one request running at the speed of an engine that is not
- * crowded; the demand is the number of them that would run at once.  Moving
- * averages are kept, a fast, a middle and a slow one.  When the fast one
- * leaves the slow one by more than chance explains, the demand is in a burst
- * and is followed, with its trend; else the slow one holds.  `held` falls
- * slowly, so that capacity is not given up at the first quiet minute.
+ * A stream is one request running at the speed of an uncontended engine; the
+ * demand is the number of streams that would run at once.  A fast, a middle
+ * and a slow exponential moving average are kept.  When the fast average
+ * exceeds the slow one by more than random variation explains, the demand is
+ * in a burst, and the forecast follows the fast average and its trend; else it
+ * is the slow average, or the fast one less its standard deviation where that
+ * is higher.  `held` decays slowly, so that capacity is not given up in the
+ * first quiet minute.
  *
- * How long a request will run is an estimate of who took it in.  That of a
- * model with few requests comes from one or two answers in whatever crowd
- * there was, and is believed only up to twice what requests take on average.
+ * The daemon that admits a request estimates how long it will run.  For a
+ * model with few requests the estimate rests on one or two answers, which may
+ * have run under contention, so what exceeds twice the mean of all
+ * models counts only in part.
  */
 
 typedef struct
 {
-  double fast_s; /* time constants */
-  double mid_s;  /* against which the trend is taken */
+  double fast_s; /* time constants of the averages */
+  double mid_s;  /* the trend is that of the fast average against this one */
   double slow_s;
-  double held_s;
-  double lead_s; /* the trend is followed this far ahead: a load's time */
-  double sigmas; /* deviations of the fast average that make a burst */
+  double held_s; /* time constant by which `held` decays */
+  double lead_s; /* the trend is extrapolated this far: the time of a load */
+  double burst_sigmas; /* deviations of the fast average that make a burst */
 } pu_forecast_options_t;
 
 typedef struct
 {
-  double fast; /* streams */
+  double fast; /* averages of the demand, in streams */
   double mid;
   double slow;
-  double held;      /* upper envelope */
-  double seen;      /* requests, falling off as the slow average does */
-  double request_s; /* mean seconds of stream for each request */
-  double expected;  /* streams expected when a load ordered now is ready */
+  double held;              /* decaying peak of `expected` */
+  double weighted_requests; /* requests, decayed like `slow` */
+  double mean_request_s;    /* stream time of a request */
+  double expected; /* streams expected when a load ordered now is ready */
   bool burst;
   bool started;
-  guint32 requests; /* since the last advance */
-  double stream_s;  /* the same, seconds of stream */
+  guint32 period_requests; /* since the last advance */
+  double period_stream_s;  /* their stream time */
 } pu_forecast_t;
 
-/* What a request takes, over all models.  */
+/* Statistics of the requests of all models.  */
 typedef struct
 {
-  double request_ms; /* of stream, the mean; 0: none was seen */
+  double mean_request_ms; /* stream time of a request; 0: no request yet */
 } pu_forecast_common_t;
 
-/* The weights of one period, shared by all models.  */
+/* The weights of the newest sample in each average, for one period; the same
+   for all models.  */
 typedef struct
 {
   double period_s;
-  double fast;
-  double mid;
-  double slow;
-  double held;
+  double fast_weight;
+  double mid_weight;
+  double slow_weight;
+  double held_weight;
 } pu_forecast_period_t;
 
 void pu_forecast_options_init (pu_forecast_options_t *o);
 
-/* pu_forecast_add - REQUESTS arrived, which are told to need STREAM_MS in
-   all.  C learns from them too.  */
+/* pu_forecast_add - records REQUESTS that arrived, with an estimated stream
+   time of STREAM_MS in all, in F and in the common statistics C.  */
 void pu_forecast_add (pu_forecast_t *f, pu_forecast_common_t *c,
                       guint32 requests, double stream_ms);
 
-/* pu_forecast_period - the weights for a period of PERIOD_S seconds.  */
+/* pu_forecast_period - returns the weights for a period of PERIOD_S seconds.
+ */
 pu_forecast_period_t pu_forecast_period (const pu_forecast_options_t *o,
                                          double period_s);
 
-/* pu_forecast_advance - closes a period: takes in what was added.  */
+/* pu_forecast_advance - ends a period: updates the averages and the forecast
+   of F with the requests added since the last call.  P holds the weights for
+   the length of the period.  */
 void pu_forecast_advance (pu_forecast_t *f, const pu_forecast_options_t *o,
                           const pu_forecast_period_t *p);
 
--- a/libplantainusher/placement/planner_grow.c
+++ b/libplantainusher/placement/planner_grow.c
@@ -2,24 +2,24 @@
 
 #include <math.h>
 
-#define SPARE_WAIT_MS 10000
-#define HOT_ENGINES 4
-#define DEMAND_MOVES 4       /* of a step */
-#define DEMAND_MOVES_FULL 64 /* of a round of the full plan */
-#define SPARE_TRIES 4        /* items tried in a step */
-/* How much dearer a move is when moves weigh all.  */
-#define WEIGHT_PRICE 9.0
-/* Moves that a copy which has not stayed long counts as, more than one.  */
-#define YOUNG_PRICE 2.0
-/* Copies beyond two that spare memory is given to, for a demand of one
-   engine's streams.  */
-#define SPARE_COPIES 3.0
-/* Demand, in what the copies of an item do, at which its pressure is a half:
-   estimates are up to so many times too high in a crowd.  */
-#define PRESSURE_HALF 3.0
+#define SPARE_RETRY_MS 10000
+#define MAX_HOT_ENGINES 4
+#define DEMAND_MOVES 4       /* per step */
+#define DEMAND_MOVES_FULL 64 /* per round of the full plan */
+#define SPARE_TRIES 4        /* items tried per step */
+/* Increase of the price of a move, as a multiple, at a moves_weight of 1.  */
+#define WEIGHT_PRICE_FACTOR 9.0
+/* Extra moves charged for evicting a copy before its minimum stay is over.  */
+#define YOUNG_EXTRA_MOVES 2.0
+/* Spare copies beyond two for a demand of one engine's streams, at a
+   moves_weight of 0.  */
+#define SPARE_COPIES_PER_ENGINE 3.0
+/* Ratio of demand to capacity at which the pressure is one half.  Under
+   contention, demand is overestimated by up to this factor.  */
+#define PRESSURE_HALF_RATIO 3.0
 
 static guint
-copies (const pu_planned_item_t *t)
+count_copies (const pu_planned_item_t *t)
 {
   return t->ready + t->coming;
 }
@@ -27,12 +27,13 @@
 static double
 move_price (const pu_planner_t *p)
 {
-  return p->o.move_price * (1 + WEIGHT_PRICE * p->o.moves_weight);
+  return p->o.move_price * (1 + WEIGHT_PRICE_FACTOR * p->o.moves_weight);
 }
 
-/* The engines most in use above `hot`, at most HOT_ENGINES of them.  */
+/* Fills ENGINES with the most utilised engines whose utilisation is above
+   `hot`, at most MAX_HOT_ENGINES of them, and returns their number.  */
 static guint
-find_hot (const pu_planner_t *p, guint32 *engines)
+find_hot_engines (const pu_planner_t *p, guint32 *engines)
 {
   guint n = 0;
 
@@ -44,34 +45,35 @@
 
       if (!e->usable || use <= p->o.hot)
         continue;
-      k = n < HOT_ENGINES ? n++ : HOT_ENGINES;
+      k = n < MAX_HOT_ENGINES ? n++ : MAX_HOT_ENGINES;
       for (; k > 0; k--)
         {
           const pu_planned_engine_t *o = pu_planned_engine (p, engines[k - 1]);
 
           if (o->load / o->streams >= use)
             break;
-          if (k < HOT_ENGINES)
+          if (k < MAX_HOT_ENGINES)
             engines[k] = engines[k - 1];
         }
-      if (k < HOT_ENGINES)
+      if (k < MAX_HOT_ENGINES)
         engines[k] = i;
     }
   return n;
 }
 
+/* One more copy of an item, on the engine that suits it best.  */
 typedef struct
 {
   guint32 item;
   guint32 engine;
   double gain;
   double price;
-  double rank; /* of offers that pay, the highest is taken */
-} pu_offer_t;
+  double rank; /* the highest is taken of those whose gain exceeds the price */
+} pu_scale_up_t;
 
-/* What the copies of T do, those on their way included, in streams.  */
+/* Capacity of the copies of T in streams, copies not ready yet included.  */
 static double
-capacity (const pu_planner_t *p, const pu_planned_item_t *t)
+capacity_streams (const pu_planner_t *p, const pu_planned_item_t *t)
 {
   double sum = 0;
 
@@ -86,39 +88,41 @@
   return sum;
 }
 
-/* How far the demand for T is beyond its copies, 0 to 1.  By the gain alone
-   all copies that have too much to do are worth the same; but where demand is
-   estimated too high, only the one furthest beyond is worth it at all.  */
+/* How far the demand for T exceeds the capacity of its copies, 0 to 1.  The
+   gain alone rates one more copy of any overloaded item the same.  But demand
+   may be overestimated, and then only the item whose demand exceeds its
+   capacity most is worth a copy.  */
 static double
-pressure (const pu_planner_t *p, const pu_planned_item_t *t)
+demand_pressure (const pu_planner_t *p, const pu_planned_item_t *t)
 {
-  double asked = t->forecast.expected;
+  double demand = t->forecast.expected;
 
-  return asked / (asked + PRESSURE_HALF * capacity (p, t) + 1e-9);
+  return demand
+         / (demand + PRESSURE_HALF_RATIO * capacity_streams (p, t) + 1e-9);
 }
 
-/* What one more copy of ITEM would bring; an engine of PU_PLAN_NONE when
-   there is none to be had.  */
-static pu_offer_t
-make_offer (pu_round_t *r, guint32 item)
+/* Evaluates one more copy of ITEM; its engine is PU_PLAN_NONE when no engine
+   can take one.  */
+static pu_scale_up_t
+evaluate_scale_up (pu_round_t *r, guint32 item)
 {
   const pu_planned_item_t *t = pu_planned_item (r->p, item);
-  pu_offer_t o = { item, PU_PLAN_NONE, 0, 0, 0 };
+  pu_scale_up_t o = { item, PU_PLAN_NONE, 0, 0, 0 };
 
   o.engine = pu_planner_choose (r->p, item, pu_planned_version (t),
                                 PU_ROOM_SPARE, r->now, &r->v);
   if (o.engine == PU_PLAN_NONE)
     return o;
   o.gain = r->p->o.payback_s * pu_planner_gain (r->p, item, o.engine);
-  o.price
-      = r->p->o.payback_s * r->v.loss
-        + move_price (r->p) * (1 + r->v.slots->len + YOUNG_PRICE * r->v.young);
-  o.rank = (o.gain - o.price) * pressure (r->p, t);
+  o.price = r->p->o.payback_s * r->v.loss
+            + move_price (r->p)
+                  * (1 + r->v.slots->len + YOUNG_EXTRA_MOVES * r->v.young);
+  o.rank = (o.gain - o.price) * demand_pressure (r->p, t);
   return o;
 }
 
 static double
-mean_streams (const pu_planner_t *p)
+mean_engine_streams (const pu_planner_t *p)
 {
   double sum = 0;
   guint n = 0;
@@ -133,36 +137,37 @@
   return n > 0 ? sum / n : 1;
 }
 
-/* What one copy does before requests are late, on an engine of its own, in
-   streams.  */
+/* Streams that one copy serves before requests are late, on an engine of its
+   own.  */
 static double
-copy_streams (const pu_planner_t *p)
+streams_per_copy (const pu_planner_t *p)
 {
-  return p->o.hot * mean_streams (p);
+  return p->o.hot * mean_engine_streams (p);
 }
 
-/* Whether one more copy of T is possible beside those that it has.  */
+/* Whether T, which has a ready copy, may get one more now.  */
 static bool
-may_add (const pu_round_t *r, const pu_planned_item_t *t)
+may_add_copy (const pu_round_t *r, const pu_planned_item_t *t)
 {
   return pu_round_may_try (r, t) && t->ready > 0
-         && copies (t) < t->i.max_copies && t->copies_before == 0
+         && count_copies (t) < t->i.max_copies && t->copies_before == 0
          && pu_round_base_is_ready (r, t);
 }
 
-/* Whether the demand for T needs more copies than it has or is getting, where
-   each does EACH streams.  */
+/* Whether T may get one more copy, and its demand needs more than those that
+   are ready or under way, where each serves EACH streams.  */
 static bool
-may_grow (const pu_round_t *r, const pu_planned_item_t *t, double each)
+needs_copy (const pu_round_t *r, const pu_planned_item_t *t, double each)
 {
-  return may_add (r, t) && copies (t) < ceil (t->forecast.expected / each);
+  return may_add_copy (r, t)
+         && count_copies (t) < ceil (t->forecast.expected / each);
 }
 
-/* Whether ITEM was met on a hotter engine than the one at INDEX: its offer is
-   the same.  */
+/* Whether ITEM was evaluated for an engine hotter than the one at INDEX; the
+   result would be the same.  */
 static bool
-met_before (const pu_planner_t *p, const guint32 *hot, guint index,
-            guint32 item)
+already_evaluated (const pu_planner_t *p, const guint32 *hot, guint index,
+                   guint32 item)
 {
   for (guint i = 0; i < index; i++)
     {
@@ -179,14 +184,14 @@
   return false;
 }
 
-/* The best offer for the items on hot engines.  */
-static pu_offer_t
-best_offer (pu_round_t *r)
+/* The best scale-up of the items on hot engines.  */
+static pu_scale_up_t
+best_scale_up (pu_round_t *r)
 {
-  guint32 hot[HOT_ENGINES];
-  guint n_hot = find_hot (r->p, hot);
-  double each = copy_streams (r->p);
-  pu_offer_t best = { 0, PU_PLAN_NONE, 0, 0, 0 };
+  guint32 hot[MAX_HOT_ENGINES];
+  guint n_hot = find_hot_engines (r->p, hot);
+  double each = streams_per_copy (r->p);
+  pu_scale_up_t best = { 0, PU_PLAN_NONE, 0, 0, 0 };
 
   for (guint i = 0; i < n_hot; i++)
     {
@@ -195,12 +200,12 @@
       for (guint s = 0; s < e->copies->len; s++)
         {
           const pu_planned_copy_t *c = pu_planned_copy (e, s);
-          pu_offer_t o;
+          pu_scale_up_t o;
 
-          if (c->share <= 0 || met_before (r->p, hot, i, c->c.item)
-              || !may_grow (r, pu_planned_item (r->p, c->c.item), each))
+          if (c->share <= 0 || already_evaluated (r->p, hot, i, c->c.item)
+              || !needs_copy (r, pu_planned_item (r->p, c->c.item), each))
             continue;
-          o = make_offer (r, c->c.item);
+          o = evaluate_scale_up (r, c->c.item);
           if (o.engine == PU_PLAN_NONE || o.gain <= o.price)
             continue;
           if (best.engine == PU_PLAN_NONE || o.rank > best.rank)
@@ -213,15 +218,16 @@
 bool
 pu_round_is_hot (const pu_round_t *r)
 {
-  guint32 hot[HOT_ENGINES];
+  guint32 hot[MAX_HOT_ENGINES];
 
-  return find_hot (r->p, hot) > 0;
+  return find_hot_engines (r->p, hot) > 0;
 }
 
-/* While an item is lost that nobody asks for, it gets every other turn: what
-   is asked for ten times over can't wait for all of those.  */
+/* While unreachable items without demand wait for the store, they and growth
+   take turns: an item with ten times the demand that its copies can serve
+   can't wait for all of them.  */
 static bool
-store_takes_growth (const pu_round_t *r)
+store_admits_growth (const pu_round_t *r)
 {
   if (r->full || !r->idle_lacking)
     return pu_round_store_takes (r);
@@ -236,15 +242,16 @@
 
   for (guint i = 0; i < max; i++)
     {
-      pu_offer_t o;
+      pu_scale_up_t o;
 
-      r->p->quick_only = !store_takes_growth (r);
+      r->p->quick_only = !store_admits_growth (r);
       if (r->p->quick_only && !r->p->any_quick)
         break;
-      o = best_offer (r);
+      o = best_scale_up (r);
       if (o.engine == PU_PLAN_NONE)
         break;
-      /* The victims of the best offer, which later offers wrote over.  */
+      /* Computes the victims of the best scale-up again, as later evaluations
+         overwrote them.  */
       o.engine = pu_planner_choose (
           r->p, o.item, pu_planned_version (pu_planned_item (r->p, o.item)),
           PU_ROOM_SPARE, r->now, &r->v);
@@ -254,20 +261,20 @@
   r->p->quick_only = false;
 }
 
-/* Copies of T that spare memory may be given to.  */
+/* The number of copies up to which T may use spare memory.  */
 static guint
-spare_copies (const pu_planner_t *p, const pu_planned_item_t *t,
-              double streams)
+spare_copy_limit (const pu_planner_t *p, const pu_planned_item_t *t,
+                  double streams)
 {
-  double more = (1 - p->o.moves_weight) * SPARE_COPIES * t->forecast.held
-                / MAX (1.0, streams);
+  double more = (1 - p->o.moves_weight) * SPARE_COPIES_PER_ENGINE
+                * t->forecast.held / MAX (1.0, streams);
 
   return MIN (t->i.max_copies, 2 + (guint)ceil (more));
 }
 
-/* The most memory that any engine has free.  */
+/* The largest free memory of an engine that takes loads now.  */
 static guint32
-most_free (const pu_planner_t *p)
+max_free_mb (const pu_planner_t *p)
 {
   guint32 most = 0;
 
@@ -281,72 +288,77 @@
   return most;
 }
 
-/* An item that spare memory may be given to.  */
+/* An item that may get a copy in spare memory.  */
 typedef struct
 {
   guint32 item;
-  double exposed; /* its demand for the copies that it has */
-} pu_exposed_t;
+  double exposure; /* demand times importance, by the square of its copies */
+} pu_spare_candidate_t;
 
-/* The items that need no more than FREE_MB.  */
+/* The items that may get a spare copy and fit in FREE_MB.  */
 static GArray *
-find_exposed (const pu_round_t *r, double streams, guint32 free_mb)
+find_spare_candidates (const pu_round_t *r, double streams, guint32 free_mb)
 {
-  GArray *exposed = g_array_new (FALSE, FALSE, sizeof (pu_exposed_t));
+  GArray *candidates
+      = g_array_new (FALSE, FALSE, sizeof (pu_spare_candidate_t));
 
   for (guint32 i = 0; i < r->p->items->len; i++)
     {
       const pu_planned_item_t *t = pu_planned_item (r->p, i);
-      double n = copies (t);
-      pu_exposed_t x = { i, 0 };
+      double n = count_copies (t);
+      pu_spare_candidate_t x = { i, 0 };
 
       if (t->coming > 0 || t->i.memory_mb > free_mb || r->now < t->spare_after
-          || !may_add (r, t) || n >= spare_copies (r->p, t, streams))
+          || !may_add_copy (r, t) || n >= spare_copy_limit (r->p, t, streams))
         continue;
-      x.exposed = (1 + t->forecast.held) * t->i.importance / (n * n);
-      g_array_append_val (exposed, x);
+      x.exposure = (1 + t->forecast.held) * t->i.importance / (n * n);
+      g_array_append_val (candidates, x);
     }
-  return exposed;
+  return candidates;
 }
 
-/* Removes and returns the most exposed item, the first of equals.  */
+/* Removes and returns the item with the highest exposure; of equals, the one
+   with the lowest handle.  */
 static guint32
-take_most (GArray *exposed)
+take_most_exposed (GArray *candidates)
 {
-  const pu_exposed_t *all = (const pu_exposed_t *)(void *)exposed->data;
+  const pu_spare_candidate_t *all
+      = (const pu_spare_candidate_t *)(void *)candidates->data;
   guint best = 0;
   guint32 item;
 
-  for (guint i = 1; i < exposed->len; i++)
+  for (guint i = 1; i < candidates->len; i++)
     {
-      if (all[i].exposed > all[best].exposed
-          || (all[i].exposed == all[best].exposed
+      if (all[i].exposure > all[best].exposure
+          || (all[i].exposure == all[best].exposure
               && all[i].item < all[best].item))
         best = i;
     }
   item = all[best].item;
-  g_array_remove_index_fast (exposed, best);
+  g_array_remove_index_fast (candidates, best);
   return item;
 }
 
-/* Phase 6.  A load makes its own item coming, and takes no room from those
-   that have a copy: the list is made once.  */
+/* Phase 6.  The list of candidates is made only once: a load changes the state
+   of its own item alone, as spare copies evict nothing.  */
 void
 pu_round_use_spare (pu_round_t *r)
 {
   guint tries = r->full ? r->p->items->len : SPARE_TRIES;
   bool any_hot = pu_round_is_hot (r);
-  GArray *exposed;
+  GArray *candidates;
 
   if (!r->p->any_quick && (any_hot || !pu_round_store_takes (r)))
     return;
-  exposed = find_exposed (r, mean_streams (r->p), most_free (r->p));
-  for (guint i = 0; i < tries && exposed->len > 0; i++)
+  candidates = find_spare_candidates (r, mean_engine_streams (r->p),
+                                      max_free_mb (r->p));
+  for (guint i = 0; i < tries && candidates->len > 0; i++)
     {
-      guint32 item = take_most (exposed);
+      guint32 item = take_most_exposed (candidates);
       guint32 engine;
 
-      /* While an engine is hot, the store is for what it holds.  */
+      /* While an engine is hot, the store serves only the items on hot
+         engines.  */
       r->p->quick_only = any_hot || !pu_round_store_takes (r);
       engine = pu_planner_choose (
           r->p, item, pu_planned_version (pu_planned_item (r->p, item)),
@@ -358,9 +370,9 @@
         }
       else if (!r->p->quick_only && !r->p->waits_turn)
         {
-          pu_planned_item (r->p, item)->spare_after = r->now + SPARE_WAIT_MS;
+          pu_planned_item (r->p, item)->spare_after = r->now + SPARE_RETRY_MS;
         }
     }
   r->p->quick_only = false;
-  g_array_unref (exposed);
+  g_array_unref (candidates);
 }
--- a/libplantainusher/placement/planner_repair.c
+++ b/libplantainusher/placement/planner_repair.c
@@ -1,18 +1,21 @@
 #include "placement/planner_round.h"
 
-/* How long an unreachable item holds back loads that are not urgent.  */
-#define HOLD_GROWTH_MS 60000
-/* How long an unreachable item waits for room until it looks elsewhere too,
-   and on how many engines room is made for it at once.  */
-#define SLOW_ROOM_MS 3000
-#define ROOMS_AT_ONCE 2
-/* Places that are found ahead, for each load that the store takes at once.  */
-#define PLACES_AHEAD 2
-
-/* The promised copy of E, which index_engine listed last; a load may have
-   been listed after it since.  */
+/* An item unreachable for longer than this no longer defers loads that are not
+   urgent.  */
+#define GROWTH_DEFERRAL_MS 60000
+/* An unreachable item whose pending load has waited this long for memory may
+   get a second one, on another engine.  */
+#define PENDING_SLOW_MS 3000
+#define MAX_PENDING_PER_ITEM 2
+/* Pending loads allowed for each load that the store runs at once: memory is
+   freed while the store is busy.  */
+#define PENDING_PER_STORE_LOAD 2
+
+/* A load that waits for memory on its engine is `promised`, and called pending
+   here.  Returns the slot of E's pending copy: index_engine lists it last, but
+   a load ordered since may follow it.  */
 static guint
-promise_slot (const pu_planned_engine_t *e)
+pending_slot (const pu_planned_engine_t *e)
 {
   guint s = e->copies->len - 1;
 
@@ -22,9 +25,9 @@
 }
 
 static void
-drop_promise (pu_round_t *r, pu_planned_engine_t *e)
+cancel_pending (pu_round_t *r, pu_planned_engine_t *e)
 {
-  pu_planned_copy_t *c = pu_planned_copy (e, promise_slot (e));
+  pu_planned_copy_t *c = pu_planned_copy (e, pending_slot (e));
 
   e->promised = false;
   r->p->promised--;
@@ -33,36 +36,36 @@
   pu_planner_spread_item (r->p, c->c.item);
 }
 
-/* Drops what else is promised to the unreachable ITEM.  */
+/* Cancels all pending loads of the unreachable ITEM.  */
 static void
-drop_others (pu_round_t *r, guint32 item)
+cancel_item_pending (pu_round_t *r, guint32 item)
 {
   for (guint32 i = 0; i < r->p->engines->len; i++)
     {
       pu_planned_engine_t *e = pu_planned_engine (r->p, i);
 
       if (e->promised && e->usable && e->promise.c.item == item)
-        drop_promise (r, e);
+        cancel_pending (r, e);
     }
 }
 
-/* The promise of E comes true: its copy is ordered.  */
+/* Orders the pending load of ENGINE, whose memory is free now.  */
 static void
-keep_promise (pu_round_t *r, guint32 engine)
+start_pending (pu_round_t *r, guint32 engine)
 {
   pu_planned_engine_t *e = pu_planned_engine (r->p, engine);
-  pu_planned_copy_t *c = pu_planned_copy (e, promise_slot (e));
+  pu_planned_copy_t *c = pu_planned_copy (e, pending_slot (e));
 
   e->promised = false;
   c->promised = false;
   r->p->promised--;
   pu_round_emit_load (r, engine, c);
   if (pu_planned_item (r->p, c->c.item)->slow > 0)
-    drop_others (r, c->c.item);
+    cancel_item_pending (r, c->c.item);
 }
 
 static bool
-is_valid (const pu_round_t *r, const pu_planned_engine_t *e)
+pending_is_valid (const pu_round_t *r, const pu_planned_engine_t *e)
 {
   const pu_planned_item_t *t = pu_planned_item (r->p, e->promise.c.item);
 
@@ -70,25 +73,25 @@
          && r->now < e->promise_until;
 }
 
-/* An item that wants a load: one without a copy, or a promise on ENGINE.  */
+/* An item that needs a load, or the pending load on ENGINE.  */
 typedef struct
 {
   guint32 item;
   guint32 engine;
-  bool lost; /* no copy is ready, nor one coming but for the promise */
+  bool unreachable; /* no copy is ready, and none is under way but pending */
   pu_planned_item_t *t;
-} pu_needy_t;
+} pu_repair_t;
 
-/* What most callers wait for goes first; of what nobody asks for, the largest,
-   which is the hardest to find room for.  */
+/* Sorts unreachable items first, then by importance, then by expected demand;
+   items without demand by size, as the largest are the hardest to place.  */
 static gint
-compare_needy (gconstpointer a, gconstpointer b)
+compare_repairs (gconstpointer a, gconstpointer b)
 {
-  const pu_needy_t *x = a;
-  const pu_needy_t *y = b;
+  const pu_repair_t *x = a;
+  const pu_repair_t *y = b;
 
-  if (x->lost != y->lost)
-    return x->lost ? -1 : 1;
+  if (x->unreachable != y->unreachable)
+    return x->unreachable ? -1 : 1;
   if (x->t->i.importance != y->t->i.importance)
     return x->t->i.importance > y->t->i.importance ? -1 : 1;
   if (pu_planned_asked (x->t) != pu_planned_asked (y->t))
@@ -104,51 +107,51 @@
 void
 pu_round_keep_promises (pu_round_t *r, bool idle)
 {
-  GArray *kept;
+  GArray *startable;
 
   if (r->p->promised == 0)
     return;
-  kept = g_array_new (FALSE, FALSE, sizeof (pu_needy_t));
+  startable = g_array_new (FALSE, FALSE, sizeof (pu_repair_t));
   for (guint32 i = 0; i < r->p->engines->len; i++)
     {
       pu_planned_engine_t *e = pu_planned_engine (r->p, i);
-      pu_needy_t n = { e->promise.c.item, i, false, NULL };
+      pu_repair_t n = { e->promise.c.item, i, false, NULL };
 
       if (!e->promised || !e->usable)
         continue;
-      if (!is_valid (r, e))
+      if (!pending_is_valid (r, e))
         {
-          drop_promise (r, e);
+          cancel_pending (r, e);
           continue;
         }
       n.t = pu_planned_item (r->p, n.item);
-      n.lost = n.t->ready == 0;
-      if (idle != (n.lost && !pu_planned_asked (n.t)))
+      n.unreachable = n.t->ready == 0;
+      if (idle != (n.unreachable && !pu_planned_asked (n.t)))
         continue;
       if (pu_planned_free (e) >= e->promise.c.memory_mb)
         {
-          g_array_append_val (kept, n);
+          g_array_append_val (startable, n);
         }
-      else if (n.lost && r->now >= e->promise.since + SLOW_ROOM_MS)
+      else if (n.unreachable && r->now >= e->promise.since + PENDING_SLOW_MS)
         {
           n.t->slow++;
         }
     }
-  g_array_sort (kept, compare_needy);
-  for (guint i = 0; i < kept->len && pu_round_store_takes_urgent (r); i++)
+  g_array_sort (startable, compare_repairs);
+  for (guint i = 0; i < startable->len && pu_round_store_takes_urgent (r); i++)
     {
-      guint32 engine = g_array_index (kept, pu_needy_t, i).engine;
+      guint32 engine = g_array_index (startable, pu_repair_t, i).engine;
 
-      /* It may have been dropped for another of the same item.  */
+      /* A load of the same item, started before, may have cancelled it.  */
       if (pu_planned_engine (r->p, engine)->promised)
-        keep_promise (r, engine);
+        start_pending (r, engine);
     }
-  g_array_unref (kept);
+  g_array_unref (startable);
 }
 
-/* Whether a load of T is under way, not only promised.  */
+/* Whether a load of T is ordered or loading; a pending one doesn't count.  */
 static bool
-is_coming (const pu_planner_t *p, const pu_planned_item_t *t)
+has_ordered_load (const pu_planner_t *p, const pu_planned_item_t *t)
 {
   for (guint i = 0; i < t->places->len; i++)
     {
@@ -162,9 +165,10 @@
   return false;
 }
 
-/* Notes since when T has had no ready copy.  */
+/* Records since when T has had no ready copy, and notes in R what its repair
+   defers.  */
 static void
-note_lost (pu_round_t *r, pu_planned_item_t *t)
+note_unreachable (pu_round_t *r, pu_planned_item_t *t)
 {
   if (!t->declared || t->ready > 0)
     {
@@ -173,59 +177,62 @@
     }
   if (t->lost_since == 0)
     t->lost_since = r->now;
-  if (t->failures > 0 || r->now >= t->lost_since + HOLD_GROWTH_MS)
+  if (t->failures > 0 || r->now >= t->lost_since + GROWTH_DEFERRAL_MS)
     return;
   r->repairing = true;
-  if (is_coming (r->p, t))
+  if (has_ordered_load (r->p, t))
     return;
   r->lacking = r->lacking || pu_planned_asked (t);
   r->idle_lacking = true;
 }
 
-/* Whether T has no copy, and none coming but for rooms that take long.  */
+/* Whether T needs a first copy: none is ready, and only slow pending loads are
+   under way, fewer than the limit.  */
 static bool
-is_lost (const pu_planned_item_t *t)
+needs_first_copy (const pu_planned_item_t *t)
 {
-  return t->ready == 0 && t->coming == t->slow && t->slow < ROOMS_AT_ONCE;
+  return t->ready == 0 && t->coming == t->slow
+         && t->slow < MAX_PENDING_PER_ITEM;
 }
 
 static GArray *
-find_needy (pu_round_t *r)
+find_repairs (pu_round_t *r)
 {
-  GArray *needy = g_array_new (FALSE, FALSE, sizeof (pu_needy_t));
+  GArray *repairs = g_array_new (FALSE, FALSE, sizeof (pu_repair_t));
 
   for (guint32 i = 0; i < r->p->items->len; i++)
     {
       pu_planned_item_t *t = pu_planned_item (r->p, i);
-      pu_needy_t n = { i, PU_PLAN_NONE, is_lost (t), t };
+      pu_repair_t n = { i, PU_PLAN_NONE, needs_first_copy (t), t };
 
-      note_lost (r, t);
+      note_unreachable (r, t);
       if (!pu_round_may_try (r, t) || !pu_round_base_is_ready (r, t))
         continue;
-      if (n.lost || t->ready + t->coming < MAX (1, t->i.min_copies))
-        g_array_append_val (needy, n);
+      if (n.unreachable || t->ready + t->coming < MAX (1, t->i.min_copies))
+        g_array_append_val (repairs, n);
     }
-  g_array_sort (needy, compare_needy);
-  return needy;
+  g_array_sort (repairs, compare_repairs);
+  return repairs;
 }
 
-/* Whether a lost item may be promised a place: room is made while the store
-   is busy.  */
+/* Whether an unreachable item may get a pending load: memory is freed for it
+   while the store is still busy.  */
 static bool
-may_promise (const pu_round_t *r)
+may_add_pending (const pu_round_t *r)
 {
   return pu_round_store_takes_urgent (r)
-         || r->p->promised < PLACES_AHEAD * r->p->o.max_coming;
+         || r->p->promised < PENDING_PER_STORE_LOAD * r->p->o.max_coming;
 }
 
 static bool
-may_begin (const pu_round_t *r, const pu_needy_t *n)
+may_repair (const pu_round_t *r, const pu_repair_t *n)
 {
-  return n->lost ? may_promise (r) : pu_round_store_takes_urgent (r);
+  return n->unreachable ? may_add_pending (r)
+                        : pu_round_store_takes_urgent (r);
 }
 
 static void
-repair_lost (pu_round_t *r, const pu_needy_t *n)
+repair_unreachable (pu_round_t *r, const pu_repair_t *n)
 {
   guint before = r->loads;
 
@@ -233,15 +240,15 @@
       && n->t->slow == 0 && !r->p->quick_only && !r->p->waits_turn)
     pu_round_open_room (r, n->item);
   if (n->t->slow > 0 && r->loads > before)
-    drop_others (r, n->item);
+    cancel_item_pending (r, n->item);
 }
 
 static void
-repair (pu_round_t *r, const pu_needy_t *n)
+repair (pu_round_t *r, const pu_repair_t *n)
 {
-  if (n->lost)
+  if (n->unreachable)
     {
-      repair_lost (r, n);
+      repair_unreachable (r, n);
     }
   else
     {
@@ -249,39 +256,40 @@
     }
 }
 
-/* Those of the needy that are ASKED for, or the others.  */
+/* Repairs the items that have demand (ASKED), or those that have none.  */
 static void
-repair_some (pu_round_t *r, bool asked)
+repair_items (pu_round_t *r, bool asked)
 {
-  GArray *needy = find_needy (r);
+  GArray *repairs = find_repairs (r);
 
-  for (guint i = 0; i < needy->len; i++)
+  for (guint i = 0; i < repairs->len; i++)
     {
-      const pu_needy_t *n = &g_array_index (needy, pu_needy_t, i);
+      const pu_repair_t *n = &g_array_index (repairs, pu_repair_t, i);
 
       if (pu_planned_asked (n->t) != asked)
         continue;
-      r->p->quick_only = !may_begin (r, n);
+      r->p->quick_only = !may_repair (r, n);
       if (r->p->quick_only && !r->p->any_quick)
         break;
       repair (r, n);
     }
   r->p->quick_only = false;
-  g_array_unref (needy);
+  g_array_unref (repairs);
 }
 
 void
 pu_round_repair_asked (pu_round_t *r)
 {
-  repair_some (r, true);
+  repair_items (r, true);
 }
 
 void
 pu_round_repair_idle (pu_round_t *r)
 {
-  /* Their turn is over also when there was no room for any of them.  */
+  /* The next turn of the store goes to growth again, even if none of the idle
+     items found room.  */
   if (pu_round_store_takes_urgent (r))
     r->p->grew = false;
   pu_round_keep_promises (r, true);
-  repair_some (r, false);
+  repair_items (r, false);
 }
--- a/libplantainusher/placement/planner_room.c
+++ b/libplantainusher/placement/planner_room.c
@@ -1,25 +1,28 @@
 #include "placement/planner_round.h"
 
-/* Opens room for an unreachable item where only last copies stand: some of
-   them, with their adapters, are loaded elsewhere first and may go then.  */
-
-#define OPENING_MS 60000
-#define OPENING_RETRY_MS 1000
-/* Engines that are tried, those that lack least first.  */
-#define OPENING_TRIES 16
-
-/* An engine that lacks MB for an item, or a copy, with its adapters, of MB. */
+/* Makes room for an unreachable item on an engine that holds only last copies:
+   some of these, with their adapters, are loaded on another engine first and
+   can be unloaded then.  */
+
+/* An engine chosen for relocation is kept for this long.  */
+#define RELOCATION_MS 60000
+#define RELOCATION_RETRY_MS 1000
+/* Engines that are tried, those that lack the least memory first.  */
+#define RELOCATION_TRIES 16
+
+/* Memory by handle: what an engine lacks for an item, or what a copy takes
+   together with its adapters.  */
 typedef struct
 {
   guint32 id;
   guint32 memory_mb;
-} pu_sized_t;
+} pu_handle_memory_t;
 
 static gint
-compare_sized (gconstpointer a, gconstpointer b)
+compare_memory (gconstpointer a, gconstpointer b)
 {
-  const pu_sized_t *x = a;
-  const pu_sized_t *y = b;
+  const pu_handle_memory_t *x = a;
+  const pu_handle_memory_t *y = b;
 
   if (x->memory_mb != y->memory_mb)
     return x->memory_mb < y->memory_mb ? -1 : 1;
@@ -27,15 +30,15 @@
 }
 
 static bool
-goes_with (const pu_planner_t *p, const pu_planned_copy_t *c, guint32 root)
+is_in_bundle (const pu_planner_t *p, const pu_planned_copy_t *c, guint32 root)
 {
   return c->c.item == root || pu_planned_item (p, c->c.item)->i.base == root;
 }
 
 /* Memory of the copy of ROOT on E with its adapters; 0 when one of them is
-   not ready, or not declared.  */
+   not ready, or not declared, so that the bundle cannot be relocated.  */
 static guint32
-unit_mb (const pu_planner_t *p, const pu_planned_engine_t *e, guint32 root)
+bundle_mb (const pu_planner_t *p, const pu_planned_engine_t *e, guint32 root)
 {
   guint32 memory_mb = 0;
 
@@ -43,7 +46,7 @@
     {
       const pu_planned_copy_t *c = pu_planned_copy (e, s);
 
-      if (!goes_with (p, c, root))
+      if (!is_in_bundle (p, c, root))
         continue;
       if (c->c.phase != PU_PLAN_READY
           || !pu_planned_item (p, c->c.item)->declared)
@@ -53,9 +56,9 @@
   return memory_mb;
 }
 
-/* MB that ENGINE lacks for ITEM once all that may go is gone.  */
+/* MB that ENGINE lacks for ITEM after everything evictable is evicted.  */
 static guint32
-lacks (pu_round_t *r, guint32 engine, guint32 item)
+compute_missing_mb (pu_round_t *r, guint32 engine, guint32 item)
 {
   const pu_planned_engine_t *e = pu_planned_engine (r->p, engine);
   guint32 need = pu_planned_item (r->p, item)->i.memory_mb;
@@ -70,45 +73,49 @@
   return need - MIN (need, have);
 }
 
-/* What on ENGINE may not go, but could once it is elsewhere too: the smallest
-   that makes up for LACK, then the larger ones, then the smaller ones.  */
+/* The bundles on ENGINE that can be evicted only once they have another copy.
+   The smallest that frees MISSING MB comes first, then the larger ones in
+   ascending order, then the smaller ones in descending order.  */
 static GArray *
-find_units (pu_round_t *r, guint32 engine, guint32 item, guint32 lack)
+find_relocatable (pu_round_t *r, guint32 engine, guint32 item,
+                  guint32 missing_mb)
 {
   const pu_planned_engine_t *e = pu_planned_engine (r->p, engine);
   guint32 base = pu_planned_item (r->p, item)->i.base;
-  GArray *units = g_array_new (FALSE, FALSE, sizeof (pu_sized_t));
-  guint small = 0;
+  GArray *bundles = g_array_new (FALSE, FALSE, sizeof (pu_handle_memory_t));
+  guint n_smaller = 0;
 
   for (guint s = 0; s < e->copies->len; s++)
     {
-      pu_sized_t u = { pu_planned_copy (e, s)->c.item, 0 };
+      pu_handle_memory_t u = { pu_planned_copy (e, s)->c.item, 0 };
 
       if (u.id == base
           || pu_planner_bundle (r->p, engine, s, item, PU_ROOM_MINIMUM,
                                 r->v.slots))
         continue;
-      u.memory_mb = unit_mb (r->p, e, u.id);
+      u.memory_mb = bundle_mb (r->p, e, u.id);
       if (u.memory_mb > 0)
-        g_array_append_val (units, u);
+        g_array_append_val (bundles, u);
     }
-  g_array_sort (units, compare_sized);
-  while (small < units->len
-         && g_array_index (units, pu_sized_t, small).memory_mb < lack)
-    small++;
-  for (guint i = small; i-- > 0;)
+  g_array_sort (bundles, compare_memory);
+  while (n_smaller < bundles->len
+         && g_array_index (bundles, pu_handle_memory_t, n_smaller).memory_mb
+                < missing_mb)
+    n_smaller++;
+  for (guint i = n_smaller; i-- > 0;)
     {
-      pu_sized_t u = g_array_index (units, pu_sized_t, i);
+      pu_handle_memory_t u = g_array_index (bundles, pu_handle_memory_t, i);
 
-      g_array_append_val (units, u);
+      g_array_append_val (bundles, u);
     }
-  g_array_remove_range (units, 0, small);
-  return units;
+  g_array_remove_range (bundles, 0, n_smaller);
+  return bundles;
 }
 
-/* Loads ITEM on another engine; false when none has room.  */
+/* Loads ITEM on another engine to make room for FOR_ITEM; false when no engine
+   has room.  */
 static bool
-load_beside (pu_round_t *r, guint32 item, guint32 for_item)
+load_elsewhere (pu_round_t *r, guint32 item, guint32 for_item)
 {
   const pu_planned_item_t *t = pu_planned_item (r->p, item);
   guint32 engine = pu_planner_choose (r->p, item, pu_planned_version (t),
@@ -122,9 +129,10 @@
   return true;
 }
 
-/* Whether a last copy on E has another under way.  */
+/* Whether another copy of an item whose only ready copy is on E is under way.
+ */
 static bool
-is_moving (const pu_planner_t *p, const pu_planned_engine_t *e)
+is_relocating (const pu_planner_t *p, const pu_planned_engine_t *e)
 {
   for (guint s = 0; s < e->copies->len; s++)
     {
@@ -137,90 +145,94 @@
   return false;
 }
 
-/* Loads ROOT, which is on ENGINE, elsewhere; then the adapters beside it that
-   have no other copy.  False when neither can be done.  */
+/* Loads ROOT, which is on ENGINE, on another engine or, when it has another
+   copy already, those of its adapters on ENGINE that have none.  False when no
+   load could be started.  */
 static bool
-move_unit (pu_round_t *r, guint32 engine, guint32 root, guint32 item)
+relocate_bundle (pu_round_t *r, guint32 engine, guint32 root, guint32 item)
 {
   const pu_planned_engine_t *e = pu_planned_engine (r->p, engine);
-  bool moved = false;
+  bool started = false;
 
   if (pu_planned_item (r->p, root)->ready == 1)
-    return load_beside (r, root, item);
+    return load_elsewhere (r, root, item);
   for (guint s = 0; s < e->copies->len; s++)
     {
       guint32 i = pu_planned_copy (e, s)->c.item;
 
       if (pu_planned_item (r->p, i)->i.base == root
           && pu_planned_item (r->p, i)->ready == 1)
-        moved = load_beside (r, i, item) || moved;
+        started = load_elsewhere (r, i, item) || started;
     }
-  return moved;
+  return started;
 }
 
-/* The next step of making room for ITEM on ENGINE; false when there is none.
- */
+/* Takes the next step of making room for ITEM on ENGINE, or waits for the one
+   under way; false when there is none.  */
 static bool
-go_on (pu_round_t *r, guint32 engine, guint32 item)
+continue_relocation (pu_round_t *r, guint32 engine, guint32 item)
 {
   const pu_planned_engine_t *e = pu_planned_engine (r->p, engine);
-  guint32 lack = lacks (r, engine, item);
-  GArray *units;
-  bool moved = false;
+  guint32 missing_mb = compute_missing_mb (r, engine, item);
+  GArray *bundles;
+  bool started = false;
 
-  if (!e->usable || lack == 0)
+  if (!e->usable || missing_mb == 0)
     return false;
-  if (is_moving (r->p, e))
+  if (is_relocating (r->p, e))
     return true;
-  units = find_units (r, engine, item, lack);
-  for (guint i = 0; i < units->len && !moved; i++)
+  bundles = find_relocatable (r, engine, item, missing_mb);
+  for (guint i = 0; i < bundles->len && !started; i++)
     {
-      moved = move_unit (r, engine, g_array_index (units, pu_sized_t, i).id,
-                         item);
+      started = relocate_bundle (
+          r, engine, g_array_index (bundles, pu_handle_memory_t, i).id, item);
     }
-  g_array_unref (units);
-  return moved;
+  g_array_unref (bundles);
+  return started;
 }
 
+/* Picks the engine on which to make room for ITEM and takes the first step;
+   false when there is none.  */
 static bool
-begin (pu_round_t *r, guint32 item)
+begin_relocation (pu_round_t *r, guint32 item)
 {
   pu_planned_item_t *t = pu_planned_item (r->p, item);
-  GArray *engines = g_array_new (FALSE, FALSE, sizeof (pu_sized_t));
-  bool begun = false;
+  GArray *engines = g_array_new (FALSE, FALSE, sizeof (pu_handle_memory_t));
+  bool started = false;
 
   pu_planner_mark_item (r->p, item, pu_planned_version (t));
   r->p->lean = true;
   for (guint32 i = 0; i < r->p->engines->len; i++)
     {
-      pu_sized_t e = { i, 0 };
+      pu_handle_memory_t e = { i, 0 };
 
       if (!pu_planner_can_hold (r->p, i, item))
         continue;
-      e.memory_mb = lacks (r, i, item);
+      e.memory_mb = compute_missing_mb (r, i, item);
       if (e.memory_mb > 0)
         g_array_append_val (engines, e);
     }
   r->p->lean = false;
-  g_array_sort (engines, compare_sized);
-  for (guint i = 0; i < engines->len && i < OPENING_TRIES && !begun; i++)
+  g_array_sort (engines, compare_memory);
+  for (guint i = 0; i < engines->len && i < RELOCATION_TRIES && !started; i++)
     {
-      t->opens_engine = g_array_index (engines, pu_sized_t, i).id;
-      begun = go_on (r, t->opens_engine, item);
+      t->opens_engine = g_array_index (engines, pu_handle_memory_t, i).id;
+      started = continue_relocation (r, t->opens_engine, item);
     }
-  t->opens_until = begun ? r->now + OPENING_MS : 0;
+  t->opens_until = started ? r->now + RELOCATION_MS : 0;
   g_array_unref (engines);
-  return begun;
+  return started;
 }
 
 void
 pu_round_open_room (pu_round_t *r, guint32 item)
 {
   pu_planned_item_t *t = pu_planned_item (r->p, item);
-  bool goes_on = r->now < t->opens_until && go_on (r, t->opens_engine, item);
+  bool continued = r->now < t->opens_until
+                   && continue_relocation (r, t->opens_engine, item);
 
-  if (!goes_on && !begin (r, item))
+  if (!continued && !begin_relocation (r, item))
     return;
   t->no_room = false;
-  t->not_before = r->now + OPENING_RETRY_MS;
+  t->not_before = r->now + RELOCATION_RETRY_MS;
 }
