--- a/libplantainusher/placement/due_test.cc
+++ b/libplantainusher/placement/due_test.cc
@@ -13,7 +13,7 @@
 constexpr guint32 kModel = 7;
 constexpr pu_due_times_t kTimes = { 6000, 1000 };
 
-/* Two engines whose reports have come; the clock starts at 1000.  */
+/* Two engines that have each sent a report; the clock starts at 1000 ms.  */
 struct Due : ::testing::Test
 {
   pu_dispatcher_t *d = nullptr;
@@ -47,9 +47,9 @@
     pu_dispatcher_report (d, engine, &r, now, now);
   }
 
-  /* A load of the model on ENGINE that it has accepted.  */
+  /* Orders a load of the model on ENGINE, which accepts it.  */
   void
-  Load (guint32 engine)
+  StartLoad (guint32 engine)
   {
     const pu_dispatcher_order_t o = { PU_DISPATCHER_LOAD, kModel, false };
     GArray *actions
@@ -62,41 +62,41 @@
   }
 
   guint32
-  Ms () const
+  DueMs () const
   {
     return pu_due_ms (d, engines.data (), engines.size (), kModel, &kTimes,
                       now);
   }
 };
 
-TEST_F (Due, ALoadThatCouldBeginNow)
+TEST_F (Due, FullLoadTimeWhenNoLoadIsUnderWay)
 {
-  EXPECT_EQ (6000u, Ms ());
+  EXPECT_EQ (6000u, DueMs ());
   engines[1].quick = true;
-  EXPECT_EQ (1000u, Ms ()) << "one has it on its disk";
+  EXPECT_EQ (1000u, DueMs ()) << "engine 1 has it on its disk";
 }
 
-TEST_F (Due, WhatIsLeftOfALoad)
+TEST_F (Due, RemainingTimeOfALoadUnderWay)
 {
-  Load (0);
+  StartLoad (0);
   now += 2500;
-  EXPECT_EQ (3500u, Ms ());
+  EXPECT_EQ (3500u, DueMs ());
   now += 5000;
-  EXPECT_EQ (0u, Ms ()) << "any moment";
+  EXPECT_EQ (0u, DueMs ()) << "the load is longer under way than expected";
 }
 
-TEST_F (Due, ACopyThatIsReady)
+TEST_F (Due, ZeroWhenACopyIsReady)
 {
   now += 5000;
   Report (1, { kModel });
-  EXPECT_EQ (0u, Ms ());
+  EXPECT_EQ (0u, DueMs ());
 }
 
-TEST_F (Due, AnEngineThatMayHoldItIsWaitedFor)
+TEST_F (Due, ZeroUntilEveryEngineHasReported)
 {
   pu_dispatcher_add (d, 2, now);
   engines.push_back ({ 2, false });
-  EXPECT_EQ (0u, Ms ());
+  EXPECT_EQ (0u, DueMs ());
 }
 
 } // namespace
--- a/libplantainusher/placement/planner_test.cc
+++ b/libplantainusher/placement/planner_test.cc
@@ -11,14 +11,14 @@
 namespace
 {
 
-/* Engines of 100 MB and 10 streams in two zones; moves are carried out by the
-   test.  */
+/* Engines of 100 MB and 10 streams in two zones; the test applies the moves
+   that the planner returns.  */
 struct Planner : ::testing::Test
 {
   pu_planner_options_t o;
   pu_planner_t *p = nullptr;
   GArray *moves = g_array_new (FALSE, FALSE, sizeof (pu_move_t));
-  std::vector<std::vector<pu_plan_copy_t> > held;
+  std::vector<std::vector<pu_plan_copy_t> > copies; /* by engine */
   guint64 now = 1000;
 
   Planner ()
@@ -35,16 +35,16 @@
   }
 
   void
-  Engines (unsigned n)
+  AddEngines (unsigned n)
   {
     p = pu_planner_new (&o);
-    held.resize (n);
+    copies.resize (n);
     for (unsigned i = 0; i < n; i++)
-      Tell (i);
+      ReportEngine (i);
   }
 
   void
-  Tell (guint32 engine, bool usable = true)
+  ReportEngine (guint32 engine, bool usable = true)
   {
     pu_plan_engine_t e = {};
 
@@ -53,16 +53,16 @@
     e.memory_mb = 100;
     e.streams = 10;
     e.usable = usable;
-    e.copies = held[engine].data ();
-    e.n_copies = held[engine].size ();
-    for (auto &c : held[engine])
+    e.copies = copies[engine].data ();
+    e.n_copies = copies[engine].size ();
+    for (auto &c : copies[engine])
       e.committed_mb += c.memory_mb;
     pu_planner_set_engine (p, engine, &e, now);
   }
 
   void
-  Item (guint32 item, guint32 memory_mb, guint32 version = 1,
-        guint32 base = PU_PLAN_NONE)
+  DeclareItem (guint32 item, guint32 memory_mb, guint32 version = 1,
+               guint32 base = PU_PLAN_NONE)
   {
     pu_plan_item_t i = {};
     std::string name = "item" + std::to_string (item);
@@ -78,10 +78,10 @@
     pu_planner_set_item (p, item, &i);
   }
 
-  /* One step; its moves as text, such as "load 2.1@0 " (item 2, version 1,
-     engine 0), carried out at once when DO_IT.  */
+  /* Runs one step and returns its moves as text, such as "load 2.1@0 " (item
+     2, version 1, engine 0); applies them at once when APPLY_MOVES.  */
   std::string
-  Step (bool do_it = true)
+  Step (bool apply_moves = true)
   {
     std::string text;
 
@@ -96,192 +96,196 @@
         text += (load ? "load " : "unload ") + std::to_string (m.item) + "."
                 + std::to_string (m.version) + "@" + std::to_string (m.engine)
                 + " ";
-        if (do_it)
-          Carry (m);
+        if (apply_moves)
+          Apply (m);
       }
     return text;
   }
 
   void
-  Carry (const pu_move_t &m)
+  Apply (const pu_move_t &m)
   {
-    auto &h = held[m.engine];
+    auto &h = copies[m.engine];
 
     if (m.kind == PU_MOVE_LOAD)
       h.push_back ({ m.item, m.version, m.memory_mb, PU_PLAN_READY });
     for (size_t i = h.size (); m.kind == PU_MOVE_UNLOAD && i-- > 0;)
       if (h[i].item == m.item && h[i].version == m.version)
         h.erase (h.begin () + i);
-    Tell (m.engine);
+    ReportEngine (m.engine);
   }
 };
 
-TEST_F (Planner, LoadsWhatIsUnreachableFirstAndWithinTheStore)
+TEST_F (Planner, LoadsUnreachableItemsFirstWithinTheStoreLimit)
 {
   o.max_coming = 2;
-  Engines (2);
-  Item (0, 30);
-  Item (1, 40);
-  Item (2, 20);
+  AddEngines (2);
+  DeclareItem (0, 30);
+  DeclareItem (1, 40);
+  DeclareItem (2, 20);
   EXPECT_EQ ("load 1.1@0 load 0.1@1 ", Step (false)) << "the largest first";
   EXPECT_EQ (PU_ITEM_STATE_WAIT_STORE, pu_planner_item_state (p, 2, now));
 }
 
-/* After a crash many models are lost at once, and the store takes a load or
-   two a second: the one that most callers wait for goes first.  */
-TEST_F (Planner, WhatMostCallersWaitForIsLoadedFirst)
+/* Guards against loading an idle model first when a crash has left many models
+   without a copy.  The store takes only a load or two a second, so the model
+   that most callers wait for goes first.  */
+TEST_F (Planner, LoadsTheUnreachableItemWithMostDemandFirst)
 {
   o.max_coming = 1;
-  Engines (2);
-  Item (0, 30);
-  Item (1, 40);
-  Item (2, 20);
+  AddEngines (2);
+  DeclareItem (0, 30);
+  DeclareItem (1, 40);
+  DeclareItem (2, 20);
   pu_planner_demand (p, 0, 1, 100.0);
   pu_planner_demand (p, 2, 40, 40 * 1000.0);
   EXPECT_EQ ("load 2.1@0 ", Step (false));
 }
 
-/* Three models are lost, and the one engine that came back loads one after the
-   other: what is asked for in the meantime is not behind what isn't.  */
-TEST_F (Planner, NothingQueuesUpAtAnEngineThatLoads)
+/* Three models have no copy, and the only engine loads one at a time.  Guards
+   against queueing loads on it, which would put a model that gets requests
+   meanwhile behind one that gets none.  */
+TEST_F (Planner, QueuesNoLoadOnAnEngineThatIsLoading)
 {
   o.one_load = true;
-  Engines (1);
-  Item (0, 30);
-  Item (1, 20);
-  Item (2, 10);
+  AddEngines (1);
+  DeclareItem (0, 30);
+  DeclareItem (1, 20);
+  DeclareItem (2, 10);
   EXPECT_EQ ("load 0.1@0 ", Step (false));
-  held[0] = { { 0, 1, 30, PU_PLAN_LOADING } };
-  Tell (0);
+  copies[0] = { { 0, 1, 30, PU_PLAN_LOADING } };
+  ReportEngine (0);
   EXPECT_EQ ("", Step (false));
   pu_planner_demand (p, 2, 40, 40 * 1000.0);
   EXPECT_EQ ("", Step (false));
-  held[0] = { { 0, 1, 30, PU_PLAN_READY } };
-  Tell (0);
+  copies[0] = { { 0, 1, 30, PU_PLAN_READY } };
+  ReportEngine (0);
   EXPECT_EQ ("load 2.1@0 ", Step (false));
 }
 
-/* An empty engine joins and loads for seconds: what is lost and asked for
-   meanwhile takes the place of a second copy elsewhere.  */
-TEST_F (Planner, WhatIsAskedForDoesNotWaitForAnEngineThatLoads)
+/* An empty engine joins and loads for seconds.  A model without a copy that
+   gets requests meanwhile must not wait for it, but replaces a second copy of
+   another model elsewhere.  */
+TEST_F (Planner, ItemWithDemandDoesNotWaitForALoadingEngine)
 {
   o.one_load = true;
-  Engines (3);
-  Item (0, 60);
-  Item (1, 30);
-  Item (2, 60);
-  held[0] = { { 0, 1, 60, PU_PLAN_READY } };
-  held[1] = { { 0, 1, 60, PU_PLAN_READY } };
-  held[2] = { { 1, 1, 30, PU_PLAN_LOADING } };
+  AddEngines (3);
+  DeclareItem (0, 60);
+  DeclareItem (1, 30);
+  DeclareItem (2, 60);
+  copies[0] = { { 0, 1, 60, PU_PLAN_READY } };
+  copies[1] = { { 0, 1, 60, PU_PLAN_READY } };
+  copies[2] = { { 1, 1, 30, PU_PLAN_LOADING } };
   for (guint32 i = 0; i < 3; i++)
-    Tell (i);
-  EXPECT_EQ ("", Step (false)) << "nobody asks for it";
+    ReportEngine (i);
+  EXPECT_EQ ("", Step (false)) << "item 2 has no demand";
   pu_planner_demand (p, 2, 40, 40 * 1000.0);
   EXPECT_EQ ("unload 0.1@0 ", Step ());
   EXPECT_EQ ("load 2.1@0 ", Step ());
 }
 
-/* The only room for a second copy is at an engine that loads: it is looked for
-   again when that has ended, not only seconds later.  */
-TEST_F (Planner, SpareCopyWaitsNoLongerThanTheLoadBeforeIt)
+/* The only room for a second copy is on an engine that is loading.  The copy
+   is tried again as soon as that load has ended, without the retry delay.  */
+TEST_F (Planner, SpareCopyIsTriedAgainWhenTheLoadBeforeItEnds)
 {
   o.one_load = true;
   o.max_coming = 4;
-  Engines (2);
-  Item (0, 30);
-  Item (1, 20);
-  held[0] = { { 0, 1, 30, PU_PLAN_READY }, { 1, 1, 20, PU_PLAN_READY } };
-  Tell (0);
+  AddEngines (2);
+  DeclareItem (0, 30);
+  DeclareItem (1, 20);
+  copies[0] = { { 0, 1, 30, PU_PLAN_READY }, { 1, 1, 20, PU_PLAN_READY } };
+  ReportEngine (0);
   EXPECT_EQ ("load 0.1@1 ", Step ());
   EXPECT_EQ ("load 1.1@1 ", Step ());
 }
 
 TEST_F (Planner, SpareCopiesGoToAnotherZone)
 {
-  Engines (4);
-  Item (0, 60);
+  AddEngines (4);
+  DeclareItem (0, 60);
   EXPECT_EQ ("load 0.1@0 ", Step ());
   EXPECT_EQ ("load 0.1@1 ", Step ());
   EXPECT_EQ ("", Step ());
 }
 
-TEST_F (Planner, MakesRoomByACopyThatIsNotTheLast)
+TEST_F (Planner, EvictsACopyThatIsNotTheLast)
 {
-  Engines (2);
-  Item (0, 60);
+  AddEngines (2);
+  DeclareItem (0, 60);
   Step ();
   Step ();
-  Item (1, 70);
+  DeclareItem (1, 70);
   EXPECT_EQ ("unload 0.1@0 ", Step ());
   EXPECT_EQ ("load 1.1@0 ", Step ());
-  Item (2, 50);
-  EXPECT_EQ ("", Step ()) << "both hold a last copy";
+  DeclareItem (2, 50);
+  EXPECT_EQ ("", Step ()) << "both engines hold a last copy";
   EXPECT_EQ (PU_ITEM_STATE_WAIT_RETRY, pu_planner_item_state (p, 2, now));
   EXPECT_FALSE (pu_planner_may_unload (p, 1, 0, 1));
 }
 
-TEST_F (Planner, AdaptersGoWhereTheirBaseIsReady)
+TEST_F (Planner, AdaptersLoadWhereTheirBaseIsReady)
 {
-  Engines (2);
-  Item (0, 60);
-  Item (1, 5, 1, 0);
+  AddEngines (2);
+  DeclareItem (0, 60);
+  DeclareItem (1, 5, 1, 0);
   EXPECT_EQ ("load 0.1@0 ", Step ());
   EXPECT_EQ ("load 1.1@0 ", Step ().substr (0, 11));
 }
 
-TEST_F (Planner, ALastCopyMovesAwayWhenThatMakesRoom)
+TEST_F (Planner, RelocatesALastCopyToMakeRoom)
 {
-  Engines (2);
-  Item (0, 30);
-  Item (1, 30);
+  AddEngines (2);
+  DeclareItem (0, 30);
+  DeclareItem (1, 30);
   EXPECT_EQ ("load 0.1@0 load 1.1@1 ", Step ());
-  Item (2, 80);
-  EXPECT_EQ ("load 0.1@1 ", Step ()) << "beside, before it leaves";
+  DeclareItem (2, 80);
+  EXPECT_EQ ("load 0.1@1 ", Step ())
+      << "loaded elsewhere before it is unloaded";
   EXPECT_EQ ("unload 0.1@0 ", Step ());
   EXPECT_EQ ("load 2.1@0 ", Step ());
 }
 
 TEST_F (Planner, GrowthWaitsWhileAnItemIsUnreachable)
 {
-  Engines (3);
-  Item (0, 60);
+  AddEngines (3);
+  DeclareItem (0, 60);
   Step ();
-  Item (1, 60);
+  DeclareItem (1, 60);
   EXPECT_EQ ("load 1.1@1 ", Step (false));
-  held[1].push_back ({ 1, 1, 60, PU_PLAN_LOADING });
-  Tell (1);
+  copies[1].push_back ({ 1, 1, 60, PU_PLAN_LOADING });
+  ReportEngine (1);
   EXPECT_EQ ("", Step (false));
-  held[1][0].phase = PU_PLAN_READY;
-  Tell (1);
+  copies[1][0].phase = PU_PLAN_READY;
+  ReportEngine (1);
   EXPECT_NE ("", Step (false));
 }
 
-/* The load that an unreachable item needs is on its way: others needn't wait
-   for its end.  */
-TEST_F (Planner, DemandIsFollowedWhileARepairIsUnderWay)
+/* Once the load that an unreachable item needs is under way, growth of other
+   items does not wait for its end.  */
+TEST_F (Planner, GrowsForDemandWhileARepairIsUnderWay)
 {
-  Engines (4);
-  Item (0, 60);
+  AddEngines (4);
+  DeclareItem (0, 60);
   Step ();
-  Item (1, 60);
+  DeclareItem (1, 60);
   Step (false);
-  held[1].push_back ({ 1, 1, 60, PU_PLAN_LOADING });
-  Tell (1);
+  copies[1].push_back ({ 1, 1, 60, PU_PLAN_LOADING });
+  ReportEngine (1);
   pu_planner_demand (p, 0, 400, 200 * 1000.0);
   EXPECT_NE ("", Step (false));
 }
 
-/* Models that nobody asks for are lost with an engine; one that everybody asks
-   for needs copies.  The store gives one a turn, then the other.  */
-TEST_F (Planner, DemandAndWhatIsLostTakeTurnsAtTheStore)
+/* Three models without demand have no copy, and one with high demand needs
+   more copies.  Neither may starve the other: their loads alternate.  */
+TEST_F (Planner, GrowthAndIdleRepairsAlternateAtTheStore)
 {
   std::string order;
 
-  Engines (8);
-  Item (0, 90);
+  AddEngines (8);
+  DeclareItem (0, 90);
   Step ();
   for (guint32 i = 1; i <= 3; i++)
-    Item (i, 90);
+    DeclareItem (i, 90);
   for (int i = 0; i < 6; i++)
     {
       pu_planner_set_store (p, 1);
@@ -291,24 +295,25 @@
   EXPECT_EQ ("load 0;load 1;load 0;load 2;load 0;load 3;", order);
 }
 
-TEST_F (Planner, RoomIsHeldForTheAdaptersOfABaseThatComes)
+TEST_F (Planner, HoldsMemoryForTheAdaptersOfALoadingBase)
 {
-  Engines (1);
-  Item (0, 60);
-  Item (1, 20, 1, 0);
+  AddEngines (1);
+  DeclareItem (0, 60);
+  DeclareItem (1, 20, 1, 0);
   EXPECT_EQ ("load 0.1@0 ", Step (false));
-  held[0].push_back ({ 0, 1, 60, PU_PLAN_LOADING });
-  Tell (0);
-  Item (2, 30);
+  copies[0].push_back ({ 0, 1, 60, PU_PLAN_LOADING });
+  ReportEngine (0);
+  DeclareItem (2, 30);
   EXPECT_EQ ("", Step (false));
-  held[0][0].phase = PU_PLAN_READY;
-  Tell (0);
+  copies[0][0].phase = PU_PLAN_READY;
+  ReportEngine (0);
   EXPECT_EQ ("load 1.1@0 ", Step ());
 }
 
-/* What PL wants to reserve after a step that plans.  */
+/* The number of loads that PL wants to reserve memory for after a step that
+   plans.  */
 unsigned
-Reserves (pu_placement_t *pl, guint64 now)
+CountReservations (pu_placement_t *pl, guint64 now)
 {
   GArray *todo = g_array_new (FALSE, FALSE, sizeof (pu_orders_action_t));
   unsigned n = 0;
@@ -321,7 +326,7 @@
   return n;
 }
 
-TEST (Placement, TheLossOfItsEnginesIsNoFailureOfAModel)
+TEST (Placement, LosingEnginesIsNotALoadFailureOfTheirModel)
 {
   pu_placement_options_t o = {};
   pu_ledger_held_t held = { 0, 50, PU_LEDGER_READY };
@@ -349,46 +354,46 @@
   r.n_held = 1;
   for (r.backend = 1; r.backend <= o.planner.max_failures; r.backend++)
     pu_placement_backend (pl, &r, false, 0, 4.0, 1000);
-  EXPECT_EQ (0u, Reserves (pl, 2000));
+  EXPECT_EQ (0u, CountReservations (pl, 2000));
   r.n_held = 0;
   for (r.backend = 1; r.backend <= o.planner.max_failures; r.backend++)
     pu_placement_backend (pl, &r, true, 0, 4.0, 2000);
-  EXPECT_EQ (1u, Reserves (pl, 3000)) << "at once, not after a wait";
+  EXPECT_EQ (1u, CountReservations (pl, 3000)) << "without a retry delay";
   pu_placement_free (pl);
 }
 
-TEST_F (Planner, ANewVersionIsLoadedBesideWatchedAndTakesOver)
+TEST_F (Planner, NewVersionIsObservedBeforeTheOldOneIsUnloaded)
 {
-  Engines (1);
-  Item (0, 40);
+  AddEngines (1);
+  DeclareItem (0, 40);
   Step ();
-  Item (0, 40, 2);
+  DeclareItem (0, 40, 2);
   EXPECT_EQ ("load 0.2@0 ", Step ());
   for (int i = 0; i < 5; i++)
-    EXPECT_EQ ("", Step ()) << "watched";
+    EXPECT_EQ ("", Step ()) << "observed before it replaces the old one";
   EXPECT_EQ ("unload 0.1@0 ", Step ());
 }
 
-TEST_F (Planner, AVersionThatFailsIsRolledBack)
+TEST_F (Planner, FailingVersionIsRolledBack)
 {
-  Engines (2);
-  Item (0, 40);
+  AddEngines (2);
+  DeclareItem (0, 40);
   Step ();
-  Item (0, 40, 2);
+  DeclareItem (0, 40, 2);
   for (guint i = 0; i < o.max_failures; i++)
     pu_planner_load_failed (p, 1, 0, 2, now);
   EXPECT_TRUE (pu_planner_rolled_back (p, 0));
   EXPECT_EQ (std::string::npos, Step ().find ("0.2"));
-  Item (0, 40, 3);
+  DeclareItem (0, 40, 3);
   EXPECT_FALSE (pu_planner_rolled_back (p, 0));
 }
 
-TEST_F (Planner, ABurstGetsACopyOnlyWhenItPays)
+TEST_F (Planner, BurstGetsACopyOnlyWhenTheGainExceedsThePrice)
 {
   o.zone_spread = false;
   o.moves_weight = 1;
-  Engines (3);
-  Item (0, 60);
+  AddEngines (3);
+  DeclareItem (0, 60);
   while (!Step ().empty ())
     ;
   for (int i = 0; i < 30; i++)
@@ -409,12 +414,13 @@
   g_string_free (why, TRUE);
 }
 
-/* A model whose callers ask for ten times what its copies can do.  */
-TEST_F (Planner, FarTooMuchDemandGetsCopiesToo)
+/* A model with ten times the demand that its copies can serve.  One more copy
+   doesn't end the overload, but is a gain nevertheless.  */
+TEST_F (Planner, DemandFarBeyondCapacityStillAddsCopies)
 {
-  Engines (6);
-  Item (0, 60);
-  Item (1, 60);
+  AddEngines (6);
+  DeclareItem (0, 60);
+  DeclareItem (1, 60);
   while (Step () != "")
     continue;
   for (int i = 0; i < 30; i++)
@@ -422,25 +428,26 @@
       pu_planner_demand (p, 0, 400, 200 * 1000.0);
       Step ();
     }
-  EXPECT_EQ (5U, pu_planner_ready (p, 0)) << "all but the other's last";
+  EXPECT_EQ (5U, pu_planner_ready (p, 0))
+      << "all engines but the one with item 1's last copy";
 }
 
-/* Two models have too much to do: one a half more than its four copies can,
-   the other forty times.  The second gets the copy, though room has to be made
-   for it.  */
-TEST_F (Planner, WhatIsFurthestBeyondItsCopiesGrowsFirst)
+/* Two models are overloaded: one by half of what its four copies can serve,
+   the other forty times.  The second gets the copy, although that needs an
+   eviction.  */
+TEST_F (Planner, MostOverloadedItemGrowsFirst)
 {
-  Engines (7);
-  Item (0, 40);
-  Item (1, 90);
-  Item (2, 60);
+  AddEngines (7);
+  DeclareItem (0, 40);
+  DeclareItem (1, 90);
+  DeclareItem (2, 60);
   for (guint32 i = 0; i < 4; i++)
-    held[i] = { { 0, 1, 40, PU_PLAN_READY } };
-  held[4] = { { 1, 1, 90, PU_PLAN_READY } };
-  held[5] = { { 2, 1, 60, PU_PLAN_READY } };
-  held[6] = { { 2, 1, 60, PU_PLAN_READY } };
+    copies[i] = { { 0, 1, 40, PU_PLAN_READY } };
+  copies[4] = { { 1, 1, 90, PU_PLAN_READY } };
+  copies[5] = { { 2, 1, 60, PU_PLAN_READY } };
+  copies[6] = { { 2, 1, 60, PU_PLAN_READY } };
   for (guint32 i = 0; i < 7; i++)
-    Tell (i);
+    ReportEngine (i);
   pu_planner_set_store (p, 1);
   pu_planner_demand (p, 0, 60, 60 * 1000.0);
   pu_planner_demand (p, 1, 400, 400 * 1000.0);
@@ -450,43 +457,43 @@
   EXPECT_EQ ("load 1.1@5 ", Step ());
 }
 
-/* A copy that leaves a busy engine takes nothing off it: what others do there
-   goes on.  Item 0 is hardly asked for, and one more copy of it helps nobody.
- */
-TEST_F (Planner, WorkBesideACopyThatLeavesIsNoReasonToGrowIt)
+/* Guards against counting the load of a busy engine as the demand of a copy
+   that is being unloaded there.  Item 0 has hardly any demand, so one more
+   copy of it relieves no engine.  */
+TEST_F (Planner, LoadBesideALeavingCopyDoesNotGrowItsItem)
 {
-  Engines (3);
-  Item (0, 30);
-  Item (1, 60);
-  Item (2, 60);
-  held[0] = { { 1, 1, 60, PU_PLAN_READY }, { 0, 1, 30, PU_PLAN_LEAVING } };
-  held[1] = { { 2, 1, 60, PU_PLAN_READY }, { 0, 1, 30, PU_PLAN_READY } };
+  AddEngines (3);
+  DeclareItem (0, 30);
+  DeclareItem (1, 60);
+  DeclareItem (2, 60);
+  copies[0] = { { 1, 1, 60, PU_PLAN_READY }, { 0, 1, 30, PU_PLAN_LEAVING } };
+  copies[1] = { { 2, 1, 60, PU_PLAN_READY }, { 0, 1, 30, PU_PLAN_READY } };
   for (guint32 i = 0; i < 3; i++)
-    Tell (i);
+    ReportEngine (i);
   for (guint32 i = 1; i < 3; i++)
     pu_planner_demand (p, i, 40, 40 * 1000.0);
   pu_planner_demand (p, 0, 1, 20.0);
-  std::string moves = Step (false);
-  EXPECT_EQ (std::string::npos, moves.find ("load 0.1")) << moves;
-  EXPECT_NE (std::string::npos, moves.find ("load ")) << moves;
+  std::string text = Step (false);
+  EXPECT_EQ (std::string::npos, text.find ("load 0.1")) << text;
+  EXPECT_NE (std::string::npos, text.find ("load ")) << text;
 }
 
-/* The only answers of a model with a request a second came from a crowd, and
-   its requests are told to take a minute each.  It gets no copy for that
-   beside the two that it has; told so of many, it does.  */
-TEST_F (Planner, AFewRequestsAreNotBelievedToTakeFarLonger)
+/* The few answers of a model with one request a second ran under contention,
+   so its requests are estimated at a minute each.  This estimate alone adds no
+   copy to the two that the model has; the same for many requests does.  */
+TEST_F (Planner, LongEstimatesOfFewRequestsAddNoCopy)
 {
-  for (guint32 each : { 1U, 20U })
+  for (guint32 per_second : { 1U, 20U })
     {
-      Engines (6);
-      Item (0, 60);
-      Item (1, 60);
-      held[0] = { { 0, 1, 60, PU_PLAN_READY } };
-      held[1] = { { 1, 1, 60, PU_PLAN_READY } };
-      held[2] = { { 0, 1, 60, PU_PLAN_READY } };
-      held[3] = { { 1, 1, 60, PU_PLAN_READY } };
+      AddEngines (6);
+      DeclareItem (0, 60);
+      DeclareItem (1, 60);
+      copies[0] = { { 0, 1, 60, PU_PLAN_READY } };
+      copies[1] = { { 1, 1, 60, PU_PLAN_READY } };
+      copies[2] = { { 0, 1, 60, PU_PLAN_READY } };
+      copies[3] = { { 1, 1, 60, PU_PLAN_READY } };
       for (guint32 i = 0; i < 4; i++)
-        Tell (i);
+        ReportEngine (i);
       o.forecast.fast_s = 1;
       o.forecast.mid_s = 2;
       o.forecast.slow_s = 2;
@@ -495,7 +502,7 @@
       for (int i = 0; i < 30; i++)
         {
           pu_planner_demand (p, 1, 40, 40 * 200.0);
-          pu_planner_demand (p, 0, each, each * 60 * 1000.0);
+          pu_planner_demand (p, 0, per_second, per_second * 60 * 1000.0);
           Step (false);
           for (guint k = 0; k < moves->len; k++)
             {
@@ -504,22 +511,22 @@
               grows = grows || (m.item == 0 && m.reason == PU_REASON_DEMAND);
             }
         }
-      EXPECT_EQ (each > 1, grows) << each << " requests a second";
+      EXPECT_EQ (per_second > 1, grows) << per_second << " requests a second";
       pu_planner_free (p);
       p = nullptr;
     }
 }
 
-/* Demand moves to a model with one copy: it gets as many copies at once as the
-   demand needs beyond those that it has and those that come, no more.  */
-TEST_F (Planner, GrowsByTheCopiesThatTheDemandLacks)
+/* Demand shifts to a model with one copy.  It gets at once as many copies as
+   the demand needs beyond those that are ready or loading, and no more.  */
+TEST_F (Planner, GrowsByTheCopiesMissingForTheDemand)
 {
   struct
   {
     guint32 streams;
     const char *moves;
   } const rows[] = {
-    { 6, "load 0.1@1 " }, /* in spare memory: seven streams are one copy's */
+    { 6, "load 0.1@1 " }, /* a spare copy: one copy serves seven streams */
     { 13, "load 0.1@1 " },
     { 20, "load 0.1@1 load 0.1@2 " },
     { 34, "load 0.1@1 load 0.1@2 load 0.1@3 load 0.1@4 " },
@@ -528,79 +535,81 @@
   o.max_coming = 8;
   for (auto &row : rows)
     {
-      Engines (8);
-      Item (0, 60);
-      held[0] = { { 0, 1, 60, PU_PLAN_READY } };
-      Tell (0);
+      AddEngines (8);
+      DeclareItem (0, 60);
+      copies[0] = { { 0, 1, 60, PU_PLAN_READY } };
+      ReportEngine (0);
       pu_planner_demand (p, 0, row.streams, row.streams * 1000.0);
       EXPECT_EQ (row.moves, Step (false)) << row.streams;
       for (guint i = 0; i < moves->len; i++)
         {
           const pu_move_t &m = g_array_index (moves, pu_move_t, i);
 
-          held[m.engine] = { { 0, 1, 60, PU_PLAN_LOADING } };
-          Tell (m.engine);
+          copies[m.engine] = { { 0, 1, 60, PU_PLAN_LOADING } };
+          ReportEngine (m.engine);
         }
       pu_planner_demand (p, 0, row.streams, row.streams * 1000.0);
-      EXPECT_EQ ("", Step (false)) << row.streams << ", with those that come";
+      EXPECT_EQ ("", Step (false)) << row.streams << ", loading copies count";
       pu_planner_free (p);
       p = nullptr;
-      held.clear ();
+      copies.clear ();
     }
 }
 
-/* A rare model whose copy is on a crowded engine: what crowds that engine gets
-   copies, the rare model needs none.  */
-TEST_F (Planner, ARareModelBesideABusyOneGetsNoCopy)
+/* A model with little demand shares an overloaded engine.  The model that
+   causes the overload gets copies, the other needs none.  */
+TEST_F (Planner, ModelWithLittleDemandBesideABusyOneGetsNoCopy)
 {
-  Engines (6);
-  Item (0, 60);
-  Item (1, 30);
-  held[0] = { { 0, 1, 60, PU_PLAN_READY }, { 1, 1, 30, PU_PLAN_READY } };
-  Tell (0);
+  AddEngines (6);
+  DeclareItem (0, 60);
+  DeclareItem (1, 30);
+  copies[0] = { { 0, 1, 60, PU_PLAN_READY }, { 1, 1, 30, PU_PLAN_READY } };
+  ReportEngine (0);
   pu_planner_demand (p, 0, 60, 60 * 1000.0);
   pu_planner_demand (p, 1, 2, 2 * 1000.0);
-  std::string moves = Step (false);
-  EXPECT_EQ (std::string::npos, moves.find ("load 1.1")) << moves;
-  EXPECT_NE (std::string::npos, moves.find ("load 0.1")) << moves;
+  std::string text = Step (false);
+  EXPECT_EQ (std::string::npos, text.find ("load 1.1")) << text;
+  EXPECT_NE (std::string::npos, text.find ("load 0.1")) << text;
 }
 
-/* A second copy of what nobody asks for can wait; what is asked for can't.  */
+/* While an engine is overloaded, copies for demand come before spare copies of
+   models without demand.  */
 TEST_F (Planner, SpareCopiesWaitWhileAnEngineIsHot)
 {
-  Engines (4);
-  Item (0, 90);
-  Item (1, 90);
+  AddEngines (4);
+  DeclareItem (0, 90);
+  DeclareItem (1, 90);
   Step ();
   pu_planner_demand (p, 0, 400, 200 * 1000.0);
   EXPECT_EQ ("load 0.1@3 load 0.1@2 ", Step ());
 }
 
-TEST_F (Planner, LoadsWhereTheWeightsAreAtHand)
+TEST_F (Planner, LoadsWhereTheWeightsAreCached)
 {
-  Engines (4);
-  Item (0, 60);
+  AddEngines (4);
+  DeclareItem (0, 60);
   pu_planner_set_quick (p, 2, 0, true);
   EXPECT_EQ ("load 0.1@2 ", Step ());
 }
 
-/* An engine's report may come before it is planned for.  */
-TEST_F (Planner, WhatIsAtHandMayBeKnownBeforeTheEngine)
+/* The report on an engine's cached weights may arrive before the planner knows
+   the engine.  */
+TEST_F (Planner, CachedWeightsMayBeKnownBeforeTheEngine)
 {
-  Engines (1);
+  AddEngines (1);
   pu_planner_set_quick (p, 40, 0, true);
-  held.resize (41);
-  Tell (40);
-  Item (0, 60);
+  copies.resize (41);
+  ReportEngine (40);
+  DeclareItem (0, 60);
   EXPECT_EQ ("load 0.1@40 ", Step ());
 }
 
-/* What an engine has on its disk takes no turn of the store.  */
-TEST_F (Planner, TheStoreHoldsBackOnlyWhatComesFromIt)
+/* A load from an engine's own disk doesn't count against the store's limit. */
+TEST_F (Planner, StoreLimitSparesLoadsOfCachedWeights)
 {
-  Engines (4);
-  Item (0, 60);
-  Item (1, 60);
+  AddEngines (4);
+  DeclareItem (0, 60);
+  DeclareItem (1, 60);
   pu_planner_set_store (p, 0);
   pu_planner_set_quick (p, 3, 1, true);
   EXPECT_EQ ("load 1.1@3 ", Step ());
@@ -609,10 +618,10 @@
   EXPECT_EQ ("load 0.1@0 ", Step ());
 }
 
-TEST_F (Planner, WhatIfTellsTheMovesAndChangesNothing)
+TEST_F (Planner, WhatIfReturnsTheMovesAndChangesNothing)
 {
-  Engines (2);
-  Item (0, 40);
+  AddEngines (2);
+  DeclareItem (0, 40);
   while (!Step ().empty ())
     ;
   pu_plan_item_t n = {};
@@ -660,7 +669,7 @@
     return pu_orders_want (s, &w, now);
   }
 
-  /* What is to be done at NOW, such as "reserve send ".  */
+  /* Runs one step at NOW and returns its actions, such as "reserve send ".  */
   std::string
   Step (guint64 now)
   {
@@ -676,7 +685,7 @@
   }
 };
 
-TEST_F (Orders, KeepToTheStoreAndToOneOrderForACopy)
+TEST_F (Orders, KeepToTheStoreLimitAndOneOrderPerCopy)
 {
   o.loads_per_s = 2;
   o.loads_at_once = 3;
@@ -689,10 +698,10 @@
   EXPECT_EQ ("", Step (400));
   EXPECT_EQ ("reserve ", Step (500));
   EXPECT_EQ ("reserve ", Step (1000));
-  EXPECT_EQ ("", Step (1500)) << "three at once";
+  EXPECT_EQ ("", Step (1500)) << "at most three at once";
 }
 
-TEST_F (Orders, AreSentAgainUntilTheirTimeIsOverAndReleasedByTheirLife)
+TEST_F (Orders, AreResentUntilTheSendTimeEndsAndReleasedAtTheEndOfLife)
 {
   s = pu_orders_new (&o, 0);
   guint64 t = o.lease_ms + pu_orders_life_ms (&o);
@@ -710,7 +719,7 @@
   EXPECT_EQ (0u, Want (0, 7, false, t + pu_orders_life_ms (&o)));
 }
 
-TEST_F (Orders, ANewLeaderWaitsWhereAnOrderOfTheOneBeforeMayBeUnderWay)
+TEST_F (Orders, NewLeaderWaitsWhereAnEarlierOrderMayBeUnderWay)
 {
   s = pu_orders_new (&o, 0);
   guint64 t = o.lease_ms + pu_orders_life_ms (&o);
@@ -721,14 +730,15 @@
       pu_orders_adopt (s, &open, i == 1, 0);
     }
   EXPECT_TRUE (pu_orders_quiet (s, t - 1));
-  EXPECT_EQ (0u, Want (0, 7, false, t - 1)) << "it ignores tokens";
-  EXPECT_NE (0u, Want (1, 7, true, t - 1)) << "it checks them";
-  EXPECT_NE (0u, Want (2, 7, false, 0)) << "no order in the log is for it";
+  EXPECT_EQ (0u, Want (0, 7, false, t - 1)) << "backend 0 ignores tokens";
+  EXPECT_NE (0u, Want (1, 7, true, t - 1)) << "backend 1 checks tokens";
+  EXPECT_NE (0u, Want (2, 7, false, 0))
+      << "the log has no order for backend 2";
   EXPECT_FALSE (pu_orders_quiet (s, t));
   EXPECT_NE (0u, Want (0, 7, false, t));
 }
 
-TEST_F (Orders, AFencedOneIsFencedOffRatherThanReleased)
+TEST_F (Orders, FencedBackendIsFencedBeforeTheRelease)
 {
   s = pu_orders_new (&o, 0);
   guint32 id = Want (0, 7, true, 0);
