--- a/libplantainusher/placement/forecast.h
+++ b/libplantainusher/placement/forecast.h
@@ -20,8 +20,8 @@
  *
  * The daemon that admits a request estimates how long it will run.  For a
  * model with few requests the estimate rests on one or two answers, which may
- * have run under contention, so what exceeds twice the mean of all
- * models counts only in part.
+ * have run under contention, so what exceeds twice the mean of all models
+ * counts only in part.
  */
 
 typedef struct
