--- a/libplantainusher/suspects/suspects.c
+++ b/libplantainusher/suspects/suspects.c
@@ -5,62 +5,62 @@
 
 enum
 {
-  DEFAULT_STRIKE_WAIT_MS = 600000,
-  DEFAULT_LIKE_WAIT_MS = 200,
-  DEFAULT_CUT_KEPT_MS = 5000,
-  DEFAULT_CUT_WAIT_MS = 1000,
-  CUTS_MAX = 1024,
+  DEFAULT_LOCAL_STRIKE_MS = 600000,
+  DEFAULT_DUPLICATE_WAIT_MS = 200,
+  DEFAULT_ABORTED_RETENTION_MS = 5000,
+  DEFAULT_SUSPECT_COOLDOWN_MS = 1000,
+  ABORTED_MAX = 1024,
 };
 
-/* What is held against a fingerprint.  */
+/* The strikes of a fingerprint.  */
 typedef struct
 {
   guint64 fingerprint;
-  guint strikes; /* that the log counts */
+  guint strikes; /* in the replicated log */
   bool convicted;
-  guint64 until; /* a strike of our own counts until then; 0: none */
+  guint64 local_strike_until; /* when the local strike expires; 0: none */
 } record_t;
 
-/* The requests of one fingerprint that run without an answer.  */
+/* The requests of one fingerprint that are in flight without an answer.  */
 typedef struct
 {
   guint64 fingerprint;
-  GQueue runs;     /* of run_t */
-  guint broken;    /* of these */
-  guint32 backend; /* where one of them runs at least */
-  guint elsewhere; /* runs at others */
-} like_t;
+  GQueue attempts;        /* of attempt_t */
+  guint connections_lost; /* attempts whose connection was lost */
+  guint32 backend;        /* runs at least one of them */
+  guint elsewhere;        /* attempts on other backend servers */
+} duplicates_t;
 
-/* A request that runs, or that was cut.  */
+/* A request that is in flight, or that was aborted.  */
 typedef struct
 {
   guint64 request;
   guint64 fingerprint;
   guint32 backend;
   guint64 incarnation;
-  bool apart;
-  bool broken;
-  bool cut;
-  guint64 serial;     /* rises with each start */
-  guint64 cut_at;     /* loop time */
-  guint64 cut_serial; /* of the last one started before the cut */
-  like_t *like;       /* NULL: answered, or cut */
-  GList link;         /* in it */
-} run_t;
+  bool isolated; /* was a suspect when it started */
+  bool connection_lost;
+  bool aborted;
+  guint64 serial;           /* increases with each start */
+  guint64 aborted_at;       /* in ms */
+  guint64 serial_at_abort;  /* of the last start before the abort */
+  duplicates_t *duplicates; /* NULL: answered or aborted */
+  GList link;               /* in duplicates->attempts */
+} attempt_t;
 
 struct pu_suspects
 {
   pu_suspects_options_t options;
-  GHashTable *records; /* &fingerprint -> record_t *, owned */
-  GHashTable *runs;    /* &request -> run_t *, owned */
-  GPtrArray *apart;    /* of run_t *: the suspects among the runs */
-  GHashTable *likes;   /* &fingerprint -> like_t *, owned */
-  GQueue cuts;         /* of run_t *, owned: oldest first */
-  guint64 serial;      /* of the last start */
+  GHashTable *records;    /* &fingerprint -> record_t *, owned */
+  GHashTable *in_flight;  /* &request -> attempt_t *, owned */
+  GPtrArray *isolated;    /* of attempt_t *: the suspects in flight */
+  GHashTable *duplicates; /* &fingerprint -> duplicates_t *, owned */
+  GQueue aborted;         /* of attempt_t *, owned: oldest first */
+  guint64 serial;         /* of the last start */
 };
 
 static bool
-broken (const pu_suspects_t *s, pu_suspects_break_t rule)
+has_break (const pu_suspects_t *s, pu_suspects_break_t rule)
 {
   return (s->options.test_breaks & rule) != 0;
 }
@@ -68,10 +68,10 @@
 void
 pu_suspects_options_init (pu_suspects_options_t *o)
 {
-  o->strike_wait_ms = DEFAULT_STRIKE_WAIT_MS;
-  o->like_wait_ms = DEFAULT_LIKE_WAIT_MS;
-  o->cut_kept_ms = DEFAULT_CUT_KEPT_MS;
-  o->cut_wait_ms = DEFAULT_CUT_WAIT_MS;
+  o->local_strike_ms = DEFAULT_LOCAL_STRIKE_MS;
+  o->duplicate_wait_ms = DEFAULT_DUPLICATE_WAIT_MS;
+  o->aborted_retention_ms = DEFAULT_ABORTED_RETENTION_MS;
+  o->suspect_cooldown_ms = DEFAULT_SUSPECT_COOLDOWN_MS;
   o->test_breaks = 0;
 }
 
@@ -83,10 +83,12 @@
   s->options = *o;
   s->records
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
-  s->runs = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
-  s->apart = g_ptr_array_new ();
-  s->likes = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
-  g_queue_init (&s->cuts);
+  s->in_flight
+      = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
+  s->isolated = g_ptr_array_new ();
+  s->duplicates
+      = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
+  g_queue_init (&s->aborted);
   return s;
 }
 
@@ -95,10 +97,10 @@
 {
   if (s == NULL)
     return;
-  g_ptr_array_free (s->apart, TRUE);
-  g_queue_clear_full (&s->cuts, g_free);
-  g_hash_table_destroy (s->likes);
-  g_hash_table_destroy (s->runs);
+  g_ptr_array_free (s->isolated, TRUE);
+  g_queue_clear_full (&s->aborted, g_free);
+  g_hash_table_destroy (s->duplicates);
+  g_hash_table_destroy (s->in_flight);
   g_hash_table_destroy (s->records);
   g_free (s);
 }
@@ -111,7 +113,7 @@
 }
 
 static record_t *
-record_of (pu_suspects_t *s, guint64 fingerprint)
+record_ensure (pu_suspects_t *s, guint64 fingerprint)
 {
   record_t *r = g_hash_table_lookup (s->records, &fingerprint);
 
@@ -127,11 +129,11 @@
 pu_suspects_put (pu_suspects_t *s, guint64 fingerprint, guint strikes,
                  bool convicted)
 {
-  record_t *r = record_of (s, fingerprint);
+  record_t *r = record_ensure (s, fingerprint);
 
   r->strikes = strikes;
   r->convicted = convicted;
-  r->until = 0;
+  r->local_strike_until = 0;
 }
 
 void
@@ -146,15 +148,15 @@
 {
   const record_t *r = g_hash_table_lookup (s->records, &fingerprint);
 
-  return r != NULL && (r->strikes > 0 || r->until > now);
+  return r != NULL && (r->strikes > 0 || r->local_strike_until > now);
 }
 
 static bool
-runs_apart (const pu_suspects_t *s, guint64 fingerprint)
+duplicate_isolated (const pu_suspects_t *s, guint64 fingerprint)
 {
-  for (guint i = 0; i < s->apart->len; i++)
+  for (guint i = 0; i < s->isolated->len; i++)
     {
-      const run_t *r = g_ptr_array_index (s->apart, i);
+      const attempt_t *r = g_ptr_array_index (s->isolated, i);
 
       if (r->fingerprint == fingerprint)
         return true;
@@ -162,122 +164,125 @@
   return false;
 }
 
-/* Whether R, a suspect, was cut so lately that its backend server may be dying
-   of it.  */
+/* Whether R is a suspect that was aborted so recently that its backend server
+   may still die because of it.  */
 static bool
-cut_lately (const pu_suspects_t *s, const run_t *r, guint64 now)
+in_cooldown (const pu_suspects_t *s, const attempt_t *r, guint64 now)
 {
-  return r->apart && now - r->cut_at < s->options.cut_wait_ms;
+  return r->isolated && now - r->aborted_at < s->options.suspect_cooldown_ms;
 }
 
 static bool
-like_cut_lately (const pu_suspects_t *s, guint64 fingerprint, guint64 now)
+duplicate_in_cooldown (const pu_suspects_t *s, guint64 fingerprint,
+                       guint64 now)
 {
-  for (const GList *l = s->cuts.head; l != NULL; l = l->next)
+  for (const GList *l = s->aborted.head; l != NULL; l = l->next)
     {
-      const run_t *r = l->data;
+      const attempt_t *r = l->data;
 
-      if (r->fingerprint == fingerprint && cut_lately (s, r, now))
+      if (r->fingerprint == fingerprint && in_cooldown (s, r, now))
         return true;
     }
   return false;
 }
 
-static like_t *
-like_of (const pu_suspects_t *s, guint64 fingerprint)
+static duplicates_t *
+duplicates_of (const pu_suspects_t *s, guint64 fingerprint)
 {
-  if (broken (s, PU_SUSPECTS_BREAK_SCATTER))
+  if (has_break (s, PU_SUSPECTS_BREAK_SPREAD_DUPLICATES))
     return NULL;
-  return g_hash_table_lookup (s->likes, &fingerprint);
+  return g_hash_table_lookup (s->duplicates, &fingerprint);
 }
 
 pu_suspects_verdict_t
 pu_suspects_judge (pu_suspects_t *s, guint64 fingerprint, guint64 now)
 {
   const record_t *r = g_hash_table_lookup (s->records, &fingerprint);
-  const like_t *like = like_of (s, fingerprint);
+  const duplicates_t *d = duplicates_of (s, fingerprint);
 
   if (!pu_suspects_is_suspect (s, fingerprint, now))
     {
-      bool doubted = like != NULL && like->broken > 0;
+      bool being_checked = d != NULL && d->connections_lost > 0;
 
-      return doubted ? PU_SUSPECTS_WAIT : PU_SUSPECTS_RUN;
+      return being_checked ? PU_SUSPECTS_WAIT : PU_SUSPECTS_RUN;
     }
-  if (r->convicted && !broken (s, PU_SUSPECTS_BREAK_NO_CONVICTION))
+  if (r->convicted && !has_break (s, PU_SUSPECTS_BREAK_NO_REFUSAL))
     return PU_SUSPECTS_REFUSE;
-  if ((like != NULL || runs_apart (s, fingerprint)
-       || like_cut_lately (s, fingerprint, now))
-      && !broken (s, PU_SUSPECTS_BREAK_TOGETHER))
+  if ((d != NULL || duplicate_isolated (s, fingerprint)
+       || duplicate_in_cooldown (s, fingerprint, now))
+      && !has_break (s, PU_SUSPECTS_BREAK_CONCURRENT))
     return PU_SUSPECTS_WAIT;
   return PU_SUSPECTS_APART;
 }
 
 static void
-like_add (pu_suspects_t *s, run_t *r)
+duplicates_add (pu_suspects_t *s, attempt_t *r)
 {
-  like_t *like = g_hash_table_lookup (s->likes, &r->fingerprint);
+  duplicates_t *d = g_hash_table_lookup (s->duplicates, &r->fingerprint);
 
-  if (like == NULL)
+  if (d == NULL)
     {
-      like = g_new0 (like_t, 1);
-      like->fingerprint = r->fingerprint;
-      like->backend = r->backend;
-      g_hash_table_insert (s->likes, &like->fingerprint, like);
+      d = g_new0 (duplicates_t, 1);
+      d->fingerprint = r->fingerprint;
+      d->backend = r->backend;
+      g_hash_table_insert (s->duplicates, &d->fingerprint, d);
     }
   r->link.data = r;
-  r->like = like;
-  like->elsewhere += r->backend != like->backend;
-  g_queue_push_tail_link (&like->runs, &r->link);
+  r->duplicates = d;
+  d->elsewhere += r->backend != d->backend;
+  g_queue_push_tail_link (&d->attempts, &r->link);
 }
 
-/* None of LIKE's runs is at its backend server any more.  */
+/* Sets the backend server of D to that of its oldest attempt.  Called when no
+   attempt is left on the previous one.  */
 static void
-like_move (like_t *like)
+duplicates_set_backend (duplicates_t *d)
 {
-  like->backend = ((const run_t *)like->runs.head->data)->backend;
-  like->elsewhere = 0;
-  for (const GList *l = like->runs.head; l != NULL; l = l->next)
+  d->backend = ((const attempt_t *)d->attempts.head->data)->backend;
+  d->elsewhere = 0;
+  for (const GList *l = d->attempts.head; l != NULL; l = l->next)
     {
-      const run_t *r = l->data;
+      const attempt_t *r = l->data;
 
-      like->elsewhere += r->backend != like->backend;
+      d->elsewhere += r->backend != d->backend;
     }
 }
 
 static void
-like_remove (pu_suspects_t *s, run_t *r)
+duplicates_remove (pu_suspects_t *s, attempt_t *r)
 {
-  like_t *like = r->like;
+  duplicates_t *d = r->duplicates;
 
-  if (like == NULL)
+  if (d == NULL)
     return;
-  r->like = NULL;
-  g_queue_unlink (&like->runs, &r->link);
-  like->broken -= r->broken;
-  like->elsewhere -= r->backend != like->backend;
-  if (g_queue_is_empty (&like->runs))
+  r->duplicates = NULL;
+  g_queue_unlink (&d->attempts, &r->link);
+  d->connections_lost -= r->connection_lost;
+  d->elsewhere -= r->backend != d->backend;
+  if (g_queue_is_empty (&d->attempts))
     {
-      g_hash_table_remove (s->likes, &like->fingerprint);
+      g_hash_table_remove (s->duplicates, &d->fingerprint);
     }
-  else if (like->elsewhere == like->runs.length)
+  else if (d->elsewhere == d->attempts.length)
     {
-      like_move (like);
+      duplicates_set_backend (d);
     }
 }
 
-/* R runs no longer; the caller frees it.  */
+/* Removes R from the lists of requests in flight.  The caller removes it from
+   the table, and frees or keeps it.  */
 static void
-run_leave (pu_suspects_t *s, run_t *r)
+attempt_detach (pu_suspects_t *s, attempt_t *r)
 {
-  like_remove (s, r);
-  g_ptr_array_remove_fast (s->apart, r);
+  duplicates_remove (s, r);
+  g_ptr_array_remove_fast (s->isolated, r);
 }
 
 void
 pu_suspects_started (pu_suspects_t *s, guint64 request, guint64 fingerprint,
                      guint32 backend, guint64 incarnation, guint64 now)
 {
-  run_t *r = g_new0 (run_t, 1);
+  attempt_t *r = g_new0 (attempt_t, 1);
 
   pu_suspects_finished (s, request);
   r->request = request;
@@ -285,90 +290,90 @@
   r->backend = backend;
   r->incarnation = incarnation;
   r->serial = ++s->serial;
-  r->apart = pu_suspects_is_suspect (s, fingerprint, now);
-  if (r->apart)
-    g_ptr_array_add (s->apart, r);
-  like_add (s, r);
-  g_hash_table_insert (s->runs, &r->request, r);
+  r->isolated = pu_suspects_is_suspect (s, fingerprint, now);
+  if (r->isolated)
+    g_ptr_array_add (s->isolated, r);
+  duplicates_add (s, r);
+  g_hash_table_insert (s->in_flight, &r->request, r);
 }
 
 void
 pu_suspects_answered (pu_suspects_t *s, guint64 request)
 {
-  run_t *r = g_hash_table_lookup (s->runs, &request);
+  attempt_t *r = g_hash_table_lookup (s->in_flight, &request);
 
   if (r != NULL)
-    like_remove (s, r);
+    duplicates_remove (s, r);
 }
 
 void
 pu_suspects_broke (pu_suspects_t *s, guint64 request)
 {
-  run_t *r = g_hash_table_lookup (s->runs, &request);
+  attempt_t *r = g_hash_table_lookup (s->in_flight, &request);
 
-  if (r == NULL || r->broken)
+  if (r == NULL || r->connection_lost)
     return;
-  if (r->like == NULL)
-    like_add (s, r);
-  r->broken = true;
-  r->like->broken++;
+  if (r->duplicates == NULL)
+    duplicates_add (s, r);
+  r->connection_lost = true;
+  r->duplicates->connections_lost++;
 }
 
 void
 pu_suspects_finished (pu_suspects_t *s, guint64 request)
 {
-  run_t *r = g_hash_table_lookup (s->runs, &request);
+  attempt_t *r = g_hash_table_lookup (s->in_flight, &request);
 
   if (r == NULL)
     return;
-  run_leave (s, r);
-  g_hash_table_remove (s->runs, &request);
+  attempt_detach (s, r);
+  g_hash_table_remove (s->in_flight, &request);
 }
 
 static void
-cuts_forget (pu_suspects_t *s, guint64 now)
+aborted_evict (pu_suspects_t *s, guint64 now)
 {
-  const run_t *r = g_queue_peek_head (&s->cuts);
+  const attempt_t *r = g_queue_peek_head (&s->aborted);
 
   while (r != NULL
-         && (s->cuts.length > CUTS_MAX
-             || now - r->cut_at >= s->options.cut_kept_ms))
+         && (s->aborted.length > ABORTED_MAX
+             || now - r->aborted_at >= s->options.aborted_retention_ms))
     {
-      g_free (g_queue_pop_head (&s->cuts));
-      r = g_queue_peek_head (&s->cuts);
+      g_free (g_queue_pop_head (&s->aborted));
+      r = g_queue_peek_head (&s->aborted);
     }
 }
 
 void
 pu_suspects_cut (pu_suspects_t *s, guint64 request, guint64 now)
 {
-  run_t *r = g_hash_table_lookup (s->runs, &request);
+  attempt_t *r = g_hash_table_lookup (s->in_flight, &request);
 
   if (r == NULL)
     return;
-  run_leave (s, r);
-  g_hash_table_steal (s->runs, &request);
-  r->cut = true;
-  r->cut_at = now;
-  r->cut_serial = s->serial;
-  g_queue_push_tail (&s->cuts, r);
-  cuts_forget (s, now);
+  attempt_detach (s, r);
+  g_hash_table_steal (s->in_flight, &request);
+  r->aborted = true;
+  r->aborted_at = now;
+  r->serial_at_abort = s->serial;
+  g_queue_push_tail (&s->aborted, r);
+  aborted_evict (s, now);
 }
 
 bool
 pu_suspects_stays (const pu_suspects_t *s, guint64 fingerprint,
                    guint32 backend, guint64 since, guint64 now)
 {
-  const like_t *like = like_of (s, fingerprint);
+  const duplicates_t *d = duplicates_of (s, fingerprint);
 
-  if (like == NULL || broken (s, PU_SUSPECTS_BREAK_TOGETHER)
-      || (since != 0 && now - since >= s->options.like_wait_ms))
+  if (d == NULL || has_break (s, PU_SUSPECTS_BREAK_CONCURRENT)
+      || (since != 0 && now - since >= s->options.duplicate_wait_ms))
     return false;
-  return like->backend != backend || like->elsewhere > 0;
+  return d->backend != backend || d->elsewhere > 0;
 }
 
 static bool
-struck (const GArray *strikes, guint64 fingerprint)
+has_strike (const GArray *strikes, guint64 fingerprint)
 {
   for (guint i = 0; i < strikes->len; i++)
     {
@@ -380,90 +385,91 @@
 }
 
 static void
-strike (pu_suspects_t *s, const run_t *r, bool apart, GArray *strikes,
-        guint64 now)
+add_strike (pu_suspects_t *s, const attempt_t *r, bool isolated,
+            GArray *strikes, guint64 now)
 {
   pu_suspects_strike_t one = { .fingerprint = r->fingerprint,
                                .backend = r->backend,
                                .incarnation = r->incarnation,
-                               .apart = apart };
+                               .apart = isolated };
 
-  if (broken (s, PU_SUSPECTS_BREAK_NO_STRIKE)
-      || struck (strikes, r->fingerprint))
+  if (has_break (s, PU_SUSPECTS_BREAK_NO_STRIKE)
+      || has_strike (strikes, r->fingerprint))
     return;
-  record_of (s, r->fingerprint)->until = now + s->options.strike_wait_ms;
+  record_ensure (s, r->fingerprint)->local_strike_until
+      = now + s->options.local_strike_ms;
   g_array_append_val (strikes, one);
 }
 
 bool
-pu_suspects_occupied (const pu_suspects_t *s, guint32 backend, guint64 now)
+pu_suspects_is_reserved (const pu_suspects_t *s, guint32 backend, guint64 now)
 {
-  for (guint i = 0; i < s->apart->len; i++)
+  for (guint i = 0; i < s->isolated->len; i++)
     {
-      const run_t *r = g_ptr_array_index (s->apart, i);
+      const attempt_t *r = g_ptr_array_index (s->isolated, i);
 
       if (r->backend == backend)
         return true;
     }
-  for (const GList *l = s->cuts.head; l != NULL; l = l->next)
+  for (const GList *l = s->aborted.head; l != NULL; l = l->next)
     {
-      const run_t *r = l->data;
+      const attempt_t *r = l->data;
 
-      if (r->backend == backend && cut_lately (s, r, now))
+      if (r->backend == backend && in_cooldown (s, r, now))
         return true;
     }
   return false;
 }
 
-/* Takes what ran or was cut at INCARNATION of BACKEND, or an older one, out
-   of the tables.  The caller frees it.  */
+/* Removes the requests in flight or aborted on INCARNATION of BACKEND, or on
+   an older one, from the tables.  The caller frees the array.  */
 static GPtrArray *
-dead_take (pu_suspects_t *s, guint32 backend, guint64 incarnation)
+take_dead (pu_suspects_t *s, guint32 backend, guint64 incarnation)
 {
   GPtrArray *dead = g_ptr_array_new_with_free_func (g_free);
   GHashTableIter i;
   gpointer value;
   GList *next;
 
-  g_hash_table_iter_init (&i, s->runs);
+  g_hash_table_iter_init (&i, s->in_flight);
   while (g_hash_table_iter_next (&i, NULL, &value))
     {
-      run_t *r = value;
+      attempt_t *r = value;
 
       if (r->backend != backend || r->incarnation > incarnation)
         continue;
-      run_leave (s, r);
+      attempt_detach (s, r);
       g_hash_table_iter_steal (&i);
       g_ptr_array_add (dead, r);
     }
-  for (GList *l = s->cuts.head; l != NULL; l = next)
+  for (GList *l = s->aborted.head; l != NULL; l = next)
     {
-      run_t *r = l->data;
+      attempt_t *r = l->data;
 
       next = l->next;
       if (r->backend != backend || r->incarnation > incarnation)
         continue;
-      g_queue_delete_link (&s->cuts, l);
+      g_queue_delete_link (&s->aborted, l);
       g_ptr_array_add (dead, r);
     }
   return dead;
 }
 
-/* Whether R had its backend server to itself when that died.  One that was
-   cut had so when nothing was sent there since.  */
+/* Whether R was isolated when its backend server died.  An aborted request
+   was, if no request was sent to the backend server after the abort.  */
 static bool
-died_apart (const pu_suspects_t *s, const GPtrArray *dead, const run_t *r,
-            guint64 now)
+was_isolated (const pu_suspects_t *s, const GPtrArray *dead,
+              const attempt_t *r, guint64 now)
 {
-  if (broken (s, PU_SUSPECTS_BREAK_CUT_APART) && r->cut)
+  if (has_break (s, PU_SUSPECTS_BREAK_ABORTED_ISOLATED) && r->aborted)
     return pu_suspects_is_suspect (s, r->fingerprint, now);
-  if (!r->apart || !r->cut)
-    return r->apart;
+  if (!r->isolated || !r->aborted)
+    return r->isolated;
   for (guint i = 0; i < dead->len; i++)
     {
-      const run_t *other = g_ptr_array_index (dead, i);
+      const attempt_t *other = g_ptr_array_index (dead, i);
 
-      if (other->serial > r->cut_serial)
+      if (other->serial > r->serial_at_abort)
         return false;
     }
   return true;
@@ -475,25 +481,25 @@
 {
   GPtrArray *dead;
   guint ended = 0;
-  bool alone = false;
+  bool any_isolated = false;
 
-  cuts_forget (s, now);
-  dead = dead_take (s, backend, incarnation);
+  aborted_evict (s, now);
+  dead = take_dead (s, backend, incarnation);
   for (guint i = 0; i < dead->len; i++)
     {
-      const run_t *r = g_ptr_array_index (dead, i);
+      const attempt_t *r = g_ptr_array_index (dead, i);
 
-      ended += !r->cut;
-      alone = alone || died_apart (s, dead, r, now);
+      ended += !r->aborted;
+      any_isolated = any_isolated || was_isolated (s, dead, r, now);
     }
-  /* A suspect that ran apart is struck alone.  */
+  /* When any of them ran isolated, only those that did get a strike.  */
   for (guint i = 0; i < dead->len; i++)
     {
-      const run_t *r = g_ptr_array_index (dead, i);
-      bool apart = died_apart (s, dead, r, now);
+      const attempt_t *r = g_ptr_array_index (dead, i);
+      bool isolated = was_isolated (s, dead, r, now);
 
-      if (apart || !alone)
-        strike (s, r, apart, strikes, now);
+      if (isolated || !any_isolated)
+        add_strike (s, r, isolated, strikes, now);
     }
   g_ptr_array_free (dead, TRUE);
   return ended;
@@ -502,5 +508,5 @@
 guint
 pu_suspects_running (const pu_suspects_t *s)
 {
-  return g_hash_table_size (s->runs);
+  return g_hash_table_size (s->in_flight);
 }
--- a/libplantainusher/suspects/suspects.h
+++ b/libplantainusher/suspects/suspects.h
@@ -10,136 +10,166 @@
 /*
  * suspects - requests that may have crashed a backend server.
  *
- * An entry notes what runs where.  When a backend server dies, everything it
- * was running gets a strike in the replicated log and is a suspect on every
- * daemon.  A suspect runs apart: sent by the one entry that its model hashes
- * to, never twice at the same time, on a backend server that runs no other
- * suspect.  When that backend server dies too, the suspect alone is struck:
- * who ran beside it is taken for innocent.  The log convicts at the second
- * strike; a convicted request is refused.
+ * Limits how many backend servers one crashing request can take down.  An
+ * entry records which request is in flight on which backend server.  When a
+ * backend server dies, each request in flight there gets a strike in the
+ * replicated log, which makes it a suspect on every daemon.  A suspect runs
+ * isolated: only the entry that its model hashes to dispatches it, one copy at
+ * a time, on a backend server that runs no other suspect.  When that backend
+ * server dies too, only the suspect gets a strike; the requests that ran
+ * beside it are assumed to be harmless.  At the second strike the log convicts
+ * the suspect, and a convicted request is refused.
  *
- * Copies of one request that nothing is known of yet stay together: while one
- * runs without an answer, the others go to the same backend server or wait a
- * little; while it is not known whether one died with its backend server,
- * they wait.  The router sends copies that come through other entries to the
- * same one where it can (pu_router_request_t's fingerprint).
+ * Duplicates are requests with the same fingerprint.  Until they are suspects
+ * they are kept on one backend server: while one of them is in flight without
+ * an answer, the others go to the same backend server or wait for a limited
+ * time.  While it is being checked whether the backend server of one of them
+ * has died, the others wait.  The router sends duplicates that arrive through
+ * other entries to the same backend server where possible (the fingerprint in
+ * pu_router_request_t).
  *
- * So a request that crashes what runs it takes two backend servers at most:
- * the first finds it among others, the second finds it alone.  Two crashing
- * requests on one backend server at the same moment can cost a third.
+ * A crashing request therefore takes down two backend servers at most: at the
+ * first it is one of several requests in flight, at the second it is isolated.
+ * Two crashing requests on one backend server at the same time can take down
+ * a third.
+ *
+ * Times are milliseconds of the event loop's clock.
  */
 
 typedef struct pu_suspects pu_suspects_t;
 
 typedef struct
 {
-  guint64 strike_wait_ms; /* a strike that the log has not taken counts here
-                             for that long */
-  guint64 like_wait_ms;   /* the most that a request waits for the answer to
-                             its like at another backend server */
-  guint64 cut_kept_ms;    /* a death within this may be of a cut request */
-  guint64 cut_wait_ms;    /* a suspect waits so long after its like was cut */
-  guint test_breaks;      /* pu_suspects_break_t; 0 outside tests */
+  guint64 local_strike_ms;      /* how long a strike counts on this daemon
+                                   while the log has not accepted it */
+  guint64 duplicate_wait_ms;    /* longest wait for the answer to a duplicate
+                                   on another backend server */
+  guint64 aborted_retention_ms; /* an aborted request gets a strike for a
+                                   death within this time */
+  guint64 suspect_cooldown_ms;  /* wait after a suspect was aborted, for its
+                                   duplicates and its backend server */
+  guint test_breaks;            /* pu_suspects_break_t; 0 outside tests */
 } pu_suspects_options_t;
 
 /* Deliberate faults for the tests that show the checks can fail.  */
 typedef enum
 {
-  PU_SUSPECTS_BREAK_NO_STRIKE = 1,     /* a death strikes nobody */
-  PU_SUSPECTS_BREAK_TOGETHER = 2,      /* a suspect runs twice at a time */
-  PU_SUSPECTS_BREAK_NO_CONVICTION = 4, /* the convicted run on */
-  PU_SUSPECTS_BREAK_SCATTER = 8,       /* copies need not stay together */
-  PU_SUSPECTS_BREAK_CUT_APART = 16     /* a cut request ran apart if it is a
-                                          suspect by now */
+  PU_SUSPECTS_BREAK_NO_STRIKE = 1,         /* a death gives no strikes */
+  PU_SUSPECTS_BREAK_CONCURRENT = 2,        /* duplicates of a suspect run at
+                                              the same time */
+  PU_SUSPECTS_BREAK_NO_REFUSAL = 4,        /* convicted requests still run */
+  PU_SUSPECTS_BREAK_SPREAD_DUPLICATES = 8, /* duplicates need not go to the
+                                              same backend server */
+  PU_SUSPECTS_BREAK_ABORTED_ISOLATED = 16  /* an aborted request counts as
+                                              isolated if it has become a
+                                              suspect since */
 } pu_suspects_break_t;
 
-/* pu_suspects_options_init - strikes count here for ten minutes; likes wait
-   for 200 ms; cuts are kept for 5 s and waited for for one.  */
+/* pu_suspects_options_init - fills O with the defaults: local strikes count
+   for ten minutes, duplicates wait for 200 ms, aborted requests are kept for
+   5 s, and the cooldown of a suspect is 1 s.  */
 void pu_suspects_options_init (pu_suspects_options_t *o);
 
+/* pu_suspects_new - an empty table.  Copies O.  Free with
+   pu_suspects_free.  */
 pu_suspects_t *pu_suspects_new (const pu_suspects_options_t *o);
 void pu_suspects_free (pu_suspects_t *s);
 
-/* pu_suspects_fingerprint - the hash of MODEL and the input: what decides
-   whether two requests are the same for a backend server.  */
+/* pu_suspects_fingerprint - returns the hash of MODEL and the LEN bytes of
+   INPUT.  Requests with the same fingerprint are duplicates: a backend server
+   gets the same work from each.  */
 guint64 pu_suspects_fingerprint (const char *model, const void *input,
                                  size_t len);
 
 typedef enum
 {
-  PU_SUSPECTS_RUN,   /* no suspicion */
-  PU_SUSPECTS_APART, /* may run now, apart */
-  PU_SUSPECTS_WAIT,  /* its like runs apart, was cut there just now, or broke
-                        and is looked at: ask again soon */
+  PU_SUSPECTS_RUN,   /* not a suspect: no restriction */
+  PU_SUSPECTS_APART, /* a suspect: may run now, isolated */
+  PU_SUSPECTS_WAIT,  /* ask again soon: a duplicate of a suspect is in flight
+                        or in its cooldown, or the backend server of a
+                        duplicate is being checked after a lost connection */
   PU_SUSPECTS_REFUSE /* convicted */
 } pu_suspects_verdict_t;
 
-/* pu_suspects_put - what the replicated state says of FINGERPRINT: STRIKES
-   counted, CONVICTED.  pu_suspects_lift removes it.  */
+/* pu_suspects_put - stores what the replicated state holds for FINGERPRINT:
+   the number of STRIKES and whether it is CONVICTED.  Replaces a local
+   strike.  */
 void pu_suspects_put (pu_suspects_t *s, guint64 fingerprint, guint strikes,
                       bool convicted);
+
+/* pu_suspects_lift - removes the strikes and the conviction of
+   FINGERPRINT.  */
 void pu_suspects_lift (pu_suspects_t *s, guint64 fingerprint);
 
-/* pu_suspects_judge - whether a request of FINGERPRINT may run at NOW.  */
+/* pu_suspects_judge - returns whether a request with FINGERPRINT may run at
+   NOW.  */
 pu_suspects_verdict_t pu_suspects_judge (pu_suspects_t *s, guint64 fingerprint,
                                          guint64 now);
 
-/* pu_suspects_is_suspect - whether it must be sent to the entry that its
-   model hashes to.  */
+/* pu_suspects_is_suspect - returns whether a request with FINGERPRINT must be
+   sent to the entry that its model hashes to.  */
 bool pu_suspects_is_suspect (const pu_suspects_t *s, guint64 fingerprint,
                              guint64 now);
 
-/* pu_suspects_started - REQUEST, a number of the caller's, runs at
-   INCARNATION of BACKEND, a handle of the caller's.  */
+/* pu_suspects_started - records that REQUEST, a number that the caller
+   assigns, is in flight on INCARNATION of BACKEND, a handle that the caller
+   assigns.  */
 void pu_suspects_started (pu_suspects_t *s, guint64 request,
                           guint64 fingerprint, guint32 backend,
                           guint64 incarnation, guint64 now);
 
-/* pu_suspects_answered - its first token, or its whole answer, came.  */
+/* pu_suspects_answered - the first token of REQUEST, or its whole answer, has
+   arrived.  */
 void pu_suspects_answered (pu_suspects_t *s, guint64 request);
 
-/* pu_suspects_broke - its connection broke: whether its backend server died
-   is being looked at.  The end of that is to be told, too.  */
+/* pu_suspects_broke - the connection of REQUEST was lost, and the caller is
+   checking whether its backend server has died.  The caller must report the
+   result with pu_suspects_died, pu_suspects_cut or pu_suspects_finished.  */
 void pu_suspects_broke (pu_suspects_t *s, guint64 request);
 
-/* pu_suspects_finished - it ended, in whatever way but its backend server's
-   death or a cut.  */
+/* pu_suspects_finished - REQUEST ended in any way other than the death of its
+   backend server or an abort.  */
 void pu_suspects_finished (pu_suspects_t *s, guint64 request);
 
-/* pu_suspects_cut - it was cancelled, or broke while its backend server
-   listened on.  The backend server may die of it yet.  */
+/* pu_suspects_cut - REQUEST was aborted: it was cancelled, or its connection
+   was lost while its backend server still accepted connections.  The backend
+   server may still die because of REQUEST.  */
 void pu_suspects_cut (pu_suspects_t *s, guint64 request, guint64 now);
 
-/* pu_suspects_stays - whether a request of FINGERPRINT has to keep away from
-   BACKEND, because its like runs elsewhere without an answer.  It has waited
-   since SINCE for that (0: not yet).  */
+/* pu_suspects_stays - returns whether a request with FINGERPRINT must not be
+   sent to BACKEND because a duplicate is in flight on another one without an
+   answer.  SINCE is the time from which the request has waited for that; 0: it
+   has not waited yet.  */
 bool pu_suspects_stays (const pu_suspects_t *s, guint64 fingerprint,
                         guint32 backend, guint64 since, guint64 now);
 
-/* One strike to be proposed.  */
+/* A strike to be proposed to the replicated log.  */
 typedef struct
 {
   guint64 fingerprint;
   guint32 backend;
   guint64 incarnation;
-  bool apart; /* it ran apart: the log counts the death against it alone */
+  bool apart; /* the request was isolated: the log counts the death against it
+                 alone */
 } pu_suspects_strike_t;
 
-/* pu_suspects_died - INCARNATION of BACKEND, or an older one, is dead: what
-   ran there ends, and what was cut there lately may have killed it.  The
-   strikes to propose are appended to STRIKES (of pu_suspects_strike_t), each
-   fingerprint once; they count here at once. Returns how many requests ended.
- */
+/* pu_suspects_died - INCARNATION of BACKEND has died, and so have older ones.
+   Removes the requests in flight there and those aborted there within the
+   retention time, any of which may have caused the death.  Appends the strikes
+   to propose to STRIKES (of pu_suspects_strike_t), at most one for each
+   fingerprint; they count on this daemon at once.  Returns how many requests
+   were in flight.  */
 guint pu_suspects_died (pu_suspects_t *s, guint32 backend, guint64 incarnation,
                         GArray *strikes, guint64 now);
 
-/* pu_suspects_occupied - whether BACKEND runs a suspect, or one was cut there
-   just now, so that neither another suspect nor anything else is sent there
-   from here.  */
-bool pu_suspects_occupied (const pu_suspects_t *s, guint32 backend,
-                           guint64 now);
+/* pu_suspects_is_reserved - returns whether BACKEND runs a suspect, or is in
+   the cooldown after one was aborted there.  The entry must then dispatch
+   nothing else to BACKEND, whether a suspect or not.  */
+bool pu_suspects_is_reserved (const pu_suspects_t *s, guint32 backend,
+                              guint64 now);
 
-/* pu_suspects_running - requests noted, for the dump.  */
+/* pu_suspects_running - returns the number of requests recorded as in flight,
+   for the state dump.  */
 guint pu_suspects_running (const pu_suspects_t *s);
 
 G_END_DECLS
--- a/libplantainusher/suspects/suspects_test.cc
+++ b/libplantainusher/suspects/suspects_test.cc
@@ -42,13 +42,13 @@
     std::vector<guint64> out;
 
     pu_suspects_died (s, backend, incarnation, a, now);
-    apart = 0;
+    isolated_strikes = 0;
     for (guint i = 0; i < a->len; i++)
       {
         const auto &one = g_array_index (a, pu_suspects_strike_t, i);
 
         out.push_back (one.fingerprint);
-        apart += one.apart;
+        isolated_strikes += one.apart;
       }
     std::sort (out.begin (), out.end ());
     g_array_free (a, TRUE);
@@ -56,12 +56,12 @@
   }
 
   pu_suspects_t *s;
-  int apart = 0; /* of the last death's strikes */
+  int isolated_strikes = 0; /* of the last death */
 };
 
 } // namespace
 
-TEST (Suspects, ADeathStrikesEachFingerprintOnce)
+TEST (Suspects, DeathStrikesEachFingerprintOnce)
 {
   Suspects t;
 
@@ -74,7 +74,7 @@
   EXPECT_EQ (PU_SUSPECTS_RUN, pu_suspects_judge (t.s, 8, 1));
 }
 
-TEST (Suspects, WhatFinishedIsNotStruck)
+TEST (Suspects, FinishedRequestGetsNoStrike)
 {
   Suspects t;
 
@@ -83,7 +83,7 @@
   EXPECT_TRUE (t.died (0, 1).empty ());
 }
 
-TEST (Suspects, ANewIncarnationsRequestsLive)
+TEST (Suspects, DeathOfOldIncarnationKeepsRequestsOfNewOne)
 {
   Suspects t;
 
@@ -92,7 +92,7 @@
   EXPECT_EQ (1u, pu_suspects_running (t.s));
 }
 
-TEST (Suspects, ASuspectRunsOnceAtATimeAndIsStruckAlone)
+TEST (Suspects, SuspectRunsOnceAtATimeAndAloneGetsTheStrike)
 {
   Suspects t;
 
@@ -101,12 +101,12 @@
   pu_suspects_started (t.s, 1, 7, 0, 1, 0);
   pu_suspects_started (t.s, 2, 8, 0, 1, 0);
   EXPECT_EQ (PU_SUSPECTS_WAIT, pu_suspects_judge (t.s, 7, 0));
-  EXPECT_TRUE (pu_suspects_occupied (t.s, 0, 0));
+  EXPECT_TRUE (pu_suspects_is_reserved (t.s, 0, 0));
   EXPECT_EQ (std::vector<guint64> ({ 7 }), t.died (0, 1));
-  EXPECT_FALSE (pu_suspects_occupied (t.s, 0, 0));
+  EXPECT_FALSE (pu_suspects_is_reserved (t.s, 0, 0));
 }
 
-TEST (Suspects, TheConvictedAreRefusedUntilLifted)
+TEST (Suspects, ConvictedRequestIsRefusedUntilLifted)
 {
   Suspects t;
 
@@ -116,7 +116,7 @@
   EXPECT_EQ (PU_SUSPECTS_RUN, pu_suspects_judge (t.s, 7, 0));
 }
 
-TEST (Suspects, AStrikeTheLogNeverTookIsForgotten)
+TEST (Suspects, LocalStrikeExpires)
 {
   Suspects t;
 
@@ -126,7 +126,7 @@
   EXPECT_FALSE (pu_suspects_is_suspect (t.s, 7, 600000));
 }
 
-TEST (Suspects, TheFingerprintTakesModelAndInput)
+TEST (Suspects, FingerprintCoversModelAndInput)
 {
   EXPECT_NE (pu_suspects_fingerprint ("a", "x", 1),
              pu_suspects_fingerprint ("b", "x", 1));
@@ -136,7 +136,7 @@
              pu_suspects_fingerprint ("a", "x", 1));
 }
 
-TEST (Suspects, CopiesStayTogetherUntilTheFirstIsAnswered)
+TEST (Suspects, DuplicatesShareABackendServerUntilAnswered)
 {
   Suspects t;
 
@@ -155,7 +155,7 @@
   EXPECT_FALSE (pu_suspects_stays (t.s, 7, 3, 0, 10));
 }
 
-TEST (Suspects, CopiesWaitWhileItIsNotKnownWhetherOneKilled)
+TEST (Suspects, DuplicatesWaitWhileABackendServerIsChecked)
 {
   Suspects t;
 
@@ -168,7 +168,7 @@
   EXPECT_EQ (PU_SUSPECTS_RUN, pu_suspects_judge (t.s, 7, 0));
 }
 
-TEST (Suspects, WhatWasCutLatelyIsStruck)
+TEST (Suspects, RecentlyAbortedRequestGetsAStrike)
 {
   Suspects t;
 
@@ -184,10 +184,11 @@
 namespace
 {
 
-/* Request 7 is cut as an ordinary one and becomes a suspect by another
-   death; then its first backend server dies of request 8.  */
+/* Request 7 is aborted before it is a suspect, and becomes one by a death
+   elsewhere.  Then request 8 crashes the backend server that request 7 was
+   aborted on.  */
 std::vector<guint64>
-cut_before_it_was_a_suspect (Suspects &t)
+aborted_before_suspected (Suspects &t)
 {
   pu_suspects_started (t.s, 1, 7, 0, 1, 0);
   pu_suspects_cut (t.s, 1, 0);
@@ -198,19 +199,19 @@
 
 } // namespace
 
-TEST (Suspects, WhatWasCutBeforeItWasASuspectDidNotRunApart)
+TEST (Suspects, RequestAbortedBeforeItWasASuspectWasNotIsolated)
 {
   Suspects good;
-  Suspects bad (PU_SUSPECTS_BREAK_CUT_APART);
+  Suspects bad (PU_SUSPECTS_BREAK_ABORTED_ISOLATED);
 
-  EXPECT_EQ (std::vector<guint64> ({ 7, 8 }),
-             cut_before_it_was_a_suspect (good));
-  EXPECT_EQ (0, good.apart);
-  /* The guilty one goes free.  */
-  EXPECT_EQ (std::vector<guint64> ({ 7 }), cut_before_it_was_a_suspect (bad));
+  EXPECT_EQ (std::vector<guint64> ({ 7, 8 }), aborted_before_suspected (good));
+  EXPECT_EQ (0, good.isolated_strikes);
+  /* With the fault, request 8, which crashed the backend server, gets no
+     strike.  */
+  EXPECT_EQ (std::vector<guint64> ({ 7 }), aborted_before_suspected (bad));
 }
 
-TEST (Suspects, ACutSuspectRanApartWhenNothingWasSentThereSince)
+TEST (Suspects, AbortedSuspectWasIsolatedIfNothingWasSentAfterIt)
 {
   Suspects t;
 
@@ -219,14 +220,14 @@
   pu_suspects_started (t.s, 2, 7, 0, 1, 0);
   pu_suspects_cut (t.s, 2, 10);
   EXPECT_EQ (PU_SUSPECTS_WAIT, pu_suspects_judge (t.s, 7, 1009));
-  EXPECT_TRUE (pu_suspects_occupied (t.s, 0, 1009));
-  EXPECT_FALSE (pu_suspects_occupied (t.s, 0, 1010));
+  EXPECT_TRUE (pu_suspects_is_reserved (t.s, 0, 1009));
+  EXPECT_FALSE (pu_suspects_is_reserved (t.s, 0, 1010));
   EXPECT_EQ (PU_SUSPECTS_APART, pu_suspects_judge (t.s, 7, 1010));
   EXPECT_EQ (std::vector<guint64> ({ 7 }), t.died (0, 1, 20));
-  EXPECT_EQ (1, t.apart);
+  EXPECT_EQ (1, t.isolated_strikes);
 }
 
-TEST (Suspects, ACutSuspectIsNotAloneWhenOthersWereSentThereSince)
+TEST (Suspects, AbortedSuspectWasNotIsolatedIfOthersWereSentAfterIt)
 {
   Suspects t;
 
@@ -235,33 +236,33 @@
   pu_suspects_cut (t.s, 1, 10);
   pu_suspects_started (t.s, 2, 8, 0, 1, 20);
   EXPECT_EQ (std::vector<guint64> ({ 7, 8 }), t.died (0, 1, 30));
-  EXPECT_EQ (0, t.apart);
+  EXPECT_EQ (0, t.isolated_strikes);
 }
 
 namespace
 {
 
-constexpr guint64 kPoison = 99;
+constexpr guint64 kCrashing = 99;
 
 constexpr int kEntries = 3;
 constexpr int kBackends = 6;
 constexpr guint64 kStepMs = 10;
 
-/* How the entries choose a backend server.  */
-enum class Choice
+/* How the entries choose a backend server for a fingerprint.  */
+enum class Routing
 {
-  Alike,    /* the fingerprint decides, the same at each entry */
-  OneOther, /* but the last entry finds some busy */
-  Random    /* a deliberate fault: each for itself */
+  Consistent,   /* all entries use the same order of preference */
+  OneDivergent, /* the last entry passes over some as if busy */
+  Random        /* deliberate fault: each choice is random */
 };
 
-/* Entries that share a log of strikes; copies of the poison are sent at any
-   time through any entry, among innocents.  A suspect goes to entry 0, which
-   its model hashes to.  */
-struct World
+/* Entries that share a log of strikes.  Duplicates of the crashing request are
+   sent at any time through any entry, among harmless requests.  A suspect goes
+   to entry 0, which stands for the one that its model hashes to.  */
+struct Simulation
 {
-  World (unsigned seed, guint breaks, Choice how = Choice::Alike)
-      : choice (how), random (seed)
+  Simulation (unsigned seed, guint breaks, Routing how = Routing::Consistent)
+      : routing (how), random (seed)
   {
     for (int i = 0; i < kEntries; i++)
       entries.push_back (std::make_unique<Suspects> (breaks));
@@ -273,24 +274,24 @@
     return (int)(random () % n);
   }
 
-  /* The log's rule (state/apply.c): a death that a suspect met apart counts
-     against it alone.  */
+  /* Applies the strikes of one death as the log does (state/apply_suspects.c):
+     when isolated requests were hit, only these are counted.  */
   void
   count_strikes (const std::set<guint64> &struck,
-                 const std::set<guint64> &apart)
+                 const std::set<guint64> &isolated)
   {
-    for (guint64 f : apart.empty () ? struck : apart)
+    for (guint64 f : isolated.empty () ? struck : isolated)
       {
         const guint n = ++strikes[f];
 
         for (const auto &e : entries)
           pu_suspects_put (e->s, f, n, n >= 2);
       }
-    if (apart.empty ())
+    if (isolated.empty ())
       return;
     for (guint64 f : struck)
       {
-        if (strikes[f] > 0 || apart.count (f) > 0)
+        if (strikes[f] > 0 || isolated.count (f) > 0)
           continue;
         for (const auto &e : entries)
           pu_suspects_lift (e->s, f);
@@ -302,9 +303,9 @@
   {
     GArray *a = g_array_new (FALSE, FALSE, sizeof (pu_suspects_strike_t));
     std::set<guint64> struck;
-    std::set<guint64> apart;
+    std::set<guint64> isolated;
 
-    lost++;
+    backends_lost++;
     pu_fuzz_report::get ().faults++;
     for (const auto &e : entries)
       pu_suspects_died (e->s, backend, incarnation[backend], a, now);
@@ -312,14 +313,15 @@
       {
         const auto &one = g_array_index (a, pu_suspects_strike_t, i);
 
-        (one.apart ? apart : struck).insert (one.fingerprint);
+        (one.apart ? isolated : struck).insert (one.fingerprint);
       }
     g_array_free (a, TRUE);
-    count_strikes (struck, apart);
+    count_strikes (struck, isolated);
     incarnation[backend]++;
   }
 
-  /* Where ENTRY sends FINGERPRINT; none when it has to wait.  */
+  /* The backend server that ENTRY sends FINGERPRINT to; none when it has to
+     wait.  */
   std::optional<guint32>
   choose (int entry, guint64 fingerprint)
   {
@@ -330,13 +332,14 @@
     std::sort (order.begin (), order.end (), [=] (guint32 a, guint32 b) {
       return fingerprint * 31 % (a + 7) < fingerprint * 31 % (b + 7);
     });
-    if (choice == Choice::Random)
+    if (routing == Routing::Random)
       std::shuffle (order.begin (), order.end (), random);
     for (guint32 b : order)
       {
-        if (pu_suspects_occupied (s, b, now))
+        if (pu_suspects_is_reserved (s, b, now))
           continue;
-        if (choice == Choice::OneOther && entry == kEntries - 1 && pick (2))
+        if (routing == Routing::OneDivergent && entry == kEntries - 1
+            && pick (2))
           continue;
         if (pu_suspects_stays (s, fingerprint, b, 0, now))
           return std::nullopt;
@@ -370,34 +373,36 @@
     pu_suspects_started (entries[entry]->s, ++requests, fingerprint, *backend,
                          incarnation[*backend], now);
     running.push_back ({ entry, requests, fingerprint, *backend });
-    if (fingerprint == kPoison)
-      doomed.insert (*backend);
+    if (fingerprint == kCrashing)
+      crashing_backends.insert (*backend);
   }
 
-  /* At most two backend servers are lost, and no innocent is convicted.  Two
-     first deaths at the same moment may convict who ran at both.  */
+  /* At most two backend servers are lost, and no harmless request is
+     convicted. With OneDivergent, two can die at the same time before there is
+     a suspect, which may convict a harmless request that ran on both.  */
   bool
-  holds () const
+  invariants_hold () const
   {
     for (const auto &[fingerprint, n] : strikes)
       {
-        if (fingerprint != kPoison && n >= 2 && choice != Choice::OneOther)
+        if (fingerprint != kCrashing && n >= 2
+            && routing != Routing::OneDivergent)
           return false;
       }
-    return lost <= 2;
+    return backends_lost <= 2;
   }
 
-  /* Something happens to a request that runs: it is answered, ends, or its
-     caller goes.  Nobody hears from a backend server that is about to die.  */
+  /* Aborts, answers or finishes a random request in flight.  A backend server
+     that is about to crash answers and finishes none.  */
   void
-  go_on ()
+  advance_request ()
   {
     const Running r = running[pick ((int)running.size ())];
     pu_suspects_t *s = entries[r.entry]->s;
 
     if (pick (4) == 0)
       pu_suspects_cut (s, r.request, now);
-    else if (doomed.count (r.backend) > 0)
+    else if (crashing_backends.count (r.backend) > 0)
       return;
     else if (pick (2) == 0)
       pu_suspects_answered (s, r.request);
@@ -406,27 +411,27 @@
   }
 
   bool
-  play ()
+  run ()
   {
     for (int step = 0; step < 200; step++)
       {
         pu_fuzz_report::get ().steps++;
         now += kStepMs;
-        send (pick (4) == 0 ? kPoison : 1 + pick (20));
+        send (pick (4) == 0 ? kCrashing : 1 + pick (20));
         if (pick (8) == 0)
           for (int i = 0; i < 2 * kEntries; i++)
-            send (kPoison);
+            send (kCrashing);
         if (!running.empty () && pick (2) == 0)
-          go_on ();
-        while (!doomed.empty ()
-               && (pick (3) == 0 || choice == Choice::OneOther))
+          advance_request ();
+        while (!crashing_backends.empty ()
+               && (pick (3) == 0 || routing == Routing::OneDivergent))
           {
-            const guint32 backend = *doomed.begin ();
+            const guint32 backend = *crashing_backends.begin ();
 
-            doomed.erase (backend);
+            crashing_backends.erase (backend);
             kill (backend);
           }
-        if (!holds ())
+        if (!invariants_hold ())
           return false;
       }
     return true;
@@ -440,25 +445,25 @@
     guint32 backend;
   };
 
-  Choice choice;
+  Routing routing;
   std::mt19937 random;
   std::vector<std::unique_ptr<Suspects> > entries;
   std::map<guint64, guint> strikes;
   std::map<guint32, guint64> incarnation;
   std::vector<Running> running;
-  std::set<guint32> doomed;
+  std::set<guint32> crashing_backends;
   std::set<guint64> refused;
   guint64 requests = 0;
   guint64 now = 0;
-  int lost = 0;
+  int backends_lost = 0;
 };
 
 bool
-caught (guint breaks, Choice how = Choice::Alike)
+fault_is_found (guint breaks, Routing how = Routing::Consistent)
 {
   for (unsigned seed = 1; seed <= 100; seed++)
     {
-      if (!World (seed, breaks, how).play ())
+      if (!Simulation (seed, breaks, how).run ())
         return true;
     }
   return false;
@@ -466,23 +471,25 @@
 
 } // namespace
 
-RC_GTEST_PROP (SuspectsFuzz, APoisonTakesTwoBackendServersAndNoInnocent,
+RC_GTEST_PROP (SuspectsFuzz,
+               CrashingRequestCostsTwoBackendServersAndConvictsNoOther,
                (unsigned seed))
 {
-  RC_ASSERT (World (seed, 0).play ());
+  RC_ASSERT (Simulation (seed, 0).run ());
 }
 
-RC_GTEST_PROP (SuspectsFuzz, OneEntryThatChoosesOtherwiseCostsNoThird,
+RC_GTEST_PROP (SuspectsFuzz, DivergentEntryCostsNoThirdBackendServer,
                (unsigned seed))
 {
-  RC_ASSERT (World (seed, 0, Choice::OneOther).play ());
+  RC_ASSERT (Simulation (seed, 0, Routing::OneDivergent).run ());
 }
 
-TEST (SuspectsFuzz, BrokenRulesAreCaught)
+TEST (SuspectsFuzz, DeliberateFaultsAreCaught)
 {
-  EXPECT_TRUE (caught (PU_SUSPECTS_BREAK_NO_STRIKE));
-  EXPECT_TRUE (caught (PU_SUSPECTS_BREAK_TOGETHER));
-  EXPECT_TRUE (caught (PU_SUSPECTS_BREAK_NO_CONVICTION));
-  EXPECT_TRUE (caught (0, Choice::Random));
-  EXPECT_TRUE (caught (PU_SUSPECTS_BREAK_SCATTER, Choice::OneOther));
+  EXPECT_TRUE (fault_is_found (PU_SUSPECTS_BREAK_NO_STRIKE));
+  EXPECT_TRUE (fault_is_found (PU_SUSPECTS_BREAK_CONCURRENT));
+  EXPECT_TRUE (fault_is_found (PU_SUSPECTS_BREAK_NO_REFUSAL));
+  EXPECT_TRUE (fault_is_found (0, Routing::Random));
+  EXPECT_TRUE (fault_is_found (PU_SUSPECTS_BREAK_SPREAD_DUPLICATES,
+                               Routing::OneDivergent));
 }
