--- a/libplantainusher/routing/choose.c
+++ b/libplantainusher/routing/choose.c
@@ -3,46 +3,53 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Tokens taken for a model without any answer yet.  */
-#define OUTPUT_UNKNOWN 64
-/* Requests in a batch of an engine that tells none.  */
-#define BATCH_UNKNOWN 64
-#define LOAD_TIE_MS 0.01 /* breaks ties towards the less loaded */
-#define DEVIATIONS 2     /* of the estimate, kept free before the due time */
-#define SAMPLE_ROUNDS 3  /* times `candidates` copies are sampled */
+/* Expected output of a model that has answered no request yet.  */
+#define DEFAULT_OUTPUT_TOKENS 64
+/* Batch size of an engine that reports none.  */
+#define DEFAULT_BATCH_SIZE 64
+/* Score for each request in flight; breaks ties in favour of lower load.  */
+#define LOAD_TIEBREAK_MS 0.01
+/* Safety margin before the due time, in mean deviations of the estimate.  */
+#define MARGIN_DEVIATIONS 2
+/* Rounds of sampling, each of `candidates` copies.  */
+#define SAMPLE_ROUNDS_MAX 3
 
 guint
 output_tokens (const pu_router_t *r, const request_t *q)
 {
   const model_t *m = model_at (r, q->model);
-  double mean = m->mean_output > 0 ? m->mean_output : OUTPUT_UNKNOWN;
+  double mean = m->mean_output > 0 ? m->mean_output : DEFAULT_OUTPUT_TOKENS;
 
   return MIN (q->max_tokens, (guint)mean);
 }
 
-/* Of a prompt token on an engine with nothing else to do; 0: not known.  */
+/* Prefill time of a prompt token on an engine without other work; 0: not
+   known.  */
 static double
-token_ms (const pu_router_t *r, const model_t *m)
+prefill_token_ms (const pu_router_t *r, const model_t *m)
 {
   return m->token_ms > 0 ? m->token_ms : r->token_ms;
 }
 
-/* The line was learnt in whatever crowd there was, and would call a request
-   hopeless that an idle copy answers at once.  */
+/* The fitted line includes the delay by other requests at the time of its
+   samples.  Used alone, it would make the router refuse requests that an idle
+   copy can answer in time, so it is limited to the time measured without other
+   work.  */
 double
 unloaded_ms (const pu_router_t *r, const request_t *q)
 {
   const model_t *m = model_at (r, q->model);
-  double crowded = line_at (&m->first, q->prompt_tokens);
-  double alone = token_ms (r, m) * q->prompt_tokens + line_at (&m->step, 1);
+  double fitted = line_at (&m->first, q->prompt_tokens);
+  double without_load
+      = prefill_token_ms (r, m) * q->prompt_tokens + line_at (&m->step, 1);
 
-  return token_ms (r, m) > 0 ? MIN (crowded, alone) : crowded;
+  return prefill_token_ms (r, m) > 0 ? MIN (fitted, without_load) : fitted;
 }
 
-/* Between two tokens of an undisturbed stream; the prior where no stream has
-   told yet.  */
+/* Time between two output tokens without other work; the configured prior
+   until it has been measured.  */
 static double
-step_ms (const pu_router_t *r, const model_t *m)
+decode_step_ms (const pu_router_t *r, const model_t *m)
 {
   if (m->step_ms > 0)
     return m->step_ms;
@@ -54,36 +61,41 @@
                    guint output, guint batch)
 {
   const model_t *t = model_at (r, m);
-  double each;
+  double token_ms;
 
   if (t == NULL)
     return 0;
-  each = token_ms (r, t) > 0 ? token_ms (r, t) : r->options.prefill_ms;
-  return each * prompt * t->mean_own
-         + output * step_ms (r, t) / (batch > 0 ? batch : BATCH_UNKNOWN);
+  token_ms = prefill_token_ms (r, t) > 0 ? prefill_token_ms (r, t)
+                                         : r->options.prefill_ms;
+  return token_ms * prompt * t->mean_own
+         + output * decode_step_ms (r, t)
+               / (batch > 0 ? batch : DEFAULT_BATCH_SIZE);
 }
 
 static bool
-has_block (const backend_t *s, guint64 block)
+is_block_cached (const backend_t *s, guint64 block)
 {
   return g_hash_table_contains (s->blocks, GSIZE_TO_POINTER (block));
 }
 
-/* The tokens of Q's prompt believed cached on S.  Blocks are chained, so a
-   cached block means that those before it are cached too.  */
+/* Returns how many prompt tokens of Q are in the prefix cache of S, by its
+   cache events and past requests.  Block hashes are chained: a cached block
+   means that those before it are cached too, so a binary search finds the
+   last.  */
 static guint
-cached_tokens (const pu_router_t *r, const request_t *q, const backend_t *s)
+cached_prompt_tokens (const pu_router_t *r, const request_t *q,
+                      const backend_t *s)
 {
   guint low = 1;
   guint high = q->n_prefix;
 
-  if (q->n_prefix == 0 || !has_block (s, q->prefix[0]))
+  if (q->n_prefix == 0 || !is_block_cached (s, q->prefix[0]))
     return 0;
   while (low < high)
     {
       guint mid = (low + high + 1) / 2;
 
-      if (has_block (s, q->prefix[mid - 1]))
+      if (is_block_cached (s, q->prefix[mid - 1]))
         {
           low = mid;
         }
@@ -97,9 +109,10 @@
   return MIN (low * r->options.block_tokens, q->prompt_tokens);
 }
 
-/* Prefill tokens that S has to work off before a new request's.  */
+/* Prefill tokens queued on S ahead of a new request: those of this entry and
+   an estimate of those of other entries.  */
 static guint64
-pending_tokens (const backend_t *s, const model_t *m, guint64 now)
+pending_prefill_tokens (const backend_t *s, const model_t *m, guint64 now)
 {
   double others = backend_others_waiting (s, now) * m->mean_prompt;
 
@@ -117,12 +130,13 @@
   return false;
 }
 
-/* Whether S may be used at all: neither full, nor ejected, nor short of
-   retry budget.  A backend server that comes back from an ejection gets one
-   request as a probe.  */
+/* Whether S accepts Q: it has a free slot, has not just reported that it is
+   full, is not ejected and, for a retry, has retry budget left.  After an
+   ejection it gets one request at a time, as a probe, until one is
+   answered.  */
 static bool
-is_open (const pu_router_t *r, const request_t *q, const backend_t *s,
-         bool ignore_ejection, guint64 now)
+accepts_request (const pu_router_t *r, const request_t *q, const backend_t *s,
+                 bool ignore_ejection, guint64 now)
 {
   if (now < s->blocked_until)
     return false;
@@ -138,10 +152,11 @@
          && backend_load (s, now) < MAX (slots_of (s), 1);
 }
 
-/* Whether one more request keeps the time between tokens on target.  */
+/* Whether the time between tokens stays within the service's target with one
+   more request on S.  */
 static bool
-step_allows (const pu_router_t *r, const request_t *q, const backend_t *s,
-             guint load)
+meets_step_target (const pu_router_t *r, const request_t *q,
+                   const backend_t *s, guint load)
 {
   guint target = service_at (r, q->service)->per_token_ms;
 
@@ -150,21 +165,22 @@
   return backend_step_ms (r, s, model_at (r, q->model), load + 1) <= target;
 }
 
-/* Whether the work sent ahead to S leaves room for more.  */
+/* Whether the prefill work queued on S is within its adaptive window, a share
+   of the service's first-token target.  */
 static bool
-window_allows (const pu_router_t *r, const request_t *q, const backend_t *s,
-               const copy_t *c, guint64 pending)
+fits_window (const pu_router_t *r, const request_t *q, const backend_t *s,
+             const copy_t *c, guint64 pending)
 {
   guint target = service_at (r, q->service)->first_token_ms;
-  double ahead_ms = line_slope (copy_first (r, c)) * (double)pending;
+  double queued_ms = line_slope (copy_first (r, c)) * (double)pending;
 
   if (target == 0 || pending == 0)
     return true;
-  return ahead_ms * 100 <= s->window * target * r->options.window_pct;
+  return queued_ms * 100 <= s->window * target * r->options.window_pct;
 }
 
 static double
-version_cost (const pu_router_t *r, const request_t *q, const copy_t *c)
+version_cost_ms (const pu_router_t *r, const request_t *q, const copy_t *c)
 {
   const model_t *m = model_at (r, q->model);
   bool preferred;
@@ -175,16 +191,17 @@
   return preferred == q->wants_preferred ? 0 : r->options.version_cost_ms;
 }
 
-/* How much FINGERPRINT prefers B: the same number at each entry.  */
+/* Rendezvous hashing weight of B for FINGERPRINT, the same at each entry.  */
 static guint64
-preference (guint64 fingerprint, const backend_t *b)
+rendezvous_weight (guint64 fingerprint, const backend_t *b)
 {
   return XXH64 (&fingerprint, sizeof fingerprint, b->name_hash);
 }
 
-/* The way to the nearest copy that Q has not tried: 0 in the own zone.  */
+/* Network cost to the nearest copy that Q has not tried; 0 within the entry's
+   zone.  */
 static double
-nearest_ms (const pu_router_t *r, const request_t *q)
+nearest_cost_ms (const pu_router_t *r, const request_t *q)
 {
   const GArray *ready = model_at (r, q->model)->ready;
   double nearest = G_MAXDOUBLE;
@@ -200,87 +217,91 @@
   return nearest;
 }
 
-/* Of the copies no further away than FURTHEST_MS, the one that Q's fingerprint
-   prefers.  */
+/* Returns the copy with the highest rendezvous weight for Q among those with a
+   network cost of at most FURTHEST_MS, or NULL.  */
 static const ready_t *
-home_of (const pu_router_t *r, const request_t *q, double furthest_ms)
+preferred_copy (const pu_router_t *r, const request_t *q, double furthest_ms)
 {
   const GArray *ready = model_at (r, q->model)->ready;
-  const ready_t *home = NULL;
-  guint64 most = 0;
+  const ready_t *preferred = NULL;
+  guint64 highest = 0;
 
   for (guint i = 0; i < ready->len; i++)
     {
       const ready_t *e = &g_array_index (ready, ready_t, i);
       const backend_t *b = backend_at (r, e->backend);
-      guint64 p = preference (q->fingerprint, b);
+      guint64 p = rendezvous_weight (q->fingerprint, b);
 
-      if (p < most || was_tried (q, b) || b->cost_ms > furthest_ms)
+      if (p < highest || was_tried (q, b) || b->cost_ms > furthest_ms)
         continue;
-      most = p;
-      home = e;
+      highest = p;
+      preferred = e;
     }
-  return home;
+  return preferred;
 }
 
-/* The tokens of Q's prompt that S need not read.  All entries of a zone send
-   what begins alike to the copy of their zone that its fingerprint prefers, so
-   that one has read the shared part, whichever entry sent it there.  With one
-   such copy for all zones, two thirds of all prompts went to another zone: 15
-   in 100 of the bytes between zones are saved, and as many are served.  */
+/* Returns how many prompt tokens of Q are expected to be in the prefix cache
+   of S.  All entries of a zone send prompts with the same fingerprint to the
+   same copy in their zone, so that copy has the shared prefix cached,
+   whichever entry sent it there.  There is one such copy for each zone: with a
+   single one for all zones, two thirds of the prompts go to another zone.
+   One for each zone saves 15 of 100 bytes between zones and serves as many
+   requests.  */
 static guint
-tokens_saved (const pu_router_t *r, const request_t *q, const backend_t *s)
+expected_cached_tokens (const pu_router_t *r, const request_t *q,
+                        const backend_t *s)
 {
-  guint known = cached_tokens (r, q, s);
-  const ready_t *home;
-
-  if (q->fingerprint == 0 || q->shared_tokens <= known)
-    return known;
-  home = home_of (r, q, nearest_ms (r, q));
-  if (home == NULL || backend_at (r, home->backend) != s)
-    return known;
+  guint cached = cached_prompt_tokens (r, q, s);
+  const ready_t *preferred;
+
+  if (q->fingerprint == 0 || q->shared_tokens <= cached)
+    return cached;
+  preferred = preferred_copy (r, q, nearest_cost_ms (r, q));
+  if (preferred == NULL || backend_at (r, preferred->backend) != s)
+    return cached;
   return q->shared_tokens;
 }
 
 static bool
-evaluate (pu_router_t *r, const request_t *q, pu_router_backend_t b,
-          guint copy, bool ignore_ejection, guint64 now, candidate_t *out)
+evaluate_copy (pu_router_t *r, const request_t *q, pu_router_backend_t b,
+               guint copy, bool ignore_ejection, guint64 now, candidate_t *out)
 {
   const backend_t *s = backend_at (r, b);
   const copy_t *c = &g_array_index (s->copies, copy_t, copy);
   const model_t *m = model_at (r, q->model);
   const line_t *first = copy_first (r, c);
   guint load;
-  bool eager = service_at (r, q->service)->serve_late;
+  bool serve_late = service_at (r, q->service)->serve_late;
   guint64 pending;
   double margin;
 
-  if (was_tried (q, s) || !is_open (r, q, s, ignore_ejection, now))
+  if (was_tried (q, s) || !accepts_request (r, q, s, ignore_ejection, now))
     return false;
   load = backend_load (s, now);
-  pending = pending_tokens (s, m, now);
-  if (!eager
-      && (!step_allows (r, q, s, load)
-          || !window_allows (r, q, s, c, pending)))
+  pending = pending_prefill_tokens (s, m, now);
+  if (!serve_late
+      && (!meets_step_target (r, q, s, load)
+          || !fits_window (r, q, s, c, pending)))
     return false;
   out->backend = b;
   out->copy = copy;
-  out->cached = tokens_saved (r, q, s);
+  out->cached = expected_cached_tokens (r, q, s);
   out->work = pending + q->prompt_tokens - out->cached;
   out->first_ms = line_at (first, (double)out->work) + s->cost_ms;
-  out->score = out->first_ms + version_cost (r, q, c) + load * LOAD_TIE_MS
-               + backend_step_ms (r, s, m, load + 1);
-  /* Of equal errors up and down, half would be late without the margin.
-     An idle one takes what would otherwise wait for nothing better.  */
-  if (eager)
+  out->score = out->first_ms + version_cost_ms (r, q, c)
+               + load * LOAD_TIEBREAK_MS + backend_step_ms (r, s, m, load + 1);
+  /* The errors of the estimate are symmetric: without the margin, half of the
+     requests predicted to be just in time would be late.  An idle backend
+     server takes Q in any case, as waiting would gain nothing.  */
+  if (serve_late)
     return true;
-  margin = DEVIATIONS * first->deviation;
+  margin = MARGIN_DEVIATIONS * first->deviation;
   return load == 0 || (double)now + out->first_ms + margin <= (double)q->due;
 }
 
 /* Whether all copies that Q has not tried are on ejected backend servers.  */
 static bool
-all_ejected (const pu_router_t *r, const request_t *q, guint64 now)
+all_untried_ejected (const pu_router_t *r, const request_t *q, guint64 now)
 {
   const GArray *ready = model_at (r, q->model)->ready;
 
@@ -321,25 +342,25 @@
 {
   bool ejected = now < backend_at (r, b)->ejected_until;
 
-  /* An ejection may not make a model unreachable.  */
-  if (ejected && !all_ejected (r, q, now))
+  /* Ejections must not make a model unreachable.  */
+  if (ejected && !all_untried_ejected (r, q, now))
     return false;
-  return evaluate (r, q, b, copy, ejected, now, c);
+  return evaluate_copy (r, q, b, copy, ejected, now, c);
 }
 
-/* Notes B as one of R's found when it can take Q.  */
+/* Adds the copy E to the candidates in r->found if it can take Q.  */
 static void
-consider (pu_router_t *r, const request_t *q, const ready_t *e,
-          bool ignore_ejection, guint64 now)
+add_candidate (pu_router_t *r, const request_t *q, const ready_t *e,
+               bool ignore_ejection, guint64 now)
 {
   candidate_t c;
 
-  if (evaluate (r, q, e->backend, e->copy, ignore_ejection, now, &c))
+  if (evaluate_copy (r, q, e->backend, e->copy, ignore_ejection, now, &c))
     g_array_append_val (r->found, c);
 }
 
 static const candidate_t *
-least_score (const GArray *found)
+lowest_score (const GArray *found)
 {
   const candidate_t *best = &g_array_index (found, candidate_t, 0);
 
@@ -353,25 +374,25 @@
   return best;
 }
 
-/* Of those found that are nearly as good as the best, the one that Q's
-   fingerprint prefers.  Rendezvous hashing: requests that are the same choose
-   the same, though they come through entries that know nothing of each
-   other.  */
+/* Selects from r->found the candidate with the highest rendezvous weight for Q
+   among those that score nearly as well as the best one (alike_pct) and have
+   no fewer prompt tokens cached.  Duplicates of a request thereby go to the
+   same copy, even through entries that share no state.  */
 static bool
-best_found (const pu_router_t *r, const request_t *q, candidate_t *best)
+select_candidate (const pu_router_t *r, const request_t *q, candidate_t *best)
 {
   const GArray *found = r->found;
-  const candidate_t *least;
-  guint64 most = 0;
+  const candidate_t *lowest;
+  guint64 highest = 0;
   double limit;
 
   if (found->len == 0)
     return false;
-  least = least_score (found);
-  *best = *least;
+  lowest = lowest_score (found);
+  *best = *lowest;
   if (q->fingerprint == 0 || found->len == 1)
     return true;
-  limit = least->score
+  limit = lowest->score
           + service_at (r, q->service)->first_token_ms
                 * (double)r->options.alike_pct / 100;
   for (guint i = 0; i < found->len; i++)
@@ -379,20 +400,20 @@
       const candidate_t *c = &g_array_index (found, candidate_t, i);
       guint64 p;
 
-      if (c->score > limit || c->cached < least->cached)
+      if (c->score > limit || c->cached < lowest->cached)
         continue;
-      p = preference (q->fingerprint, backend_at (r, c->backend));
-      if (p < most)
+      p = rendezvous_weight (q->fingerprint, backend_at (r, c->backend));
+      if (p < highest)
         continue;
-      most = p;
+      highest = p;
       *best = *c;
     }
   return true;
 }
 
 static bool
-choose_from_all (pu_router_t *r, const request_t *q, bool ignore_ejection,
-                 guint64 now, candidate_t *best)
+choose_among_all (pu_router_t *r, const request_t *q, bool ignore_ejection,
+                  guint64 now, candidate_t *best)
 {
   const GArray *ready = model_at (r, q->model)->ready;
   guint start = ready->len > 1 ? g_rand_int (r->rand) % ready->len : 0;
@@ -400,44 +421,46 @@
   g_array_set_size (r->found, 0);
   for (guint i = 0; i < ready->len; i++)
     {
-      consider (r, q,
-                &g_array_index (ready, ready_t, (start + i) % ready->len),
-                ignore_ejection, now);
+      add_candidate (r, q,
+                     &g_array_index (ready, ready_t, (start + i) % ready->len),
+                     ignore_ejection, now);
     }
-  return best_found (r, q, best);
+  return select_candidate (r, q, best);
 }
 
-/* With many copies a few are sampled, and a few more when none of them may
-   take the request.  */
+/* Evaluates random samples of the copies instead of all, in up to
+   SAMPLE_ROUNDS_MAX rounds until one can take Q.  The copies that Q's
+   fingerprint prefers are always evaluated.  */
 static bool
-choose_from_sample (pu_router_t *r, const request_t *q, guint64 now,
-                    candidate_t *best)
+choose_among_sample (pu_router_t *r, const request_t *q, guint64 now,
+                     candidate_t *best)
 {
   const GArray *ready = model_at (r, q->model)->ready;
-  const ready_t *home = NULL;
-  const ready_t *near = NULL;
+  const ready_t *preferred = NULL;
+  const ready_t *nearest_preferred = NULL;
 
   if (q->fingerprint != 0)
-    home = home_of (r, q, G_MAXDOUBLE);
+    preferred = preferred_copy (r, q, G_MAXDOUBLE);
   if (q->fingerprint != 0 && q->shared_tokens > 0)
-    near = home_of (r, q, nearest_ms (r, q));
+    nearest_preferred = preferred_copy (r, q, nearest_cost_ms (r, q));
   g_array_set_size (r->found, 0);
-  if (home != NULL)
-    consider (r, q, home, false, now);
-  if (near != NULL && near != home)
-    consider (r, q, near, false, now);
-  for (guint round = 0; round < SAMPLE_ROUNDS; round++)
+  if (preferred != NULL)
+    add_candidate (r, q, preferred, false, now);
+  if (nearest_preferred != NULL && nearest_preferred != preferred)
+    add_candidate (r, q, nearest_preferred, false, now);
+  for (guint round = 0; round < SAMPLE_ROUNDS_MAX; round++)
     {
       for (guint i = 0; i < r->options.candidates; i++)
         {
           guint at = g_rand_int (r->rand) % ready->len;
 
-          consider (r, q, &g_array_index (ready, ready_t, at), false, now);
+          add_candidate (r, q, &g_array_index (ready, ready_t, at), false,
+                         now);
         }
       if (r->found->len > 0)
         break;
     }
-  return best_found (r, q, best);
+  return select_candidate (r, q, best);
 }
 
 bool
@@ -449,10 +472,11 @@
     return false;
   if (ready->len > r->options.candidates)
     {
-      if (choose_from_sample (r, q, now, c))
+      if (choose_among_sample (r, q, now, c))
         return true;
     }
-  else if (choose_from_all (r, q, false, now, c))
+  else if (choose_among_all (r, q, false, now, c))
     return true;
-  return all_ejected (r, q, now) && choose_from_all (r, q, true, now, c);
+  return all_untried_ejected (r, q, now)
+         && choose_among_all (r, q, true, now, c);
 }
--- a/libplantainusher/routing/feedback.c
+++ b/libplantainusher/routing/feedback.c
@@ -1,7 +1,9 @@
 #include "routing/router_int.h"
 
-#define STEP_TOKENS 8  /* tokens that make one sample of the step time */
-#define TOKENS_MIN 256 /* a prompt that tells what a token takes */
+/* Output tokens in one sample of the time between tokens.  */
+#define STEP_SAMPLE_TOKENS 8
+/* Shortest prefill whose time for each token is a usable sample.  */
+#define PREFILL_SAMPLE_TOKENS_MIN 256
 
 void
 pu_router_sent (pu_router_t *r, pu_ticket_t t, guint64 now)
@@ -12,41 +14,43 @@
     q->sent_at = now;
 }
 
-/* What a prompt token takes where nothing else goes on: other entries' work
-   and full batches make the mean far longer.  */
+/* Updates the prefill time of a prompt token without other work.  The estimate
+   stays near the lowest samples: with other entries' requests and full batches
+   the mean is far longer.  */
 static void
-learn_token (pu_router_t *r, const request_t *q, double net)
+update_prefill_time (pu_router_t *r, const request_t *q, double net_ms)
 {
   double ms;
 
-  if (q->work < TOKENS_MIN)
+  if (q->work < PREFILL_SAMPLE_TOKENS_MIN)
     return;
-  ms = net / (double)q->work;
+  ms = net_ms / (double)q->work;
   least_add (&model_at (r, q->model)->token_ms, ms);
   least_add (&r->token_ms, ms);
 }
 
 static void
-learn_first (pu_router_t *r, const request_t *q, guint64 now)
+update_first_token_time (pu_router_t *r, const request_t *q, guint64 now)
 {
   backend_t *b = backend_at (r, q->backend);
   double ms = (double)(now - q->sent_at);
-  double net = MAX (ms - b->cost_ms, 0);
+  double net_ms = MAX (ms - b->cost_ms, 0);
 
-  learn_token (r, q, net);
+  update_prefill_time (r, q, net_ms);
   for (guint i = 0; i < b->copies->len; i++)
     {
       copy_t *c = &g_array_index (b->copies, copy_t, i);
 
       if (c->model == q->model && c->phase == PU_ROUTER_COPY_READY)
-        copy_learn (r, c, (double)q->work, net);
+        copy_learn (r, c, (double)q->work, net_ms);
     }
-  line_add (&model_at (r, q->model)->first, (double)q->work, net);
+  line_add (&model_at (r, q->model)->first, (double)q->work, net_ms);
 }
 
-/* The prompt's blocks are cached now where it ran.  */
+/* Records that the prompt blocks of Q are now in the prefix cache of its
+   backend server.  */
 static void
-claim_prefix (pu_router_t *r, const request_t *q)
+record_cached_prefix (pu_router_t *r, const request_t *q)
 {
   backend_t *b = backend_at (r, q->backend);
 
@@ -71,8 +75,8 @@
   q->tokens = 1;
   q->gave_tokens = true;
   prefill_over (r, q);
-  learn_first (r, q, now);
-  claim_prefix (r, q);
+  update_first_token_time (r, q, now);
+  record_cached_prefix (r, q);
   target = service_at (r, q->service)->first_token_ms;
   if (target > 0)
     window_sample (backend_at (r, q->backend), q->sent_at, now > q->due, now);
@@ -92,7 +96,7 @@
   if (!q || !q->first_at || total <= q->tokens)
     return;
   q->tokens = total;
-  if (total < q->sampled_tokens + STEP_TOKENS)
+  if (total < q->sampled_tokens + STEP_SAMPLE_TOKENS)
     return;
   b = backend_at (r, q->backend);
   ms = (double)(now - q->sampled_at) / (total - q->sampled_tokens);
@@ -107,7 +111,7 @@
 }
 
 static void
-learn_output (pu_router_t *r, const request_t *q)
+update_mean_output (pu_router_t *r, const request_t *q)
 {
   model_t *m = model_at (r, q->model);
 
@@ -130,7 +134,7 @@
   if (!q)
     return;
   if (outcome == PU_ROUTER_WHOLE && q->tokens > 0)
-    learn_output (r, q);
+    update_mean_output (r, q);
   backend_worked (r, q->backend);
   stop_and_open (r, q, now);
   r->stats.finished++;
@@ -176,8 +180,8 @@
 }
 
 static void
-note_failure (pu_router_t *r, request_t *q, pu_router_failure_t failure,
-              guint64 now)
+record_failure (pu_router_t *r, request_t *q, pu_router_failure_t failure,
+                guint64 now)
 {
   pu_router_backend_t b = q->backend;
 
@@ -188,14 +192,15 @@
     q->tried[q->n_tried++] = backend_at (r, b)->serial;
 }
 
-/* Why Q may not be tried again; NONE when it may.  */
+/* Returns why Q must not be retried, or PU_ROUTER_REASON_NONE if it may be. */
 static pu_router_reason_t
-why_not_again (const pu_router_t *r, const request_t *q, guint64 now)
+retry_refusal_reason (const pu_router_t *r, const request_t *q, guint64 now)
 {
   const service_t *s = service_at (r, q->service);
-  bool unsafe = !q->repeatable && (q->may_have_run || q->gave_tokens);
+  bool unsafe_to_repeat
+      = !q->repeatable && (q->may_have_run || q->gave_tokens);
 
-  if (unsafe && r->options.test_break != PU_ROUTER_BREAK_REPEAT)
+  if (unsafe_to_repeat && r->options.test_break != PU_ROUTER_BREAK_REPEAT)
     return PU_ROUTER_REASON_REPEAT;
   if (why_lost (r, q) != PU_ROUTER_REASON_NONE)
     return why_lost (r, q);
@@ -208,9 +213,10 @@
   return PU_ROUTER_REASON_NONE;
 }
 
-/* Whether Q, to be tried again, is past its target.  */
+/* Whether Q, about to be retried, has missed its first-token target and its
+   service still serves late requests.  */
 static bool
-is_late (const pu_router_t *r, const request_t *q, guint64 now)
+is_served_late (const pu_router_t *r, const request_t *q, guint64 now)
 {
   const service_t *s = service_at (r, q->service);
 
@@ -232,11 +238,11 @@
                                    .backend = PU_ROUTER_NONE };
       return;
     }
-  note_failure (r, q, failure, now);
+  record_failure (r, q, failure, now);
   stop_and_open (r, q, now);
-  q->late = is_late (r, q, now);
+  q->late = is_served_late (r, q, now);
   set_due (r, q);
-  reason = why_not_again (r, q, now);
+  reason = retry_refusal_reason (r, q, now);
   if (reason != PU_ROUTER_REASON_NONE)
     {
       refuse (r, q, reason, 0, d);
@@ -262,7 +268,7 @@
 
   if (!q)
     return;
-  note_failure (r, q, failure, now);
+  record_failure (r, q, failure, now);
   stop_and_open (r, q, now);
   r->stats.cancelled++;
   request_end (r, q);
