--- a/libplantainusher/routing/router_fuzz_test.cc
+++ b/libplantainusher/routing/router_fuzz_test.cc
@@ -1,5 +1,6 @@
-/* Stateful fuzz of the router: a shell that plays backend servers at random
-   beside an oracle that knows only who runs where and what may be sent.  */
+/* Stateful fuzz test of the router.  Random operations act for the shell and
+   the backend servers.  A reference model tracks which request is in flight
+   where and which dispatches are allowed, and checks each decision.  */
 
 #include "routing/router.h"
 
@@ -24,16 +25,16 @@
 };
 
 constexpr unsigned kServices = 3, kModels = 3, kBackends = 5;
-constexpr guint kBurst = 2;
+constexpr guint kRetryBurst = 2;
 
 struct Backend
 {
   pu_router_backend_t handle = PU_ROUTER_NONE;
-  bool alive = false, leaving = false, failed = false, others = false;
+  bool alive = false, leaving = false, has_failed = false, has_report = false;
   std::set<unsigned> ready; /* models */
   std::map<unsigned, int> phases;
   guint64 incarnation = 0;
-  guint running = 0, first = 0, retries = 0;
+  guint running = 0, first_attempts = 0, retries = 0;
 };
 
 struct Request
@@ -44,19 +45,19 @@
   unsigned failures = 0;
 };
 
-class World
+class Harness
 {
 public:
-  std::string fault; /* the first check that failed */
+  std::string violation; /* the first check that failed */
 
-  explicit World (pu_router_break_t brk)
+  explicit Harness (pu_router_break_t test_break)
   {
     pu_router_options_t o;
     pu_router_options_init (&o);
-    o.retry_burst = kBurst;
+    o.retry_burst = kRetryBurst;
     o.limit_initial = 8;
     o.limit_min = 4;
-    o.test_break = brk;
+    o.test_break = test_break;
     r_ = pu_router_new (&o);
     for (unsigned i = 0; i < kServices; i++)
       {
@@ -70,9 +71,9 @@
     for (unsigned i = 0; i < kModels; i++)
       pu_router_set_model (r_, ("m" + std::to_string (i)).c_str (), "1", 500);
   }
-  ~World () { pu_router_free (r_); }
-  World (const World &) = delete;
-  World &operator= (const World &) = delete;
+  ~Harness () { pu_router_free (r_); }
+  Harness (const Harness &) = delete;
+  Harness &operator= (const Harness &) = delete;
 
   void
   step (const Op &op)
@@ -86,9 +87,9 @@
       case 3:
         return offer (op);
       case 4:
-        return announce (op);
+        return set_backend (op);
       case 5:
-        return op.c % 3 ? report (op) : remove (op);
+        return op.c % 3 ? report (op) : remove_backend (op);
       case 6:
         now_ += op.a % 400;
         return next ();
@@ -100,15 +101,15 @@
       case 10:
         return fail (op);
       default:
-        return op.c % 2 ? cancel (op) : leave (op);
+        return op.c % 2 ? cancel (op) : set_leaving (op);
       }
   }
 
-  /* Lets all that is left come to its end.  */
+  /* Finishes requests and advances the time until no request is left.  */
   void
-  end ()
+  finish_all ()
   {
-    for (int i = 0; i < 200 && !requests_.empty () && fault.empty (); i++)
+    for (int i = 0; i < 200 && !requests_.empty () && violation.empty (); i++)
       {
         finish ({ 0, 0, 0, 0 });
         now_ += 100;
@@ -121,12 +122,12 @@
   void
   expect (bool ok, const std::string &what)
   {
-    if (!ok && fault.empty ())
-      fault = what;
+    if (!ok && violation.empty ())
+      violation = what;
   }
 
   Backend *
-  by_handle (pu_router_backend_t h)
+  find_backend (pu_router_backend_t h)
   {
     for (Backend &b : backends_)
       if (b.alive && b.handle == h)
@@ -135,60 +136,63 @@
   }
 
   void
-  dispatched (pu_ticket_t t, const pu_router_decision_t &d)
+  check_dispatch (pu_ticket_t t, const pu_router_decision_t &d)
   {
     Request &q = requests_[t];
-    Backend *b = by_handle (d.backend);
-    expect (!q.running, "dispatched while it runs");
+    Backend *b = find_backend (d.backend);
+    expect (!q.running, "dispatched while in flight");
     if (!b)
       return expect (false, "dispatched to a dead backend server");
-    expect (!b->leaving && b->ready.count (q.model),
-            "dispatched to one that is draining or without the model");
+    expect (
+        !b->leaving && b->ready.count (q.model),
+        "dispatched to a backend server that is leaving or has no ready copy");
     if (d.attempt > 1)
       {
-        expect (q.repeatable || !q.may_have_run, "repeated");
-        expect (++retries_[q.service] <= kBurst + offered_[q.service] / 10,
+        expect (q.repeatable || !q.may_have_run,
+                "retried although it may have run and is not repeatable");
+        expect (++retries_[q.service]
+                    <= kRetryBurst + offered_[q.service] / 10,
                 "service's retry budget exceeded");
-        expect (++b->retries <= kBurst + b->first / 10,
+        expect (++b->retries <= kRetryBurst + b->first_attempts / 10,
                 "backend server's retry budget exceeded");
       }
     else
-      b->first++;
+      b->first_attempts++;
     q.running = true;
     q.backend = static_cast<unsigned> (b - backends_);
     b->running++;
     service_running_[q.service]++;
     expect (b->running <= pu_router_backend_slots (r_, d.backend),
-            "more than a backend server's slots");
+            "backend server's slots exceeded");
     expect (service_running_[q.service]
                 <= pu_router_service_limit (r_, q.service),
-            "more than a service's limit");
+            "service's limit exceeded");
   }
 
   void
-  apply (pu_ticket_t t, const pu_router_decision_t &d)
+  apply_decision (pu_ticket_t t, const pu_router_decision_t &d)
   {
     if (!requests_.count (t))
       return expect (false, "a second final answer");
     if (d.verdict == PU_ROUTER_DISPATCH)
-      return dispatched (t, d);
+      return check_dispatch (t, d);
     if (d.verdict == PU_ROUTER_QUEUED)
       return;
     expect (requests_[t].may_have_run == (d.ran != PU_ROUTER_NOT_RUN),
-            "untrue not-run");
+            "refusal misreports whether the request may have run");
     requests_.erase (t);
   }
 
   void
-  check ()
+  check_counts ()
   {
     for (const Backend &b : backends_)
       if (b.alive)
         expect (pu_router_backend_in_flight (r_, b.handle) == b.running,
-                "count of a backend server");
+                "wrong in-flight count of a backend server");
     for (unsigned s = 0; s < kServices; s++)
       expect (pu_router_service_in_flight (r_, s) == service_running_[s],
-              "count of a service");
+              "wrong in-flight count of a service");
   }
 
   bool
@@ -196,12 +200,12 @@
   {
     if (service_running_[q.service] >= pu_router_service_limit (r_, q.service))
       return false;
-    /* A retry may wait for budget too.  */
+    /* A retry may be waiting for retry budget.  */
     if (q.failures > 0)
       return false;
     for (const Backend &b : backends_)
-      if (b.alive && !b.leaving && !b.failed && !b.others && b.running == 0
-          && b.ready.count (q.model))
+      if (b.alive && !b.leaving && !b.has_failed && !b.has_report
+          && b.running == 0 && b.ready.count (q.model))
         return true;
     return false;
   }
@@ -214,16 +218,17 @@
     for (guint i = 0; i < out->len; i++)
       {
         auto &d = g_array_index (out, pu_router_decision_t, i);
-        apply (d.ticket, d);
+        apply_decision (d.ticket, d);
       }
     g_array_free (out, TRUE);
     for (const auto &[t, q] : requests_)
       if (!q.running)
         {
-          expect (q.deadline >= now_, "waits past its deadline");
-          expect (!could_start (q), "waits beside an idle copy");
+          expect (q.deadline >= now_, "queued past its deadline");
+          expect (!could_start (q),
+                  "queued although an idle copy could start it");
         }
-    check ();
+    check_counts ();
   }
 
   void
@@ -245,20 +250,21 @@
     offered_[in.service]++;
     pu_router_offer (r_, &in, now_, &d);
     if (d.verdict == PU_ROUTER_REFUSE)
-      return expect (d.ran == PU_ROUTER_NOT_RUN && d.retry_after_ms > 0,
-                     "an offer refused otherwise than not-run");
+      return expect (
+          d.ran == PU_ROUTER_NOT_RUN && d.retry_after_ms > 0,
+          "refused offer not reported as not-run with a retry-after");
     expect (!requests_.count (d.ticket), "a ticket used twice");
     Request &q = requests_[d.ticket];
     q.service = in.service;
     q.model = in.model;
     q.repeatable = in.repeatable;
     q.deadline = in.deadline;
-    apply (d.ticket, d);
+    apply_decision (d.ticket, d);
     next ();
   }
 
   void
-  announce (const Op &op)
+  set_backend (const Op &op)
   {
     Backend &b = backends_[op.a % kBackends];
     std::string name = "b" + std::to_string (op.a % kBackends);
@@ -266,7 +272,7 @@
     static const char *const models[] = { "m0", "m1", "m2" };
     bool fresh = !b.alive || op.c % 8 == 0;
     if (fresh)
-      lose (b);
+      kill_backend (b);
     b.ready.clear ();
     for (unsigned m = 0; m < kModels; m++)
       {
@@ -293,9 +299,9 @@
     next ();
   }
 
-  /* The backend server dies; the shell reports each request that ran.  */
+  /* Removes B as dead and reports each request in flight there as failed.  */
   void
-  lose (Backend &b)
+  kill_backend (Backend &b)
   {
     bool was_alive = b.alive;
     pu_fuzz_report::get ().faults += was_alive;
@@ -309,20 +315,20 @@
       if (q.running && &backends_[q.backend] == &b)
         lost.push_back (t);
     for (pu_ticket_t t : lost)
-      failed (t, PU_ROUTER_FAIL_DIED);
+      report_failure (t, PU_ROUTER_FAIL_DIED);
     b = Backend ();
     b.incarnation = incarnation;
   }
 
   void
-  remove (const Op &op)
+  remove_backend (const Op &op)
   {
-    lose (backends_[op.a % kBackends]);
+    kill_backend (backends_[op.a % kBackends]);
     next ();
   }
 
   void
-  leave (const Op &op)
+  set_leaving (const Op &op)
   {
     Backend &b = backends_[op.a % kBackends];
     if (!b.alive)
@@ -343,7 +349,7 @@
     report.running = op.b % 6;
     report.waiting = op.c % 3;
     pu_router_report (r_, b.handle, &report, now_);
-    b.others = true;
+    b.has_report = true;
     guint64 hash = op.c % 4 + 1;
     pu_router_kv_events_t e = { op.b + 1, op.b + 1, &hash, 1, nullptr, 0 };
     pu_router_kv_events (r_, b.handle, &e);
@@ -361,7 +367,7 @@
   }
 
   void
-  stopped (Request &q)
+  mark_stopped (Request &q)
   {
     backends_[q.backend].running -= q.running;
     service_running_[q.service] -= q.running;
@@ -374,9 +380,9 @@
     pu_ticket_t t = pick_running (op.a);
     if (!t)
       return;
-    stopped (requests_[t]);
+    mark_stopped (requests_[t]);
     pu_router_finished (r_, t, PU_ROUTER_WHOLE, now_);
-    pu_router_finished (r_, t, PU_ROUTER_WHOLE, now_); /* void by now */
+    pu_router_finished (r_, t, PU_ROUTER_WHOLE, now_); /* the ticket is void */
     requests_.erase (t);
     next ();
   }
@@ -395,17 +401,17 @@
   }
 
   void
-  failed (pu_ticket_t t, pu_router_failure_t kind)
+  report_failure (pu_ticket_t t, pu_router_failure_t kind)
   {
     Request &q = requests_[t];
     if (kind >= PU_ROUTER_FAIL_DIED)
       q.may_have_run = true;
-    stopped (q);
-    backends_[q.backend].failed = true;
+    mark_stopped (q);
+    backends_[q.backend].has_failed = true;
     q.failures++;
     pu_router_decision_t d;
     pu_router_retry (r_, t, kind, now_, &d);
-    apply (t, d);
+    apply_decision (t, d);
   }
 
   void
@@ -415,7 +421,7 @@
     if (!t)
       return;
     pu_fuzz_report::get ().faults++;
-    failed (t, static_cast<pu_router_failure_t> (op.b % 5));
+    report_failure (t, static_cast<pu_router_failure_t> (op.b % 5));
     next ();
   }
 
@@ -426,7 +432,7 @@
       return;
     auto at = requests_.begin ();
     std::advance (at, op.a % requests_.size ());
-    stopped (at->second);
+    mark_stopped (at->second);
     pu_router_cancel (r_, at->first, now_);
     requests_.erase (at);
     next ();
@@ -443,17 +449,17 @@
 };
 
 std::string
-run (const std::vector<Op> &ops, pu_router_break_t brk)
+run (const std::vector<Op> &ops, pu_router_break_t test_break)
 {
-  World w (brk);
+  Harness w (test_break);
   for (const Op &op : ops)
     {
-      if (w.fault.empty ())
+      if (w.violation.empty ())
         w.step (op);
     }
-  if (w.fault.empty ())
-    w.end ();
-  return w.fault;
+  if (w.violation.empty ())
+    w.finish_all ();
+  return w.violation;
 }
 
 std::vector<Op>
@@ -469,7 +475,7 @@
   return ops;
 }
 
-RC_GTEST_PROP (RouterFuzz, HoldsAgainstTheOracle, ())
+RC_GTEST_PROP (RouterFuzz, MatchesTheReferenceModel, ())
 {
   auto number = rc::gen::inRange (0u, 4096u);
   auto raw = *rc::gen::container<
@@ -478,21 +484,22 @@
   std::vector<Op> ops;
   for (const auto &[kind, a, b, c] : raw)
     ops.push_back ({ kind, a, b, c });
-  std::string fault = run (ops, PU_ROUTER_BREAK_NONE);
-  if (!fault.empty ())
-    RC_FAIL (fault);
+  std::string violation = run (ops, PU_ROUTER_BREAK_NONE);
+  if (!violation.empty ())
+    RC_FAIL (violation);
 }
 
-TEST (RouterFuzz, LongRunsHoldAgainstTheOracle)
+TEST (RouterFuzz, LongRunsMatchTheReferenceModel)
 {
   for (unsigned seed = 1; seed <= 300; seed++)
     ASSERT_EQ (run (random_ops (seed, 500), PU_ROUTER_BREAK_NONE), "")
         << "seed " << seed;
 }
 
-/* Found by the fuzz: a service at its limit had a request waiting, and others
-   were queued behind it beside an idle copy.  */
-TEST (RouterFuzz, FoundServiceAtItsLimitHoldsNobodyElse)
+/* Found by fuzzing: while a service at its limit had a request queued,
+   requests of other services were queued behind it although a copy was idle.
+ */
+TEST (RouterFuzz, ServiceAtItsLimitBlocksNoOtherService)
 {
   EXPECT_EQ (run ({ { 2464, 1, 16, 0 },
                     { 340, 0, 100, 0 },
@@ -512,12 +519,12 @@
 {
 };
 
-TEST_P (RouterBreak, IsCaught)
+TEST_P (RouterBreak, DeliberateFaultIsCaught)
 {
   for (unsigned seed = 1; seed <= 300; seed++)
     {
-      std::string fault = run (random_ops (seed, 500), GetParam ().first);
-      if (fault == GetParam ().second)
+      std::string violation = run (random_ops (seed, 500), GetParam ().first);
+      if (violation == GetParam ().second)
         return;
     }
   FAIL () << "not caught: " << GetParam ().second;
@@ -527,15 +534,16 @@
     All, RouterBreak,
     testing::Values (
         std::pair (PU_ROUTER_BREAK_BACKEND_LIMIT,
-                   "more than a backend server's slots"),
-        std::pair (PU_ROUTER_BREAK_SERVICE_LIMIT,
-                   "more than a service's limit"),
+                   "backend server's slots exceeded"),
+        std::pair (PU_ROUTER_BREAK_SERVICE_LIMIT, "service's limit exceeded"),
         std::pair (PU_ROUTER_BREAK_DRAINING,
-                   "dispatched to one that is draining or without the model"),
+                   "dispatched to a backend server that is leaving or has no "
+                   "ready copy"),
         std::pair (PU_ROUTER_BREAK_BUDGET, "service's retry budget exceeded"),
         std::pair (PU_ROUTER_BREAK_BUDGET,
                    "backend server's retry budget exceeded"),
-        std::pair (PU_ROUTER_BREAK_REPEAT, "repeated"),
+        std::pair (PU_ROUTER_BREAK_REPEAT,
+                   "retried although it may have run and is not repeatable"),
         std::pair (PU_ROUTER_BREAK_EXPIRY, "a second final answer")));
 
 } // namespace
--- a/libplantainusher/routing/router_test.cc
+++ b/libplantainusher/routing/router_test.cc
@@ -1,4 +1,4 @@
-/* One behaviour of the router each.  */
+/* Unit tests of the router, one behaviour each.  */
 
 #include "routing/router.h"
 
@@ -18,7 +18,7 @@
   SetUp () override
   {
     pu_router_options_init (&o_);
-    make ();
+    make_router ();
   }
 
   void
@@ -28,7 +28,7 @@
   }
 
   void
-  make ()
+  make_router ()
   {
     pu_router_free (r_);
     r_ = pu_router_new (&o_);
@@ -117,18 +117,19 @@
 namespace
 {
 
-/* Where copies of a request go that come through entries which know nothing
-   of each other.  */
-class Copies : public Router
+/* Routing of requests with the same fingerprint through entries that share no
+   state.  */
+class Affinity : public Router
 {
 protected:
-  /* The name of the backend server that FINGERPRINT goes to, of N that the
-     entry with SEED learns of from the FIRST on.  */
+  /* Returns the name of the backend server that an entry with the random SEED
+     sends FINGERPRINT to.  N backend servers are added, starting with number
+     FIRST and wrapping around.  */
   std::string
-  through (guint64 seed, int n, int first, guint64 fingerprint)
+  backend_chosen (guint64 seed, int n, int first, guint64 fingerprint)
   {
     o_.seed = seed;
-    make ();
+    make_router ();
     for (int i = 0; i < n; i++)
       backend (("b" + std::to_string ((first + i) % n)).c_str ());
     pu_router_request_t q = request ();
@@ -139,7 +140,7 @@
 
 } // namespace
 
-TEST_F (Copies, OfOneRequestGoToOneBackendServer)
+TEST_F (Affinity, DuplicatesGoToOneBackendServer)
 {
   for (int n : { 4, 30 })
     {
@@ -147,25 +148,25 @@
 
       for (guint64 f = 1; f <= 40; f++)
         {
-          std::string one = through (1, n, 0, f);
-          EXPECT_EQ (one, through (2, n, 1, f));
-          EXPECT_EQ (one, through (3, n, 3, f));
+          std::string one = backend_chosen (1, n, 0, f);
+          EXPECT_EQ (one, backend_chosen (2, n, 1, f));
+          EXPECT_EQ (one, backend_chosen (3, n, 3, f));
           all.insert (one);
         }
-      /* Others spread.  */
+      /* Different fingerprints are spread.  */
       EXPECT_GE (all.size (), 4u);
     }
 }
 
-/* Entries that know nothing of each other send what begins alike to one
-   copy, and count on the part that it has read before.  */
-TEST_F (Copies, OfOnePrefixGoToOneBackendServerThoughItHasMoreToDo)
+/* Prompts with the same fingerprint go to one copy even while others have less
+   load, and their shared prefix counts as cached there.  */
+TEST_F (Affinity, SharedPrefixGoesToOneBackendServerDespiteItsLoad)
 {
   std::set<pu_router_backend_t> used;
 
   for (int i = 0; i < 8; i++)
     {
-      make ();
+      make_router ();
       backend ("a", 20);
       backend ("b", 20);
       backend ("c", 20);
@@ -184,7 +185,7 @@
   EXPECT_EQ (1U, used.size ());
 }
 
-TEST_F (Copies, ThatAreLateGoElsewhere)
+TEST_F (Affinity, DuplicateAvoidsAFullBackendServer)
 {
   backend ("a", 1);
   backend ("b", 1);
@@ -193,7 +194,7 @@
   EXPECT_NE (offer (q).backend, offer (q).backend);
 }
 
-TEST_F (Router, RefusesWhatIsNotDeclaredOrNotReady)
+TEST_F (Router, RefusesWithoutAServiceAModelOrAReadyCopy)
 {
   pu_router_request_t q = request ();
   EXPECT_EQ (offer (q).reason, PU_ROUTER_REASON_COPY);
@@ -208,7 +209,7 @@
   EXPECT_EQ (d.ran, PU_ROUTER_NOT_RUN);
 }
 
-TEST_F (Router, CountsOwnWorkSinceTheLastReport)
+TEST_F (Router, CountsOwnRequestsSinceTheLastReport)
 {
   pu_router_backend_t a = backend ("a");
   pu_router_backend_t b = backend ("b");
@@ -218,7 +219,8 @@
   q.prompt_tokens = 0;
   EXPECT_EQ (offer (q).backend, a);
   EXPECT_EQ (offer (q).backend, a);
-  /* The report of `a` shows what this entry sent there: not counted twice. */
+  /* The report of `a` includes this entry's own requests, which must not be
+     counted twice.  */
   now_ += 100;
   pu_router_report_t own = { 1, 2, 0, 0, 0, 0, 0 };
   pu_router_report (r_, a, &own, now_);
@@ -226,10 +228,11 @@
   EXPECT_EQ (offer (q).backend, b);
 }
 
-TEST_F (Router, UntriedCopyIsTriedOnceTheOthersAreFast)
+TEST_F (Router, UnusedCopyGetsWorkAfterTheOthersBecomeFaster)
 {
-  /* One request at a time, of TAKES ms each; how many of N go to B.  */
-  auto serve = [this] (int n, guint64 takes, pu_router_backend_t b) {
+  /* Runs N requests one at a time, each with FIRST_MS to the first token.
+     Returns how many of them go to B.  */
+  auto serve = [this] (int n, guint64 first_ms, pu_router_backend_t b) {
     int there = 0;
     for (int i = 0; i < n; i++)
       {
@@ -237,7 +240,7 @@
         EXPECT_EQ (d.verdict, PU_ROUTER_DISPATCH);
         there += d.backend == b;
         pu_router_sent (r_, d.ticket, now_);
-        now_ += takes;
+        now_ += first_ms;
         pu_router_first_token (r_, d.ticket, now_);
         finish (d.ticket);
       }
@@ -245,14 +248,15 @@
   };
   backend ("first");
   serve (20, 60, PU_ROUTER_NONE);
-  /* It comes while the first one is slow, which then is slow no more.  */
+  /* The second copy is added while the first is slow.  Then the first becomes
+     fast, and the second must be expected to be as fast.  */
   backend ("late", 0, "1", PU_ROUTER_COPY_LOADING);
   serve (30, 5, PU_ROUTER_NONE);
   pu_router_backend_t late = backend ("late");
   EXPECT_GT (serve (50, 5, late), 10);
 }
 
-TEST_F (Router, ReportHoldsForItsLife)
+TEST_F (Router, ReportExpiresAfterItsLifetime)
 {
   pu_router_backend_t a = backend ("a", 1);
   pu_router_report_t busy = { 1, 1, 0, 0, 0, 0, 8000 };
@@ -265,13 +269,13 @@
   EXPECT_EQ (offer (request ()).backend, a);
 }
 
-TEST_F (Router, SeldomReportsGrowTheSlotsAsOftenOnesDo)
+TEST_F (Router, SlotGrowthDoesNotDependOnTheReportInterval)
 {
   guint slots[2];
 
   for (guint every : { 1u, 3u })
     {
-      make ();
+      make_router ();
       pu_router_backend_t a = backend ("a");
       for (guint64 at = 0; at <= 12; at += every)
         {
@@ -288,7 +292,7 @@
   EXPECT_EQ (slots[0], slots[1]);
 }
 
-TEST_F (Router, IgnoresOldReportsAndOldIncarnations)
+TEST_F (Router, IgnoresStaleReportsAndOldIncarnations)
 {
   pu_router_backend_t a = backend ("a");
   pu_router_report_t late = { 7, 3, 0, 0, 0, 0, 0 };
@@ -301,7 +305,7 @@
   EXPECT_EQ (pu_router_ready_copies (r_, m_), 1u);
 }
 
-TEST_F (Router, OneReportOfABurstTakesNoSlots)
+TEST_F (Router, SlotsShrinkOnlyAtTheSecondReportOfAQueue)
 {
   pu_router_backend_t a = backend ("a");
   guint before = pu_router_backend_slots (r_, a);
@@ -315,7 +319,7 @@
   EXPECT_LT (pu_router_backend_slots (r_, a), before);
 }
 
-TEST_F (Router, SlotsGrowFasterUntilAQueueWasSeen)
+TEST_F (Router, SlotsGrowFasterUntilTheFirstQueue)
 {
   pu_router_backend_t fresh = backend ("a");
   pu_router_backend_t known = backend ("b");
@@ -335,7 +339,7 @@
   EXPECT_GT (growth (fresh, 1), growth (known, 3));
 }
 
-TEST_F (Router, PrefersCachedPrefixUntilAGap)
+TEST_F (Router, PrefersCachedPrefixUntilAnEventGap)
 {
   backend ("a");
   pu_router_backend_t b = backend ("b");
@@ -354,14 +358,14 @@
   EXPECT_EQ (offer (q).cached_tokens, 0u);
 }
 
-/* Prompts that share their first 5,000 tokens, through an entry of zone a.  */
-TEST_F (Router, SharedPromptsStayInTheirZone)
+/* Prompts with a shared prefix of 5,000 tokens, through an entry in zone a. */
+TEST_F (Router, PromptsWithASharedPrefixStayInTheZone)
 {
   const int n = 32;
   int in_zone = 0;
 
   o_.zone = "a";
-  make ();
+  make_router ();
   for (const char *zone : { "a", "b", "c" })
     {
       for (int i = 0; i < 2; i++)
@@ -384,11 +388,11 @@
   EXPECT_EQ (in_zone, n);
 }
 
-/* None of their zone's copies is ready: they are read elsewhere.  */
-TEST_F (Router, SharedPromptsLeaveAZoneWithoutACopy)
+/* Without a ready copy in the entry's zone the prompt goes to another zone. */
+TEST_F (Router, PromptsWithASharedPrefixLeaveAZoneWithoutAReadyCopy)
 {
   o_.zone = "a";
-  make ();
+  make_router ();
   backend ("b0", 0, "1", PU_ROUTER_COPY_READY, "b");
   backend ("a0", 0, "1", PU_ROUTER_COPY_LOADING, "a");
   pu_router_request_t q = request ();
@@ -397,7 +401,7 @@
   EXPECT_STREQ (pu_router_backend_name (r_, offer (q).backend), "b0");
 }
 
-TEST_F (Router, LeavingAndDrainingGetNothingNewAtOnce)
+TEST_F (Router, LeavingAndDrainingGetNoNewRequests)
 {
   pu_router_backend_t a = backend ("a");
   backend ("b", 0, "1", PU_ROUTER_COPY_DRAINING);
@@ -410,7 +414,7 @@
   EXPECT_EQ (pu_router_backend_in_flight (r_, a), 0u);
 }
 
-TEST_F (Router, SharesBetweenVersions)
+TEST_F (Router, SplitsRequestsBetweenVersions)
 {
   pu_router_backend_t old_copy = backend ("a", 0, "1");
   pu_router_backend_t new_copy = backend ("b", 0, "2");
@@ -420,7 +424,7 @@
   EXPECT_EQ (offer (request ()).backend, new_copy);
 }
 
-TEST_F (Router, QueuesByPriorityThenDeadlineAndExpiresAtOnce)
+TEST_F (Router, QueuesByPriorityAndRefusesAtTheWakeTime)
 {
   backend ("a", 1);
   pu_router_decision_t running = offer (request ());
@@ -445,12 +449,13 @@
   EXPECT_TRUE (next ().empty ());
 }
 
-/* One backend server with one slot, which is taken.  */
-class Late : public Router
+/* Requests that wait for the only slot, which is in use, and miss their
+   first-token target.  */
+class LateRequest : public Router
 {
 protected:
   void
-  begin (bool serve_late, guint patience_ms = 0)
+  start_with_full_backend (bool serve_late, guint patience_ms = 0)
   {
     pu_router_service_options_t s
         = { "chat", 1, 400, 60, 5000, 0, 10, false, 0 };
@@ -465,9 +470,9 @@
   pu_ticket_t running_ = 0;
 };
 
-TEST_F (Late, IsRefusedWhereItIsWorthNothing)
+TEST_F (LateRequest, IsRefusedUnlessTheServiceServesLate)
 {
-  begin (false);
+  start_with_full_backend (false);
   EXPECT_EQ (PU_ROUTER_QUEUED, offer (request ()).verdict);
   now_ += 500;
   auto list = next ();
@@ -475,9 +480,9 @@
   EXPECT_EQ (PU_ROUTER_REASON_DEADLINE, list[0].reason);
 }
 
-TEST_F (Late, WaitsOnWhereItIsWorthSomething)
+TEST_F (LateRequest, KeepsWaitingIfTheServiceServesLate)
 {
-  begin (true);
+  start_with_full_backend (true);
   auto d = offer (request ());
   now_ += 500;
   EXPECT_TRUE (next ().empty ());
@@ -488,9 +493,9 @@
   EXPECT_EQ (d.ticket, list[0].ticket);
 }
 
-TEST_F (Late, GoesBehindWhatMayBeOnTarget)
+TEST_F (LateRequest, IsQueuedBehindRequestsThatCanMeetTheTarget)
 {
-  begin (true);
+  start_with_full_backend (true);
   auto urgent = request ();
   urgent.priority = 9;
   offer (urgent);
@@ -503,9 +508,9 @@
   EXPECT_EQ (fresh.ticket, list[0].ticket);
 }
 
-TEST_F (Late, IsRefusedWhenItsCallerHasLeft)
+TEST_F (LateRequest, IsRefusedAfterTheCallersPatience)
 {
-  begin (true, 2000);
+  start_with_full_backend (true, 2000);
   offer (request ());
   now_ += 500;
   EXPECT_TRUE (next ().empty ());
@@ -515,9 +520,10 @@
   EXPECT_EQ (PU_ROUTER_REASON_DEADLINE, list[0].reason);
 }
 
-/* Nine of ten first tokens wait for others' work of which nothing is known
-   here; what a request costs its engine stays what it costs alone.  */
-TEST_F (Router, CostIsWhatARequestTakesAlone)
+/* Nine of ten first tokens are delayed by other entries' requests, which this
+   router does not see.  The cost must stay that of a request without other
+   work.  */
+TEST_F (Router, CostExcludesDelayByOtherRequests)
 {
   backend ("b");
   for (int i = 0; i < 200; i++)
@@ -535,9 +541,10 @@
   EXPECT_GT (pu_router_cost_ms (r_, m_, 1000, 0, 64), 20);
 }
 
-/* Streams on engines with small batches keep an engine busier: a step of
-   30 ms for 24 of them costs each 1.25 ms, for 12 twice as much.  */
-TEST_F (Router, CostFollowsTheStepAndTheDeclaredBatch)
+/* The share of a stream in the engine's time grows as batches get smaller: a
+   step of 30 ms costs each of 24 streams 1.25 ms, and each of 12 twice as
+   much.  */
+TEST_F (Router, CostFollowsTheStepTimeAndTheBatchSize)
 {
   constexpr guint tokens = 40;
   constexpr guint step = 30;
@@ -561,8 +568,9 @@
                1);
 }
 
-/* First tokens were late in a crowd; an idle copy is no less able for that. */
-TEST_F (Router, ACrowdOfThePastMakesNothingHopeless)
+/* First tokens that were late under load must not make the router refuse a
+   request that an idle copy can answer in time.  */
+TEST_F (Router, PastLoadDoesNotCauseRefusals)
 {
   backend ("b");
   for (int i = 0; i < 60; i++)
@@ -582,7 +590,7 @@
   EXPECT_EQ (PU_ROUTER_DISPATCH, offer (q).verdict);
 }
 
-TEST_F (Router, FullQueueGivesWayToHigherPriority)
+TEST_F (Router, FullQueueDisplacesALowerPriority)
 {
   service ("chat", 1, 0, 1);
   backend ("a", 1);
@@ -598,7 +606,7 @@
   EXPECT_EQ (list[0].reason, PU_ROUTER_REASON_QUEUE_FULL);
 }
 
-TEST_F (Router, WaitingIsRefusedWhenTheLastCopyGoes)
+TEST_F (Router, QueuedRequestIsRefusedWhenTheLastCopyIsRemoved)
 {
   pu_router_backend_t a = backend ("a", 1);
   offer (request ());
@@ -611,7 +619,7 @@
   EXPECT_EQ (list[0].reason, PU_ROUTER_REASON_COPY);
 }
 
-TEST_F (Router, RetriesElsewhereOnlyWhatMayRunTwice)
+TEST_F (Router, RetriesElsewhereOnlyIfSafeToRepeat)
 {
   struct
   {
@@ -628,7 +636,7 @@
   };
   for (const auto &c : cases)
     {
-      make ();
+      make_router ();
       backend ("a");
       backend ("b");
       pu_router_request_t q = request ();
@@ -685,7 +693,7 @@
 {
   for (bool late : { true, false })
     {
-      make ();
+      make_router ();
       backend ("a", 1000);
       guint before = pu_router_service_limit (r_, chat_);
       std::vector<pu_ticket_t> running;
@@ -711,8 +719,8 @@
     }
 }
 
-/* One request at a time is not late because of too many at once.  */
-TEST_F (Router, LimitStaysWhenLateAndHardlyUsed)
+/* A request that is alone in flight is not late because of concurrency.  */
+TEST_F (Router, LimitStaysWhenLateButHardlyUsed)
 {
   backend ("a", 1000);
   guint before = pu_router_service_limit (r_, chat_);
@@ -730,13 +738,13 @@
 class Fairness : public Router
 {
 protected:
-  /* Of the starts on one backend server with both services waiting, the share
-     in percent of the one that is three times as important.  */
+  /* Two services with importance 1 and 3 always have requests waiting for one
+     backend server.  Returns the percentage of starts of the second one.  */
   guint
-  share (pu_router_break_t brk)
+  share (pu_router_break_t test_break)
   {
-    o_.test_break = brk;
-    make ();
+    o_.test_break = test_break;
+    make_router ();
     pu_router_service_t s[2] = { service ("x", 1), service ("y", 3) };
     backend ("a", 4);
     std::vector<pu_router_decision_t> running;
@@ -775,12 +783,12 @@
   EXPECT_NEAR (share (PU_ROUTER_BREAK_NONE), 75, 5);
 }
 
-TEST_F (Fairness, BreakIsCaught)
+TEST_F (Fairness, DeliberateFaultIsCaught)
 {
   EXPECT_LT (share (PU_ROUTER_BREAK_FAIRNESS), 10u);
 }
 
-TEST_F (Router, DumpNamesEverything)
+TEST_F (Router, DumpListsBackendServers)
 {
   backend ("a");
   offer (request ());
