--- a/libplantainusher/routing/choose.c
+++ b/libplantainusher/routing/choose.c
@@ -26,7 +26,7 @@
 /* Prefill time of a prompt token on an engine without other work; 0: not
    known.  */
 static double
-prefill_token_ms (const pu_router_t *r, const model_t *m)
+model_prefill_token_ms (const pu_router_t *r, const model_t *m)
 {
   return m->token_ms > 0 ? m->token_ms : r->token_ms;
 }
@@ -40,16 +40,17 @@
 {
   const model_t *m = model_at (r, q->model);
   double fitted = line_at (&m->first, q->prompt_tokens);
-  double without_load
-      = prefill_token_ms (r, m) * q->prompt_tokens + line_at (&m->step, 1);
+  double without_load = model_prefill_token_ms (r, m) * q->prompt_tokens
+                        + line_at (&m->step, 1);
 
-  return prefill_token_ms (r, m) > 0 ? MIN (fitted, without_load) : fitted;
+  return model_prefill_token_ms (r, m) > 0 ? MIN (fitted, without_load)
+                                           : fitted;
 }
 
 /* Time between two output tokens without other work; the configured prior
    until it has been measured.  */
 static double
-decode_step_ms (const pu_router_t *r, const model_t *m)
+model_decode_step_ms (const pu_router_t *r, const model_t *m)
 {
   if (m->step_ms > 0)
     return m->step_ms;
@@ -65,10 +66,10 @@
 
   if (t == NULL)
     return 0;
-  token_ms = prefill_token_ms (r, t) > 0 ? prefill_token_ms (r, t)
-                                         : r->options.prefill_ms;
+  token_ms = model_prefill_token_ms (r, t) > 0 ? model_prefill_token_ms (r, t)
+                                               : r->options.prefill_ms;
   return token_ms * prompt * t->mean_own
-         + output * decode_step_ms (r, t)
+         + output * model_decode_step_ms (r, t)
                / (batch > 0 ? batch : DEFAULT_BATCH_SIZE);
 }
 
