--- a/libplantainusher/entry/entry.c
+++ b/libplantainusher/entry/entry.c
@@ -174,10 +174,10 @@
   guint64 now = uv_now (t->loop);
   guint64 at;
 
-  pu_router_next (en->router, now, decisions);
+  pu_router_schedule (en->router, now, decisions);
   decisions_carry_out (en, decisions);
   g_array_free (decisions, TRUE);
-  at = pu_router_wake_at (en->router);
+  at = pu_router_next_timeout_at (en->router);
   if (at != G_MAXUINT64 && !uv_is_active ((uv_handle_t *)t))
     uv_timer_start (t, on_wake, at > now ? at - now : 1, 0);
 }
--- a/libplantainusher/entry/exchange.c
+++ b/libplantainusher/entry/exchange.c
@@ -507,7 +507,7 @@
   pu_ticket_t ticket = x->ticket;
 
   ticket_set (x, 0);
-  pu_router_failed (x->en->router, ticket, failure, uv_now (x->en->o.loop));
+  pu_router_abandon (x->en->router, ticket, failure, uv_now (x->en->o.loop));
   pu_router_due (x->en);
   route_apart (x);
 }
--- a/libplantainusher/routing/choose.c
+++ b/libplantainusher/routing/choose.c
@@ -18,7 +18,8 @@
 output_tokens (const pu_router_t *r, const request_t *q)
 {
   const model_t *m = model_at (r, q->model);
-  double mean = m->mean_output > 0 ? m->mean_output : DEFAULT_OUTPUT_TOKENS;
+  double mean = m->mean_output_tokens > 0 ? m->mean_output_tokens
+                                          : DEFAULT_OUTPUT_TOKENS;
 
   return MIN (q->max_tokens, (guint)mean);
 }
@@ -28,7 +29,7 @@
 static double
 model_prefill_token_ms (const pu_router_t *r, const model_t *m)
 {
-  return m->token_ms > 0 ? m->token_ms : r->token_ms;
+  return m->prefill_token_ms > 0 ? m->prefill_token_ms : r->prefill_token_ms;
 }
 
 /* The fitted line includes the delay by other requests at the time of its
@@ -39,9 +40,9 @@
 unloaded_ms (const pu_router_t *r, const request_t *q)
 {
   const model_t *m = model_at (r, q->model);
-  double fitted = line_at (&m->first, q->prompt_tokens);
+  double fitted = linear_fit_predict (&m->first, q->prompt_tokens);
   double without_load = model_prefill_token_ms (r, m) * q->prompt_tokens
-                        + line_at (&m->step, 1);
+                        + linear_fit_predict (&m->step, 1);
 
   return model_prefill_token_ms (r, m) > 0 ? MIN (fitted, without_load)
                                            : fitted;
@@ -52,9 +53,9 @@
 static double
 model_decode_step_ms (const pu_router_t *r, const model_t *m)
 {
-  if (m->step_ms > 0)
-    return m->step_ms;
-  return r->step_ms > 0 ? r->step_ms : r->options.decode_ms;
+  if (m->decode_step_ms > 0)
+    return m->decode_step_ms;
+  return r->decode_step_ms > 0 ? r->decode_step_ms : r->options.decode_ms;
 }
 
 double
@@ -62,13 +63,14 @@
                    guint output, guint batch)
 {
   const model_t *t = model_at (r, m);
-  double token_ms;
+  double prefill_token_ms;
 
   if (t == NULL)
     return 0;
-  token_ms = model_prefill_token_ms (r, t) > 0 ? model_prefill_token_ms (r, t)
-                                               : r->options.prefill_ms;
-  return token_ms * prompt * t->mean_own
+  prefill_token_ms = model_prefill_token_ms (r, t) > 0
+                         ? model_prefill_token_ms (r, t)
+                         : r->options.prefill_ms;
+  return prefill_token_ms * prompt * t->mean_uncached_share
          + output * model_decode_step_ms (r, t)
                / (batch > 0 ? batch : DEFAULT_BATCH_SIZE);
 }
@@ -115,7 +117,7 @@
 static guint64
 pending_prefill_tokens (const backend_t *s, const model_t *m, guint64 now)
 {
-  double others = backend_others_waiting (s, now) * m->mean_prompt;
+  double others = backend_others_waiting (s, now) * m->mean_prompt_tokens;
 
   return s->pending_tokens + (guint64)others;
 }
@@ -145,12 +147,12 @@
     return false;
   if (now < s->ejected_until && !ignore_ejection)
     return false;
-  if (q->attempt > 0 && !budget_has (r, s->budget))
+  if (q->attempt > 0 && !retry_budget_allows (r, s->retry_budget))
     return false;
   if (r->options.test_break == PU_ROUTER_BREAK_BACKEND_LIMIT)
     return true;
-  return s->in_flight < slots_of (s)
-         && backend_load (s, now) < MAX (slots_of (s), 1);
+  return s->in_flight < backend_slot_limit (s)
+         && backend_load (s, now) < MAX (backend_slot_limit (s), 1);
 }
 
 /* Whether the time between tokens stays within the service's target with one
@@ -173,7 +175,8 @@
              const copy_t *c, guint64 pending)
 {
   guint target = service_at (r, q->service)->first_token_ms;
-  double queued_ms = line_slope (copy_first (r, c)) * (double)pending;
+  double queued_ms
+      = linear_fit_slope (copy_first_token_fit (r, c)) * (double)pending;
 
   if (target == 0 || pending == 0)
     return true;
@@ -210,30 +213,30 @@
   for (guint i = 0; i < ready->len; i++)
     {
       const backend_t *b
-          = backend_at (r, g_array_index (ready, ready_t, i).backend);
+          = backend_at (r, g_array_index (ready, ready_copy_t, i).backend);
 
       if (!was_tried (q, b))
-        nearest = MIN (nearest, b->cost_ms);
+        nearest = MIN (nearest, b->network_cost_ms);
     }
   return nearest;
 }
 
 /* Returns the copy with the highest rendezvous weight for Q among those with a
    network cost of at most FURTHEST_MS, or NULL.  */
-static const ready_t *
+static const ready_copy_t *
 preferred_copy (const pu_router_t *r, const request_t *q, double furthest_ms)
 {
   const GArray *ready = model_at (r, q->model)->ready;
-  const ready_t *preferred = NULL;
+  const ready_copy_t *preferred = NULL;
   guint64 highest = 0;
 
   for (guint i = 0; i < ready->len; i++)
     {
-      const ready_t *e = &g_array_index (ready, ready_t, i);
+      const ready_copy_t *e = &g_array_index (ready, ready_copy_t, i);
       const backend_t *b = backend_at (r, e->backend);
       guint64 p = rendezvous_weight (q->fingerprint, b);
 
-      if (p < highest || was_tried (q, b) || b->cost_ms > furthest_ms)
+      if (p < highest || was_tried (q, b) || b->network_cost_ms > furthest_ms)
         continue;
       highest = p;
       preferred = e;
@@ -253,7 +256,7 @@
                         const backend_t *s)
 {
   guint cached = cached_prompt_tokens (r, q, s);
-  const ready_t *preferred;
+  const ready_copy_t *preferred;
 
   if (q->fingerprint == 0 || q->shared_tokens <= cached)
     return cached;
@@ -270,7 +273,7 @@
   const backend_t *s = backend_at (r, b);
   const copy_t *c = &g_array_index (s->copies, copy_t, copy);
   const model_t *m = model_at (r, q->model);
-  const line_t *first = copy_first (r, c);
+  const linear_fit_t *first = copy_first_token_fit (r, c);
   guint load;
   bool serve_late = service_at (r, q->service)->serve_late;
   guint64 pending;
@@ -288,7 +291,8 @@
   out->copy = copy;
   out->cached = expected_cached_tokens (r, q, s);
   out->work = pending + q->prompt_tokens - out->cached;
-  out->first_ms = line_at (first, (double)out->work) + s->cost_ms;
+  out->first_ms
+      = linear_fit_predict (first, (double)out->work) + s->network_cost_ms;
   out->score = out->first_ms + version_cost_ms (r, q, c)
                + load * LOAD_TIEBREAK_MS + backend_step_ms (r, s, m, load + 1);
   /* The errors of the estimate are symmetric: without the margin, half of the
@@ -309,7 +313,7 @@
   for (guint i = 0; i < ready->len; i++)
     {
       const backend_t *s
-          = backend_at (r, g_array_index (ready, ready_t, i).backend);
+          = backend_at (r, g_array_index (ready, ready_copy_t, i).backend);
 
       if (!was_tried (q, s) && now >= s->ejected_until)
         return false;
@@ -317,22 +321,22 @@
   return true;
 }
 
-copy_left_t
-copy_left (const pu_router_t *r, const request_t *q)
+retry_copies_t
+retry_copies (const pu_router_t *r, const request_t *q)
 {
   const GArray *ready = model_at (r, q->model)->ready;
-  copy_left_t left = LEFT_NONE;
+  retry_copies_t left = RETRY_COPIES_NONE;
 
   for (guint i = 0; i < ready->len; i++)
     {
       const backend_t *s
-          = backend_at (r, g_array_index (ready, ready_t, i).backend);
+          = backend_at (r, g_array_index (ready, ready_copy_t, i).backend);
 
       if (was_tried (q, s))
         continue;
-      if (budget_has (r, s->budget))
-        return LEFT_OPEN;
-      left = LEFT_SPENT;
+      if (retry_budget_allows (r, s->retry_budget))
+        return RETRY_COPIES_AVAILABLE;
+      left = RETRY_COPIES_NO_BUDGET;
     }
   return left;
 }
@@ -351,7 +355,7 @@
 
 /* Adds the copy E to the candidates in r->found if it can take Q.  */
 static void
-add_candidate (pu_router_t *r, const request_t *q, const ready_t *e,
+add_candidate (pu_router_t *r, const request_t *q, const ready_copy_t *e,
                bool ignore_ejection, guint64 now)
 {
   candidate_t c;
@@ -376,9 +380,9 @@
 }
 
 /* Selects from r->found the candidate with the highest rendezvous weight for Q
-   among those that score nearly as well as the best one (alike_pct) and have
-   no fewer prompt tokens cached.  Duplicates of a request thereby go to the
-   same copy, even through entries that share no state.  */
+   among those that score nearly as well as the best one (score_tolerance_pct)
+   and have no fewer prompt tokens cached.  Duplicates of a request thereby go
+   to the same copy, even through entries that share no state.  */
 static bool
 select_candidate (const pu_router_t *r, const request_t *q, candidate_t *best)
 {
@@ -395,7 +399,7 @@
     return true;
   limit = lowest->score
           + service_at (r, q->service)->first_token_ms
-                * (double)r->options.alike_pct / 100;
+                * (double)r->options.score_tolerance_pct / 100;
   for (guint i = 0; i < found->len; i++)
     {
       const candidate_t *c = &g_array_index (found, candidate_t, i);
@@ -422,9 +426,9 @@
   g_array_set_size (r->found, 0);
   for (guint i = 0; i < ready->len; i++)
     {
-      add_candidate (r, q,
-                     &g_array_index (ready, ready_t, (start + i) % ready->len),
-                     ignore_ejection, now);
+      add_candidate (
+          r, q, &g_array_index (ready, ready_copy_t, (start + i) % ready->len),
+          ignore_ejection, now);
     }
   return select_candidate (r, q, best);
 }
@@ -437,8 +441,8 @@
                      candidate_t *best)
 {
   const GArray *ready = model_at (r, q->model)->ready;
-  const ready_t *preferred = NULL;
-  const ready_t *nearest_preferred = NULL;
+  const ready_copy_t *preferred = NULL;
+  const ready_copy_t *nearest_preferred = NULL;
 
   if (q->fingerprint != 0)
     preferred = preferred_copy (r, q, G_MAXDOUBLE);
@@ -455,7 +459,7 @@
         {
           guint at = g_rand_int (r->rand) % ready->len;
 
-          add_candidate (r, q, &g_array_index (ready, ready_t, at), false,
+          add_candidate (r, q, &g_array_index (ready, ready_copy_t, at), false,
                          now);
         }
       if (r->found->len > 0)
