--- a/libplantainusher/entry/attempt.c
+++ b/libplantainusher/entry/attempt.c
@@ -38,7 +38,7 @@
 
   if (at->noted && cut)
     {
-      pu_suspects_cut (suspects, x->number, now_of (x));
+      pu_suspects_aborted (suspects, x->number, now_of (x));
     }
   else if (at->noted)
     {
--- a/libplantainusher/entry/entry.c
+++ b/libplantainusher/entry/entry.c
@@ -564,7 +564,7 @@
       (int)pu_http_client_open (en->client), "idle_connections",
       (int)pu_http_client_idle (en->client), "claims_at_work",
       (int)pu_once_busy (en->once), "suspects_running",
-      (int)pu_suspects_running (en->suspects), "bad_announcements",
+      (int)pu_suspects_in_flight (en->suspects), "bad_announcements",
       (json_int_t)en->bad_announcements, "document_version",
       (json_int_t)en->document_version, "reporters", reporters_json (en),
       "router", pu_router_dump (en->router));
--- a/libplantainusher/placement/dispatcher.c
+++ b/libplantainusher/placement/dispatcher.c
@@ -178,7 +178,7 @@
 {
   pu_dispatcher_item_t *t = item_find (e, o->item);
 
-  if (t != NULL && t->phase == PU_DISPATCHER_LEAVING)
+  if (t != NULL && t->phase == PU_DISPATCHER_UNLOADING)
     t->phase = PU_DISPATCHER_READY;
   if (t != NULL && t->phase == PU_DISPATCHER_QUEUED)
     item_remove (e, o->item);
@@ -190,7 +190,7 @@
   pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
 
   order_roll_back (e, &queue_head (e)->order);
-  order_finish (d, engine, PU_DISPATCHER_DO_FAILED);
+  order_finish (d, engine, PU_DISPATCHER_ACTION_FAILED);
 }
 
 /* The engine has accepted the load of a model, so the model unloads that it
@@ -206,7 +206,7 @@
       const pu_dispatcher_item_t *t
           = &g_array_index (e->items, pu_dispatcher_item_t, i);
 
-      if (t->phase == PU_DISPATCHER_LEAVING && !t->adapter
+      if (t->phase == PU_DISPATCHER_UNLOADING && !t->adapter
           && pu_dispatcher_find_order (e, t->item) == NULL)
         g_array_remove_index_fast (e->items, i);
     }
@@ -236,7 +236,7 @@
       model_unloads_end (e);
     }
   e->fetch_at = MIN (e->fetch_at, now + d->options.busy_poll_ms);
-  order_finish (d, engine, PU_DISPATCHER_DO_DONE);
+  order_finish (d, engine, PU_DISPATCHER_ACTION_ACCEPTED);
 }
 
 /* The engine is already in the state that the order at the head of the queue
@@ -262,13 +262,13 @@
     {
       item_remove (e, o.item);
     }
-  order_finish (d, engine, PU_DISPATCHER_DO_DONE);
+  order_finish (d, engine, PU_DISPATCHER_ACTION_ACCEPTED);
 }
 
 /* --- engines --- */
 
 void
-pu_dispatcher_add (pu_dispatcher_t *d, guint32 engine, guint64 now)
+pu_dispatcher_add_engine (pu_dispatcher_t *d, guint32 engine, guint64 now)
 {
   pu_dispatcher_engine_t *e;
 
@@ -284,14 +284,14 @@
 }
 
 void
-pu_dispatcher_remove (pu_dispatcher_t *d, guint32 engine)
+pu_dispatcher_remove_engine (pu_dispatcher_t *d, guint32 engine)
 {
   pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
 
   if (e == NULL)
     return;
   while (queue_head (e) != NULL)
-    order_finish (d, engine, PU_DISPATCHER_DO_FAILED);
+    order_finish (d, engine, PU_DISPATCHER_ACTION_FAILED);
   engine_clear (e);
   d->n_present--;
 }
@@ -321,8 +321,8 @@
 }
 
 bool
-pu_dispatcher_want (pu_dispatcher_t *d, guint32 engine,
-                    const pu_dispatcher_order_t *o, guint64 now)
+pu_dispatcher_enqueue (pu_dispatcher_t *d, guint32 engine,
+                       const pu_dispatcher_order_t *o, guint64 now)
 {
   pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
   pu_dispatcher_queued_t *queued;
@@ -338,7 +338,7 @@
                          queued);
   item_set_phase (e, o->item,
                   o->op == PU_DISPATCHER_LOAD ? PU_DISPATCHER_QUEUED
-                                              : PU_DISPATCHER_LEAVING)
+                                              : PU_DISPATCHER_UNLOADING)
       ->adapter
       = o->adapter;
   return true;
@@ -401,7 +401,7 @@
       e->accepted++;
       order_accepted (d, engine, true, now);
       return;
-    case PU_DISPATCHER_HOLDS:
+    case PU_DISPATCHER_COMPLETED:
       order_completed (d, engine, now);
       return;
     case PU_DISPATCHER_CONFLICT:
@@ -412,11 +412,11 @@
       order_fail (d, engine);
       return;
     case PU_DISPATCHER_REFUSED:
-    case PU_DISPATCHER_GONE:
+    case PU_DISPATCHER_MISDIRECTED:
       order_fail (d, engine);
       e->fetch_at = now;
       return;
-    case PU_DISPATCHER_LOST:
+    case PU_DISPATCHER_NO_ANSWER:
       e->outcome_unknown = true;
       e->send_after = now + d->options.retry_backoff_ms;
       e->fetch_at = MIN (e->fetch_at, now);
@@ -488,7 +488,7 @@
     {
       const pu_dispatcher_item_t *t = item_find (e, r->held[i]);
       bool leaving
-          = t != NULL && t->phase == PU_DISPATCHER_LEAVING
+          = t != NULL && t->phase == PU_DISPATCHER_UNLOADING
             && (r->busy || pu_dispatcher_find_order (e, t->item) != NULL);
 
       if (!leaving)
@@ -565,8 +565,8 @@
 }
 
 void
-pu_dispatcher_seen (pu_dispatcher_t *d, guint32 engine, guint32 item,
-                    guint64 now)
+pu_dispatcher_mark_loaded (pu_dispatcher_t *d, guint32 engine, guint32 item,
+                           guint64 now)
 {
   pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
   pu_dispatcher_item_t *t = e != NULL ? item_find (e, item) : NULL;
@@ -588,7 +588,7 @@
   pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
   pu_dispatcher_queued_t *o = queue_head (e);
   pu_dispatcher_action_t a
-      = { .what = PU_DISPATCHER_DO_SEND, .engine = engine };
+      = { .what = PU_DISPATCHER_ACTION_SEND, .engine = engine };
   pu_dispatcher_fit_t fit;
 
   if (o == NULL || !e->reported || e->fenced || now < e->send_after)
@@ -628,7 +628,7 @@
 {
   pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
   pu_dispatcher_action_t a
-      = { .what = PU_DISPATCHER_DO_FETCH, .engine = engine };
+      = { .what = PU_DISPATCHER_ACTION_FETCH, .engine = engine };
 
   if (e->fetching || now < e->fetch_at)
     return;
@@ -713,7 +713,7 @@
 }
 
 bool
-pu_dispatcher_known (const pu_dispatcher_t *d, guint32 engine)
+pu_dispatcher_accepts_orders (const pu_dispatcher_t *d, guint32 engine)
 {
   const pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
 
@@ -721,7 +721,7 @@
 }
 
 bool
-pu_dispatcher_busy (const pu_dispatcher_t *d, guint32 engine)
+pu_dispatcher_is_busy (const pu_dispatcher_t *d, guint32 engine)
 {
   const pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
 
@@ -729,7 +729,7 @@
 }
 
 bool
-pu_dispatcher_secret (const pu_dispatcher_t *d, guint32 engine)
+pu_dispatcher_has_unknown_order (const pu_dispatcher_t *d, guint32 engine)
 {
   const pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
 
@@ -740,7 +740,7 @@
       const pu_dispatcher_item_t *t
           = &g_array_index (e->items, pu_dispatcher_item_t, i);
 
-      if (t->phase == PU_DISPATCHER_LEAVING
+      if (t->phase == PU_DISPATCHER_UNLOADING
           || (t->phase == PU_DISPATCHER_LOADING && !t->adapter))
         return false;
     }
--- a/libplantainusher/placement/dispatcher.h
+++ b/libplantainusher/placement/dispatcher.h
@@ -70,36 +70,39 @@
   bool adapter; /* loads and unloads concurrently with other orders */
 } pu_dispatcher_order_t;
 
-/* pu_dispatcher_add - adds ENGINE, which takes no orders until its first
-   report.  No effect when it was added already.  */
-void pu_dispatcher_add (pu_dispatcher_t *d, guint32 engine, guint64 now);
+/* pu_dispatcher_add_engine - adds ENGINE, which takes no orders until its
+   first report.  No effect when it was added already.  */
+void pu_dispatcher_add_engine (pu_dispatcher_t *d, guint32 engine,
+                               guint64 now);
 
-/* pu_dispatcher_remove - removes ENGINE; its orders fail.  */
-void pu_dispatcher_remove (pu_dispatcher_t *d, guint32 engine);
+/* pu_dispatcher_remove_engine - removes ENGINE; its orders fail.  */
+void pu_dispatcher_remove_engine (pu_dispatcher_t *d, guint32 engine);
 
-/* pu_dispatcher_set_item - the model ITEM takes MEMORY_MB of an engine's
-   memory; 0: unknown or not counted.  */
-void pu_dispatcher_set_item (pu_dispatcher_t *d, guint32 item,
-                             guint32 memory_mb);
+/* pu_dispatcher_set_item_memory - the model ITEM takes MEMORY_MB of an
+   engine's memory; 0: unknown or not counted.  */
+void pu_dispatcher_set_item_memory (pu_dispatcher_t *d, guint32 item,
+                                    guint32 memory_mb);
 
 /* pu_dispatcher_set_adapter - ITEM is an adapter: it takes one of an engine's
    adapter slots, whose memory is reserved, and no other memory.  */
 void pu_dispatcher_set_adapter (pu_dispatcher_t *d, guint32 item);
 
-/* pu_dispatcher_set_room - ENGINE has CAPACITY_MB of memory for models; 0: no
-   limit.  */
-void pu_dispatcher_set_room (pu_dispatcher_t *d, guint32 engine,
-                             guint32 capacity_mb);
+/* pu_dispatcher_set_capacity - ENGINE has CAPACITY_MB of memory for models; 0:
+   no limit.  */
+void pu_dispatcher_set_capacity (pu_dispatcher_t *d, guint32 engine,
+                                 guint32 capacity_mb);
 
-/* pu_dispatcher_set_places - ENGINE has SLOTS adapter slots; 0: no limit.  */
-void pu_dispatcher_set_places (pu_dispatcher_t *d, guint32 engine,
-                               guint slots);
+/* pu_dispatcher_set_adapter_slots - ENGINE has SLOTS adapter slots; 0: no
+ * limit.  */
+void pu_dispatcher_set_adapter_slots (pu_dispatcher_t *d, guint32 engine,
+                                      guint slots);
 
-/* pu_dispatcher_want - queues O for ENGINE.  False when an order for the same
-   item is queued or sent, when a load's item is at the engine already or an
-   unload's is not, or when ENGINE takes no orders (pu_dispatcher_known).  */
-bool pu_dispatcher_want (pu_dispatcher_t *d, guint32 engine,
-                         const pu_dispatcher_order_t *o, guint64 now);
+/* pu_dispatcher_enqueue - queues O for ENGINE.  False when an order for the
+   same item is queued or sent, when a load's item is at the engine already or
+   an unload's is not, or when ENGINE takes no orders
+   (pu_dispatcher_accepts_orders).  */
+bool pu_dispatcher_enqueue (pu_dispatcher_t *d, guint32 engine,
+                            const pu_dispatcher_order_t *o, guint64 now);
 
 /* pu_dispatcher_cancel - removes the queued order for ITEM, unless it was
    sent.  */
@@ -107,14 +110,14 @@
 
 typedef enum
 {
-  PU_DISPATCHER_ACCEPTED, /* the engine is executing the order */
-  PU_DISPATCHER_HOLDS,    /* the engine is in the requested state */
-  PU_DISPATCHER_CONFLICT, /* the engine's count differs, or it is executing
-                             another order */
-  PU_DISPATCHER_FENCED,   /* a later leader has sent orders to the engine */
-  PU_DISPATCHER_REFUSED,  /* the engine can't execute the order */
-  PU_DISPATCHER_GONE,     /* another engine answered at this address */
-  PU_DISPATCHER_LOST      /* no answer: the outcome is unknown */
+  PU_DISPATCHER_ACCEPTED,    /* the engine is executing the order */
+  PU_DISPATCHER_COMPLETED,   /* the engine is in the requested state */
+  PU_DISPATCHER_CONFLICT,    /* the engine's count differs, or it is executing
+                                another order */
+  PU_DISPATCHER_FENCED,      /* a later leader has sent orders to the engine */
+  PU_DISPATCHER_REFUSED,     /* the engine can't execute the order */
+  PU_DISPATCHER_MISDIRECTED, /* another engine answered at this address */
+  PU_DISPATCHER_NO_ANSWER    /* no answer: the outcome is unknown */
 } pu_dispatcher_answer_t;
 
 /* pu_dispatcher_answer - A is the answer of ENGINE to the order that was sent
@@ -139,27 +142,28 @@
                            const pu_dispatcher_report_t *r, guint64 asked,
                            guint64 now);
 
-/* pu_dispatcher_seen - ENGINE holds ITEM according to a source other than a
-   fetched report; ends the load of ITEM.  */
-void pu_dispatcher_seen (pu_dispatcher_t *d, guint32 engine, guint32 item,
-                         guint64 now);
+/* pu_dispatcher_mark_loaded - ENGINE holds ITEM according to a source other
+   than a fetched report; ends the load of ITEM.  */
+void pu_dispatcher_mark_loaded (pu_dispatcher_t *d, guint32 engine,
+                                guint32 item, guint64 now);
 
 typedef enum
 {
-  PU_DISPATCHER_DO_SEND,  /* send the order to the engine and pass its answer
-                             to pu_dispatcher_answer */
-  PU_DISPATCHER_DO_FETCH, /* fetch the engine's report and pass it to
-                             pu_dispatcher_report */
-  PU_DISPATCHER_DO_DONE,  /* the order was executed or is being executed */
-  PU_DISPATCHER_DO_FAILED /* the order failed and is not sent again */
+  PU_DISPATCHER_ACTION_SEND,     /* send the order to the engine and pass its
+                                answer     to pu_dispatcher_answer */
+  PU_DISPATCHER_ACTION_FETCH,    /* fetch the engine's report and pass it to
+                                pu_dispatcher_report */
+  PU_DISPATCHER_ACTION_ACCEPTED, /* the order was executed or is being executed
+                                  */
+  PU_DISPATCHER_ACTION_FAILED    /* the order failed and is not sent again */
 } pu_dispatcher_action_kind_t;
 
 typedef struct
 {
   pu_dispatcher_action_kind_t what;
   guint32 engine;
-  pu_dispatcher_order_t order; /* unset for PU_DISPATCHER_DO_FETCH */
-  guint64 expected;            /* for PU_DISPATCHER_DO_SEND: the number of
+  pu_dispatcher_order_t order; /* unset for PU_DISPATCHER_ACTION_FETCH */
+  guint64 expected;            /* for PU_DISPATCHER_ACTION_SEND: the number of
                                   accepted orders that the order expects */
 } pu_dispatcher_action_t;
 
@@ -194,7 +198,7 @@
   PU_DISPATCHER_QUEUED,  /* a load is queued or sent */
   PU_DISPATCHER_LOADING, /* a load was accepted */
   PU_DISPATCHER_READY,
-  PU_DISPATCHER_LEAVING /* an unload is queued, sent or accepted */
+  PU_DISPATCHER_UNLOADING /* an unload is queued, sent or accepted */
 } pu_dispatcher_phase_t;
 
 /* An item at an engine.  */
@@ -217,17 +221,19 @@
 pu_dispatcher_phase_t pu_dispatcher_phase (const pu_dispatcher_t *d,
                                            guint32 engine, guint32 item);
 
-/* pu_dispatcher_known - whether ENGINE takes orders of this dispatcher: a
-   report has arrived and no later leader has fenced the engine.  */
-bool pu_dispatcher_known (const pu_dispatcher_t *d, guint32 engine);
+/* pu_dispatcher_accepts_orders - whether ENGINE takes orders of this
+   dispatcher: a report has arrived and no later leader has fenced the engine.
+ */
+bool pu_dispatcher_accepts_orders (const pu_dispatcher_t *d, guint32 engine);
 
-/* pu_dispatcher_busy - whether ENGINE is executing an order for a model or the
-   unload of an adapter.  */
-bool pu_dispatcher_busy (const pu_dispatcher_t *d, guint32 engine);
+/* pu_dispatcher_is_busy - whether ENGINE is executing an order for a model or
+   the unload of an adapter.  */
+bool pu_dispatcher_is_busy (const pu_dispatcher_t *d, guint32 engine);
 
-/* pu_dispatcher_secret - whether ENGINE is executing an order that this
-   dispatcher does not know, so that any item may appear there.  */
-bool pu_dispatcher_secret (const pu_dispatcher_t *d, guint32 engine);
+/* pu_dispatcher_has_unknown_order - whether ENGINE is executing an order that
+   this dispatcher does not know, so that any item may appear there.  */
+bool pu_dispatcher_has_unknown_order (const pu_dispatcher_t *d,
+                                      guint32 engine);
 
 G_END_DECLS
 
--- a/libplantainusher/placement/dispatcher_capacity.c
+++ b/libplantainusher/placement/dispatcher_capacity.c
@@ -11,7 +11,8 @@
 }
 
 void
-pu_dispatcher_set_item (pu_dispatcher_t *d, guint32 item, guint32 memory_mb)
+pu_dispatcher_set_item_memory (pu_dispatcher_t *d, guint32 item,
+                               guint32 memory_mb)
 {
   item_info (d, item)->memory_mb = memory_mb;
 }
@@ -23,8 +24,8 @@
 }
 
 void
-pu_dispatcher_set_room (pu_dispatcher_t *d, guint32 engine,
-                        guint32 capacity_mb)
+pu_dispatcher_set_capacity (pu_dispatcher_t *d, guint32 engine,
+                            guint32 capacity_mb)
 {
   pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
 
@@ -33,7 +34,8 @@
 }
 
 void
-pu_dispatcher_set_places (pu_dispatcher_t *d, guint32 engine, guint slots)
+pu_dispatcher_set_adapter_slots (pu_dispatcher_t *d, guint32 engine,
+                                 guint slots)
 {
   pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
 
@@ -58,7 +60,7 @@
       /* The engine refuses an order while an accepted unload still waits for
          running requests, so by the time it accepts this load that model's
          memory is free.  */
-      bool unloaded = e->busy_unloading && t->phase == PU_DISPATCHER_LEAVING
+      bool unloaded = e->busy_unloading && t->phase == PU_DISPATCHER_UNLOADING
                       && pu_dispatcher_find_order (e, t->item) == NULL;
 
       if (t->item != item && t->phase != PU_DISPATCHER_QUEUED && !unloaded)
@@ -87,7 +89,7 @@
         continue;
       used_slots++;
       slot_freeing = slot_freeing
-                     || (t->phase == PU_DISPATCHER_LEAVING
+                     || (t->phase == PU_DISPATCHER_UNLOADING
                          && pu_dispatcher_find_order (e, t->item) == NULL);
     }
   if (e->adapter_slots == 0 || used_slots < e->adapter_slots)
--- a/libplantainusher/placement/due.h
+++ b/libplantainusher/placement/due.h
@@ -16,8 +16,8 @@
 /* Expected times of a load in milliseconds; 0: unknown.  */
 typedef struct
 {
-  guint32 store_ms; /* from the weights store */
-  guint32 quick_ms; /* from the engine's disk or its host's memory */
+  guint32 store_ms;       /* from the weights store */
+  guint32 cached_load_ms; /* from the engine's disk or its host's memory */
 } pu_due_times_t;
 
 /* An engine in use.  */
--- a/libplantainusher/placement/forecast.c
+++ b/libplantainusher/placement/forecast.c
@@ -29,15 +29,15 @@
   o->fast_s = DEFAULT_FAST_S;
   o->mid_s = DEFAULT_MID_S;
   o->slow_s = DEFAULT_SLOW_S;
-  o->held_s = DEFAULT_HELD_S;
-  o->lead_s = DEFAULT_LEAD_S;
+  o->peak_decay_s = DEFAULT_HELD_S;
+  o->horizon_s = DEFAULT_LEAD_S;
   o->burst_sigmas = DEFAULT_BURST_SIGMAS;
 }
 
 /* STREAM_MS, the estimate for REQUESTS, with the part above the cap weighted
    by the number of requests seen of the model.  */
 static double
-cap_estimate_ms (const pu_forecast_t *f, const pu_forecast_common_t *c,
+cap_estimate_ms (const pu_forecast_t *f, const pu_forecast_request_stats_t *c,
                  guint32 requests, double stream_ms)
 {
   double cap_ms = CAP_MEANS * c->mean_request_ms * requests;
@@ -50,7 +50,7 @@
 }
 
 static void
-update_common_mean (pu_forecast_common_t *c, guint32 requests,
+update_common_mean (pu_forecast_request_stats_t *c, guint32 requests,
                     double stream_ms)
 {
   double mean = stream_ms / requests;
@@ -63,8 +63,8 @@
 }
 
 void
-pu_forecast_add (pu_forecast_t *f, pu_forecast_common_t *c, guint32 requests,
-                 double stream_ms)
+pu_forecast_add (pu_forecast_t *f, pu_forecast_request_stats_t *c,
+                 guint32 requests, double stream_ms)
 {
   double ms;
 
@@ -83,16 +83,16 @@
   return 1.0 - exp (-period_s / constant_s);
 }
 
-pu_forecast_period_t
-pu_forecast_period (const pu_forecast_options_t *o, double period_s)
+pu_forecast_weights_t
+pu_forecast_get_weights (const pu_forecast_options_t *o, double period_s)
 {
-  pu_forecast_period_t p;
+  pu_forecast_weights_t p;
 
   p.period_s = period_s;
   p.fast_weight = smoothing_weight (period_s, o->fast_s);
   p.mid_weight = smoothing_weight (period_s, o->mid_s);
   p.slow_weight = smoothing_weight (period_s, o->slow_s);
-  p.held_weight = smoothing_weight (period_s, o->held_s);
+  p.held_weight = smoothing_weight (period_s, o->peak_decay_s);
   return p;
 }
 
@@ -116,7 +116,7 @@
 
 void
 pu_forecast_advance (pu_forecast_t *f, const pu_forecast_options_t *o,
-                     const pu_forecast_period_t *p)
+                     const pu_forecast_weights_t *p)
 {
   double sample = f->period_stream_s / p->period_s;
   double slope;
@@ -146,7 +146,7 @@
   f->expected = MAX (f->slow, f->fast - fast_deviation (f, o));
   if (f->burst)
     {
-      double ahead = f->fast + MAX (0.0, slope) * o->lead_s;
+      double ahead = f->fast + MAX (0.0, slope) * o->horizon_s;
 
       f->expected = MIN (ahead, MAX_TREND_GROWTH * f->fast);
     }
--- a/libplantainusher/placement/forecast.h
+++ b/libplantainusher/placement/forecast.h
@@ -29,8 +29,9 @@
   double fast_s; /* time constants of the averages */
   double mid_s;  /* the trend is that of the fast average against this one */
   double slow_s;
-  double held_s; /* time constant by which `held` decays */
-  double lead_s; /* the trend is extrapolated this far: the time of a load */
+  double peak_decay_s; /* time constant by which `held` decays */
+  double
+      horizon_s; /* the trend is extrapolated this far: the time of a load */
   double burst_sigmas; /* deviations of the fast average that make a burst */
 } pu_forecast_options_t;
 
@@ -53,7 +54,7 @@
 typedef struct
 {
   double mean_request_ms; /* stream time of a request; 0: no request yet */
-} pu_forecast_common_t;
+} pu_forecast_request_stats_t;
 
 /* The weights of the newest sample in each average, for one period; the same
    for all models.  */
@@ -64,25 +65,26 @@
   double mid_weight;
   double slow_weight;
   double held_weight;
-} pu_forecast_period_t;
+} pu_forecast_weights_t;
 
 void pu_forecast_options_init (pu_forecast_options_t *o);
 
 /* pu_forecast_add - records REQUESTS that arrived, with an estimated stream
    time of STREAM_MS in all, in F and in the common statistics C.  */
-void pu_forecast_add (pu_forecast_t *f, pu_forecast_common_t *c,
+void pu_forecast_add (pu_forecast_t *f, pu_forecast_request_stats_t *c,
                       guint32 requests, double stream_ms);
 
-/* pu_forecast_period - returns the weights for a period of PERIOD_S seconds.
+/* pu_forecast_get_weights - returns the weights for a period of PERIOD_S
+ * seconds.
  */
-pu_forecast_period_t pu_forecast_period (const pu_forecast_options_t *o,
-                                         double period_s);
+pu_forecast_weights_t pu_forecast_get_weights (const pu_forecast_options_t *o,
+                                               double period_s);
 
 /* pu_forecast_advance - ends a period: updates the averages and the forecast
    of F with the requests added since the last call.  P holds the weights for
    the length of the period.  */
 void pu_forecast_advance (pu_forecast_t *f, const pu_forecast_options_t *o,
-                          const pu_forecast_period_t *p);
+                          const pu_forecast_weights_t *p);
 
 G_END_DECLS
 
--- a/libplantainusher/placement/ledger.c
+++ b/libplantainusher/placement/ledger.c
@@ -12,7 +12,7 @@
   bool fenced;
   bool leaving;
   bool down;
-  GArray *copies; /* of pu_ledger_held_t */
+  GArray *copies; /* of pu_ledger_copy_t */
   GArray *orders; /* of pu_ledger_order_t, by ascending token */
 } backend_t;
 
@@ -72,18 +72,18 @@
   n = g_new0 (backend_t, 1);
   n->backend = backend;
   n->down = true;
-  n->copies = g_array_new (FALSE, FALSE, sizeof (pu_ledger_held_t));
+  n->copies = g_array_new (FALSE, FALSE, sizeof (pu_ledger_copy_t));
   n->orders = g_array_new (FALSE, FALSE, sizeof (pu_ledger_order_t));
   g_hash_table_insert (l->backends, GUINT_TO_POINTER (backend), n);
   return n;
 }
 
-static pu_ledger_held_t *
+static pu_ledger_copy_t *
 find_copy (const backend_t *n, guint32 copy)
 {
   for (guint i = 0; i < n->copies->len; i++)
     {
-      pu_ledger_held_t *h = &g_array_index (n->copies, pu_ledger_held_t, i);
+      pu_ledger_copy_t *h = &g_array_index (n->copies, pu_ledger_copy_t, i);
 
       if (h->copy == copy)
         return h;
@@ -97,7 +97,7 @@
 static bool
 is_loading (const backend_t *n, const pu_ledger_order_t *o)
 {
-  const pu_ledger_held_t *h = find_copy (n, o->copy);
+  const pu_ledger_copy_t *h = find_copy (n, o->copy);
 
   return o->kind == PU_LEDGER_LOAD && h != NULL
          && h->phase == PU_LEDGER_LOADING;
@@ -109,7 +109,7 @@
 is_fenced_off (const pu_ledger_t *l, const backend_t *n,
                const pu_ledger_order_t *o)
 {
-  bool own = (l->breaks & PU_LEDGER_BREAK_OWN_TOKEN) != 0;
+  bool own = (l->breaks & PU_LEDGER_BREAK_OWN_TOKEN_FENCES) != 0;
   bool later = o->token < n->token || (own && o->token == n->token);
 
   return (n->fenced || own) && later && !is_loading (n, o);
@@ -128,7 +128,7 @@
 static guint32
 copy_committed_mb (const pu_ledger_t *l, const backend_t *n, guint32 copy)
 {
-  const pu_ledger_held_t *h = find_copy (n, copy);
+  const pu_ledger_copy_t *h = find_copy (n, copy);
   guint32 largest_mb = h != NULL ? h->memory_mb : 0;
 
   for (guint i = 0; i < n->orders->len; i++)
@@ -171,7 +171,7 @@
 
   for (guint i = 0; i < n->copies->len; i++)
     sum_mb += copy_committed_mb (
-        l, n, g_array_index (n->copies, pu_ledger_held_t, i).copy);
+        l, n, g_array_index (n->copies, pu_ledger_copy_t, i).copy);
   for (guint i = 0; i < n->orders->len; i++)
     {
       if (is_first_load_of_new_copy (l, n, i))
@@ -237,14 +237,14 @@
 {
   for (guint i = 0; i < n->copies->len; i++)
     {
-      pu_ledger_held_t *h = &g_array_index (n->copies, pu_ledger_held_t, i);
+      pu_ledger_copy_t *h = &g_array_index (n->copies, pu_ledger_copy_t, i);
 
       if (h->phase != PU_LEDGER_LOADING)
         h->phase = PU_LEDGER_UNLOADING;
     }
   for (guint i = 0; i < r->n_held; i++)
     {
-      pu_ledger_held_t *h = find_copy (n, r->held[i].copy);
+      pu_ledger_copy_t *h = find_copy (n, r->held[i].copy);
 
       if (h == NULL)
         {
@@ -257,7 +257,7 @@
     }
 }
 
-pu_ledger_verdict_t
+pu_ledger_report_result_t
 pu_ledger_backend_up (pu_ledger_t *l, const pu_ledger_report_t *r,
                       GArray *closed)
 {
@@ -289,7 +289,8 @@
   if (n == NULL || n->incarnation != incarnation)
     return false;
   n->down = true;
-  while ((l->breaks & PU_LEDGER_BREAK_DOWN_FREES) != 0 && n->orders->len > 0)
+  while ((l->breaks & PU_LEDGER_BREAK_DOWN_CLOSES_ORDERS) != 0
+         && n->orders->len > 0)
     close_order (l, n, 0);
   return true;
 }
@@ -307,7 +308,7 @@
 }
 
 bool
-pu_ledger_forget (pu_ledger_t *l, guint32 backend)
+pu_ledger_remove_backend (pu_ledger_t *l, guint32 backend)
 {
   backend_t *n = find_backend (l, backend);
 
@@ -350,7 +351,7 @@
 pu_ledger_reserve (pu_ledger_t *l, const pu_ledger_order_t *o, pu_error_t *e)
 {
   backend_t *n = find_backend (l, o->backend);
-  bool check_memory = (l->breaks & PU_LEDGER_BREAK_NO_CHECK) == 0;
+  bool check_memory = (l->breaks & PU_LEDGER_BREAK_NO_MEMORY_CHECK) == 0;
 
   if (o->token == 0)
     return pu_error_set (e, PU_ERROR_INVALID, "an order needs a token");
@@ -422,8 +423,8 @@
 }
 
 bool
-pu_ledger_backend (const pu_ledger_t *l, guint32 backend,
-                   pu_ledger_report_t *r, bool *down)
+pu_ledger_get_backend (const pu_ledger_t *l, guint32 backend,
+                       pu_ledger_report_t *r, bool *down)
 {
   const backend_t *n = find_backend (l, backend);
 
@@ -437,7 +438,7 @@
   r->memory_mb = n->memory_mb;
   r->fenced = n->fenced;
   r->leaving = n->leaving;
-  r->held = (const pu_ledger_held_t *)(void *)n->copies->data;
+  r->held = (const pu_ledger_copy_t *)(void *)n->copies->data;
   r->n_held = n->copies->len;
   if (down != NULL)
     *down = n->down;
@@ -445,7 +446,7 @@
 }
 
 guint64
-pu_ledger_committed (const pu_ledger_t *l, guint32 backend)
+pu_ledger_committed_mb (const pu_ledger_t *l, guint32 backend)
 {
   const backend_t *n = find_backend (l, backend);
 
--- a/libplantainusher/placement/ledger.h
+++ b/libplantainusher/placement/ledger.h
@@ -22,18 +22,15 @@
  *
  * How the state machine uses it:
  *   BACKEND_UP      pu_ledger_backend_up; on PU_LEDGER_MERGED the backend
- *                   record keeps the result of pu_ledger_backend instead of
- *                   the report; the order records whose tokens are returned
- *                   in CLOSED are deleted.
- *   BACKEND_DOWN    pu_ledger_backend_down.  The record is kept and marked as
- *                   down: the process may be alive on the other side of a
- *                   partition, and its known state must be in the next
- *                   snapshot.
- *   RESERVE         pu_ledger_reserve with the log position as the token; a
- *                   refusal is answered with PU_OUTCOME_CONFLICT.
- *   RELEASE         pu_ledger_release; when it returns false the record is
- *                   kept and the answer is PU_OUTCOME_REFUSED.
- *   image -> state  pu_ledger_restore_backend for each backend record, then
+ *                   record keeps the result of pu_ledger_get_backend instead
+ * of the report; the order records whose tokens are returned in CLOSED are
+ * deleted. BACKEND_DOWN    pu_ledger_backend_down.  The record is kept and
+ * marked as down: the process may be alive on the other side of a partition,
+ * and its known state must be in the next snapshot. RESERVE pu_ledger_reserve
+ * with the log position as the token; a refusal is answered with
+ * PU_OUTCOME_CONFLICT. RELEASE         pu_ledger_release; when it returns
+ * false the record is kept and the answer is PU_OUTCOME_REFUSED. image ->
+ * state  pu_ledger_restore_backend for each backend record, then
  *                   pu_ledger_restore_order for each order record.
  * Handles are small integers assigned by the state machine: one for each name
  * of a backend server, one for each pair of model and version.
@@ -84,7 +81,7 @@
   guint32 copy;
   guint32 memory_mb; /* on each accelerator */
   pu_ledger_phase_t phase;
-} pu_ledger_held_t;
+} pu_ledger_copy_t;
 
 /* A report of a backend server; it always lists all copies.  */
 typedef struct
@@ -98,7 +95,7 @@
   guint32 memory_mb; /* memory of each accelerator */
   bool fenced;       /* checks tokens: refuses an order with an old one */
   bool leaving;
-  const pu_ledger_held_t *held;
+  const pu_ledger_copy_t *held;
   guint n_held;
 } pu_ledger_report_t;
 
@@ -120,16 +117,18 @@
   PU_LEDGER_MERGED,   /* the report has a lower token than an earlier one:
                          only its additions were taken */
   PU_LEDGER_STALE     /* an old incarnation or an old report; ignored */
-} pu_ledger_verdict_t;
+} pu_ledger_report_result_t;
 
 /* Faults that tests inject to show that their checks can fail.  */
 typedef enum
 {
   PU_LEDGER_BREAK_NONE = 0,
-  PU_LEDGER_BREAK_NO_CHECK = 1,  /* reserve without a check of the memory */
-  PU_LEDGER_BREAK_OWN_TOKEN = 2, /* an order's own token fences it off */
-  PU_LEDGER_BREAK_DOWN_FREES = 4 /* a backend server that is down has its
-                                    orders closed */
+  PU_LEDGER_BREAK_NO_MEMORY_CHECK
+  = 1, /* reserve without a check of the memory */
+  PU_LEDGER_BREAK_OWN_TOKEN_FENCES
+  = 2, /* an order's own token fences it off */
+  PU_LEDGER_BREAK_DOWN_CLOSES_ORDERS = 4 /* a backend server that is down has
+                                    its orders closed */
 } pu_ledger_break_t;
 
 typedef struct
@@ -144,9 +143,9 @@
 /* pu_ledger_backend_up - applies the report R and closes the unload orders
    that it fences off.  Their tokens (guint64) are appended to CLOSED, which
    may be NULL.  */
-pu_ledger_verdict_t pu_ledger_backend_up (pu_ledger_t *l,
-                                          const pu_ledger_report_t *r,
-                                          GArray *closed);
+pu_ledger_report_result_t pu_ledger_backend_up (pu_ledger_t *l,
+                                                const pu_ledger_report_t *r,
+                                                GArray *closed);
 
 /* pu_ledger_backend_down - the lease of BACKEND has expired.  Reservations for
    it are refused until its next report; its memory and open orders stay
@@ -159,9 +158,9 @@
 bool pu_ledger_backend_leaving (pu_ledger_t *l, guint32 backend,
                                 guint64 incarnation);
 
-/* pu_ledger_forget - removes BACKEND, whose name will not be used again. False
-   when it is unknown, not down or has open orders.  */
-bool pu_ledger_forget (pu_ledger_t *l, guint32 backend);
+/* pu_ledger_remove_backend - removes BACKEND, whose name will not be used
+   again. False when it is unknown, not down or has open orders.  */
+bool pu_ledger_remove_backend (pu_ledger_t *l, guint32 backend);
 
 /* pu_ledger_reserve - opens the order O and counts its memory.  No effect when
    an order with its token is open.  Errors: PU_ERROR_NOT_FOUND (the backend
@@ -184,15 +183,15 @@
                                 bool down);
 void pu_ledger_restore_order (pu_ledger_t *l, const pu_ledger_order_t *o);
 
-/* pu_ledger_backend - sets R to the known state of BACKEND and DOWN, which may
-   be NULL, to whether it is down.  R->held is valid until the next change of
-   the ledger.  False when BACKEND is unknown.  */
-bool pu_ledger_backend (const pu_ledger_t *l, guint32 backend,
-                        pu_ledger_report_t *r, bool *down);
+/* pu_ledger_get_backend - sets R to the known state of BACKEND and DOWN, which
+   may be NULL, to whether it is down.  R->held is valid until the next change
+   of the ledger.  False when BACKEND is unknown.  */
+bool pu_ledger_get_backend (const pu_ledger_t *l, guint32 backend,
+                            pu_ledger_report_t *r, bool *down);
 
-/* pu_ledger_committed - MB counted on each accelerator of BACKEND; 0 when it
-   is unknown.  */
-guint64 pu_ledger_committed (const pu_ledger_t *l, guint32 backend);
+/* pu_ledger_committed_mb - MB counted on each accelerator of BACKEND; 0 when
+   it is unknown.  */
+guint64 pu_ledger_committed_mb (const pu_ledger_t *l, guint32 backend);
 
 /* pu_ledger_free_mb - MB that a new copy may take on each accelerator; 0 when
    BACKEND is unknown, down, leaving or overcommitted.  */
--- a/libplantainusher/placement/planner.h
+++ b/libplantainusher/placement/planner.h
@@ -88,13 +88,13 @@
   PU_REASON_VERSION,     /* the declared version differs */
   PU_REASON_ROLL_BACK,   /* the new version failed */
   PU_REASON_UNDECLARED,
-  PU_REASON_MAXIMUM, /* more copies than declared */
-  PU_REASON_DEMAND,  /* the forecast gain exceeds the price */
-  PU_REASON_SPARE,   /* extra copy in free memory, for a burst or the loss of
-                        another copy */
-  PU_REASON_ROOM,    /* unloaded, or loaded elsewhere, to free memory for
-                        another item */
-  PU_REASON_FOUND    /* present when the planner started */
+  PU_REASON_MAXIMUM,   /* more copies than declared */
+  PU_REASON_DEMAND,    /* the forecast gain exceeds the price */
+  PU_REASON_SPARE,     /* extra copy in free memory, for a burst or the loss of
+                          another copy */
+  PU_REASON_MAKE_ROOM, /* unloaded, or loaded elsewhere, to free memory for
+                     another item */
+  PU_REASON_PREEXISTING /* present when the planner started */
 } pu_plan_reason_t;
 
 typedef enum
@@ -111,7 +111,7 @@
   guint32 version;
   guint32 memory_mb;
   pu_plan_reason_t reason;
-  guint32 for_item; /* PU_REASON_ROOM: the item that needs the memory */
+  guint32 for_item; /* PU_REASON_MAKE_ROOM: the item that needs the memory */
   double gain;      /* late stream-seconds saved over the pay-back time */
   double price;     /* late stream-seconds */
 } pu_move_t;
@@ -133,14 +133,14 @@
                           one is unloaded */
   guint max_failures;  /* failed loads until the item is held back on all
                           engines and a new version is rolled back */
-  guint advance_ms;    /* period at which the forecast takes in demand */
-  guint max_coming;    /* loads from the store in flight: as many as it serves
-                          at full speed */
-  double hot;          /* utilization above which an engine's items are
-                          candidates for another copy */
-  bool zone_spread;    /* prefer zones without a copy of the item */
-  bool one_load;       /* an engine runs one load at a time: no load is
-                          ordered on an engine that is still loading */
+  guint forecast_period_ms; /* period at which the forecast takes in demand */
+  guint max_concurrent_loads; /* loads from the store in flight: as many as it
+                       serves at full speed */
+  double hot;                 /* utilization above which an engine's items are
+                                 candidates for another copy */
+  bool zone_spread;           /* prefer zones without a copy of the item */
+  bool serial_loads;          /* an engine runs one load at a time: no load is
+                             ordered on an engine that is still loading */
   pu_forecast_options_t forecast;
   guint test_breaks; /* pu_planner_break_t; 0 outside tests */
 } pu_planner_options_t;
@@ -163,33 +163,35 @@
 void pu_planner_set_engine (pu_planner_t *p, guint32 engine,
                             const pu_plan_engine_t *e, guint64 now);
 
-/* pu_planner_set_quick - sets whether the weights of ITEM are cached for
+/* pu_planner_set_cached - sets whether the weights of ITEM are cached for
    ENGINE (CACHED), on its disk or in its host's memory, so that a load does
    not use the weights store.  May be called before pu_planner_set_engine;
    holds until the next call for the same engine and item.  */
-void pu_planner_set_quick (pu_planner_t *p, guint32 engine, guint32 item,
-                           bool cached);
+void pu_planner_set_cached (pu_planner_t *p, guint32 engine, guint32 item,
+                            bool cached);
 
-/* pu_planner_set_store - limits to N the loads from the weights store that are
-   ordered until the next call.  They go to the items that need them most, and
-   no load is ordered only to queue at the store.  Without this call only
-   max_coming limits loads.  */
-void pu_planner_set_store (pu_planner_t *p, guint n);
+/* pu_planner_set_load_slots - limits to N the loads from the weights store
+   that are ordered until the next call.  They go to the items that need them
+   most, and no load is ordered only to queue at the store.  Without this call
+   only max_concurrent_loads limits loads.  */
+void pu_planner_set_load_slots (pu_planner_t *p, guint n);
 
 /* pu_planner_set_item - declares ITEM; with I NULL, removes its declaration.
  */
 void pu_planner_set_item (pu_planner_t *p, guint32 item,
                           const pu_plan_item_t *i);
 
-/* pu_planner_set_least - sets the minimum of copies of ITEM to MIN_COPIES, or
-   to its maximum if that is lower, until the item is declared again.  */
-void pu_planner_set_least (pu_planner_t *p, guint32 item, guint32 min_copies);
+/* pu_planner_set_min_copies - sets the minimum of copies of ITEM to
+   MIN_COPIES, or to its maximum if that is lower, until the item is declared
+   again.  */
+void pu_planner_set_min_copies (pu_planner_t *p, guint32 item,
+                                guint32 min_copies);
 
-/* pu_planner_demand - adds REQUESTS for ITEM that arrived since the last call.
-   STREAM_MS is the time that they need in total on engines that are not
+/* pu_planner_add_demand - adds REQUESTS for ITEM that arrived since the last
+   call. STREAM_MS is the time that they need in total on engines that are not
    overloaded.  */
-void pu_planner_demand (pu_planner_t *p, guint32 item, guint32 requests,
-                        double stream_ms);
+void pu_planner_add_demand (pu_planner_t *p, guint32 item, guint32 requests,
+                            double stream_ms);
 
 /* pu_planner_load_failed - records that a load of VERSION of ITEM on ENGINE
    failed, or that a ready copy was lost while the engine kept running.  ENGINE
@@ -209,20 +211,21 @@
    with pu_planner_set_engine.  */
 void pu_planner_step (pu_planner_t *p, guint64 now, GArray *moves);
 
-/* pu_planner_full - appends all moves up to a stable placement, without the
-   store's limits.  P is not changed.  */
-void pu_planner_full (const pu_planner_t *p, guint64 now, GArray *moves);
+/* pu_planner_plan_until_stable - appends all moves up to a stable placement,
+   without the store's limits.  P is not changed.  */
+void pu_planner_plan_until_stable (const pu_planner_t *p, guint64 now,
+                                   GArray *moves);
 
-/* pu_planner_what_if - like pu_planner_full, with the N declarations ITEMS in
-   place of those of P.  ITEMS[i] replaces item i; NULL, and any item from N
-   on, is undeclared.  */
+/* pu_planner_what_if - like pu_planner_plan_until_stable, with the N
+   declarations ITEMS in place of those of P.  ITEMS[i] replaces item i; NULL,
+   and any item from N on, is undeclared.  */
 void pu_planner_what_if (const pu_planner_t *p,
                          const pu_plan_item_t *const *items, guint n,
                          guint64 now, GArray *moves);
 
-/* pu_planner_ready - returns the number of ready copies of ITEM on usable
-   engines.  */
-guint pu_planner_ready (const pu_planner_t *p, guint32 item);
+/* pu_planner_ready_copies - returns the number of ready copies of ITEM on
+   usable engines.  */
+guint pu_planner_ready_copies (const pu_planner_t *p, guint32 item);
 
 /* Availability of an item to its callers.  */
 typedef enum
@@ -241,9 +244,10 @@
                                        guint64 now);
 const char *pu_item_state_name (pu_item_state_t s);
 
-/* pu_planner_wants - returns whether VERSION is the version that ITEM should
-   have and no copy of ITEM is ready.  */
-bool pu_planner_wants (const pu_planner_t *p, guint32 item, guint32 version);
+/* pu_planner_needs_version - returns whether VERSION is the version that ITEM
+   should have and no copy of ITEM is ready.  */
+bool pu_planner_needs_version (const pu_planner_t *p, guint32 item,
+                               guint32 version);
 
 /* pu_planner_may_unload - returns whether the copy of VERSION of ITEM on
    ENGINE may be unloaded: the copy is not ready, another copy is, or the item
@@ -265,7 +269,7 @@
                               GString *out);
 
 /* pu_planner_copy_reason - returns why VERSION of ITEM was loaded on ENGINE;
-   PU_REASON_FOUND when the reason is not known.  */
+   PU_REASON_PREEXISTING when the reason is not known.  */
 pu_plan_reason_t pu_planner_copy_reason (const pu_planner_t *p, guint32 engine,
                                          guint32 item, guint32 version);
 
--- a/libplantainusher/placement/planner_choose.c
+++ b/libplantainusher/placement/planner_choose.c
@@ -20,7 +20,7 @@
 #define MS_PER_S 1000
 
 guint32
-pu_planned_free (const pu_planned_engine_t *e)
+pu_planned_free_mb (const pu_planned_engine_t *e)
 {
   return e->committed_mb < e->memory_mb ? e->memory_mb - e->committed_mb : 0;
 }
@@ -28,7 +28,7 @@
 guint32
 pu_planned_usable_mb (const pu_planned_engine_t *e, const pu_planned_item_t *t)
 {
-  guint32 free = pu_planned_free (e);
+  guint32 free = pu_planned_free_mb (e);
   bool waits = t->i.base != PU_PLAN_NONE && t->ready == 0;
 
   if (waits)
@@ -41,7 +41,7 @@
 {
   guint32 need = t->i.memory_mb;
 
-  for (guint i = 0; !p->lean && i < t->adapters->len; i++)
+  for (guint i = 0; !p->ignore_adapters && i < t->adapters->len; i++)
     {
       guint32 a = g_array_index (t->adapters, guint32, i);
 
@@ -59,7 +59,7 @@
   memset (p->zone_copies, 0, p->n_zones * sizeof *p->zone_copies);
   for (guint i = 0; i < t->places->len; i++)
     {
-      pu_place_t at = pu_item_place (t, i);
+      pu_copy_location_t at = pu_item_location (t, i);
       const pu_planned_engine_t *e = pu_planned_engine (p, at.engine);
       const pu_planned_copy_t *c = pu_planned_copy (e, at.slot);
 
@@ -101,11 +101,11 @@
 {
   const pu_planned_engine_t *e = pu_planned_engine (p, engine);
 
-  if (!e->usable || e->closed || e->promised || need > e->memory_mb
+  if (!e->usable || e->closed || e->deferred || need > e->memory_mb
       || e->accelerators < t->i.accelerators
       || p->holder_stamp[engine] == p->item_stamp)
     return false;
-  if (p->quick_only && !pu_planned_is_cached (e, item))
+  if (p->cached_only && !pu_planned_is_cached (e, item))
     return false;
   if (e->blocks->len > 0 && blocked (e, item))
     return false;
@@ -130,7 +130,7 @@
 
   for (guint i = 0; i < t->places->len; i++)
     {
-      pu_place_t at = pu_item_place (t, i);
+      pu_copy_location_t at = pu_item_location (t, i);
       const pu_planned_engine_t *e = pu_planned_engine (p, at.engine);
 
       if (pu_planned_copy (e, at.slot)->c.phase == PU_PLAN_READY)
@@ -149,7 +149,7 @@
   const pu_planned_item_t *t = pu_planned_item (p, c->c.item);
   const pu_planned_item_t *wants
       = item != PU_PLAN_NONE ? pu_planned_item (p, item) : NULL;
-  guint keep = evict == PU_ROOM_MINIMUM ? 1 : MAX (1, t->i.min_copies);
+  guint keep = evict == PU_EVICT_TO_LAST ? 1 : MAX (1, t->i.min_copies);
 
   if (c->c.phase != PU_PLAN_READY)
     return false;
@@ -157,7 +157,8 @@
     return false;
   if (!t->declared)
     return true;
-  if (evict == PU_ROOM_SPARE && t->coming > 0 && needs_pending_loads (p, t))
+  if (evict == PU_EVICT_ABOVE_MINIMUM && t->coming > 0
+      && needs_pending_loads (p, t))
     return false;
   if (c->c.item == item && c->c.version == pu_planned_version (t))
     return false;
@@ -227,7 +228,7 @@
       if (has_slot (v->slots, s))
         continue;
       g_array_append_val (v->slots, s);
-      v->young += is_below_min_stay (p, c, now);
+      v->n_young += is_below_min_stay (p, c, now);
       memory_mb += c->c.memory_mb;
       pu_planned_item (p, c->c.item)->ready--;
     }
@@ -246,11 +247,11 @@
   *mb = 0;
   for (guint i = 0; i < slots->len; i++)
     {
-      pu_place_t at = { engine, g_array_index (slots, guint, i) };
+      pu_copy_location_t at = { engine, g_array_index (slots, guint, i) };
       const pu_planned_copy_t *c = pu_planned_copy (e, at.slot);
 
       *mb += c->c.memory_mb;
-      if (evict == PU_ROOM_MINIMUM)
+      if (evict == PU_EVICT_TO_LAST)
         loss += DRAIN_LOSS * c->share;
       if (pu_planned_item (p, c->c.item)->declared)
         {
@@ -302,9 +303,9 @@
   GArray *best;
 
   v->loss = 0;
-  v->young = 0;
+  v->n_young = 0;
   g_array_set_size (v->slots, 0);
-  if (have >= need || evict == PU_ROOM_NONE)
+  if (have >= need || evict == PU_EVICT_NONE)
     return have >= need;
 
   best = g_array_new (FALSE, FALSE, sizeof (guint));
@@ -386,12 +387,13 @@
 static bool
 is_busy_loading (const pu_planner_t *p, const pu_planned_engine_t *e)
 {
-  return p->o.one_load && e->models_loading > 0;
+  return p->o.serial_loads && e->models_loading > 0;
 }
 
 /* Returns the engine with the lowest score that has NEED MB free, or
    PU_PLAN_NONE, and sets BEST_SCORE to its score.  Engines without the memory
-   go to FULL.  Sets p->waits_turn when one has the memory but is loading.  */
+   go to FULL.  Sets p->only_loading_engines_fit when one has the memory but is
+   loading.  */
 static guint32
 find_free (pu_planner_t *p, guint32 item, guint32 need, double *best_score,
            ranked_t *full)
@@ -416,7 +418,7 @@
         continue;
       if (is_busy_loading (p, e))
         {
-          p->waits_turn = p->waits_turn || free;
+          p->only_loading_engines_fit = p->only_loading_engines_fit || free;
           continue;
         }
       if (!free)
@@ -440,7 +442,8 @@
 static bool
 waits_for_loading_engine (const pu_planner_t *p, guint32 item)
 {
-  return p->waits_turn && !pu_planned_asked (pu_planned_item (p, item));
+  return p->only_loading_engines_fit
+         && !pu_planned_in_demand (pu_planned_item (p, item));
 }
 
 guint32
@@ -448,25 +451,26 @@
                    pu_eviction_t evict, guint64 now, pu_victims_t *v)
 {
   /* All engines are candidates when the item has no other way to be loaded. */
-  guint tries = evict == PU_ROOM_MINIMUM ? p->engines->len : EVICTION_TRIES;
+  guint tries = evict == PU_EVICT_TO_LAST ? p->engines->len : EVICTION_TRIES;
   guint32 engines[tries + 1];
   double scores[tries + 1];
-  ranked_t full = { engines, scores, 0, evict == PU_ROOM_NONE ? 0 : tries };
+  ranked_t full = { engines, scores, 0, evict == PU_EVICT_NONE ? 0 : tries };
   guint32 need = pu_planned_need_mb (p, pu_planned_item (p, item));
   double least = 0;
   guint32 best;
 
   pu_planner_mark_item (p, item, version);
   v->loss = 0;
-  v->young = 0;
+  v->n_young = 0;
   g_array_set_size (v->slots, 0);
-  p->waits_turn = false;
+  p->only_loading_engines_fit = false;
   best = find_free (p, item, need, &least, &full);
-  p->waits_turn = p->waits_turn && best == PU_PLAN_NONE;
+  p->only_loading_engines_fit
+      = p->only_loading_engines_fit && best == PU_PLAN_NONE;
   if (waits_for_loading_engine (p, item))
     return PU_PLAN_NONE;
   if (best != PU_PLAN_NONE
-      && (evict == PU_ROOM_MINIMUM || !is_crowded (p, best)))
+      && (evict == PU_EVICT_TO_LAST || !is_crowded (p, best)))
     return best;
 
   for (guint i = 0; i < full.n; i++)
@@ -482,7 +486,7 @@
     }
   if (best != PU_PLAN_NONE)
     {
-      p->waits_turn = false;
+      p->only_loading_engines_fit = false;
       pu_planner_victims (p, best, item, evict, now, v);
     }
   return best;
--- a/libplantainusher/placement/planner_internal.h
+++ b/libplantainusher/placement/planner_internal.h
@@ -23,11 +23,11 @@
   pu_plan_copy_t c;
   pu_plan_reason_t reason;
   guint64 since;    /* when it entered its phase */
-  guint32 for_item; /* PU_REASON_ROOM: the item that needs the memory */
+  guint32 for_item; /* PU_REASON_MAKE_ROOM: the item that needs the memory */
   double gain;      /* of the move that loaded it */
   double price;
   double share;  /* streams of its item's demand assigned to it */
-  bool promised; /* not ordered yet: waits for memory or the store */
+  bool deferred; /* not ordered yet: waits for memory or the store */
 } pu_planned_copy_t;
 
 /* Excludes loads of ITEM on an engine before UNTIL.  */
@@ -55,16 +55,16 @@
   guint models_loading; /* loads of models in flight; adapters not counted */
   double load;          /* expected demand, streams */
   double weighted_load; /* expected demand times importance, streams */
-  bool promised; /* a load is deferred until memory or the store is free */
-  pu_planned_copy_t promise;
-  guint64 promise_until;
+  bool deferred; /* a load is deferred until memory or the store is free */
+  pu_planned_copy_t deferred_load;
+  guint64 deferred_until;
 } pu_planned_engine_t;
 
 typedef struct
 {
   guint32 engine;
   guint slot; /* in the engine's copies */
-} pu_place_t;
+} pu_copy_location_t;
 
 typedef struct
 {
@@ -74,23 +74,24 @@
   guint failures;
   guint64 new_ready_since; /* when the new version became ready beside an
                               older one; 0: not yet */
-  guint64 lost_since;  /* when it was found without a ready copy; 0: has one */
-  guint64 not_before;  /* no load earlier: backoff after a failure, or after
-                          no engine had memory */
-  guint64 spare_after; /* no spare copy earlier: backoff after no engine was
-                          found for one */
-  guint32 opens_engine; /* engine whose last copies are moved away for it */
-  guint64 opens_until;  /* deadline of that; 0: none in progress */
-  bool no_room;         /* the last attempt found no engine */
+  guint64 lost_since; /* when it was found without a ready copy; 0: has one */
+  guint64 not_before; /* no load earlier: backoff after a failure, or after
+                         no engine had memory */
+  guint64 spare_not_before; /* no spare copy earlier: backoff after no engine
+                          was found for one */
+  guint32
+      evacuated_engine;    /* engine whose last copies are moved away for it */
+  guint64 evacuated_until; /* deadline of that; 0: none in progress */
+  bool no_room;            /* the last attempt found no engine */
   pu_forecast_t forecast;
-  GArray *places;   /* of pu_place_t: copies on usable engines */
+  GArray *places;   /* of pu_copy_location_t: copies on usable engines */
   GArray *adapters; /* of guint32: the items whose base it is */
   guint ready;
-  guint coming;        /* ordered, loading or deferred */
-  guint slow;          /* of them, deferred for long with memory still not
-                          free, while ready is 0 */
-  guint copies_before; /* ready when a version change began, at least 1; 0: no
-                          change in progress */
+  guint coming; /* ordered, loading or deferred */
+  guint slow;   /* of them, deferred for long with memory still not
+                   free, while ready is 0 */
+  guint copies_before_change; /* ready when a version change began, at least 1;
+                          0: no change in progress */
 } pu_planned_item_t;
 
 struct pu_planner
@@ -99,17 +100,17 @@
   GArray *engines; /* of pu_planned_engine_t */
   GArray *items;   /* of pu_planned_item_t */
   guint64 last_forecast_ms;
-  pu_forecast_common_t common;
+  pu_forecast_request_stats_t common;
   guint coming;     /* loads from the store in flight, all items */
   guint load_slots; /* loads from the store that may still be ordered */
-  bool grew;        /* the last turn at the store went to demand, not to items
-                       without demand */
-  bool any_quick;   /* weights were cached on some engine so far */
-  bool quick_only;  /* the store accepts no load: only cached weights */
-  bool waits_turn;  /* the last pu_planner_choose found free memory only on
-                       engines that are loading */
-  guint promised;   /* deferred loads, all items */
-  bool lean;        /* the memory need of a base leaves out its adapters */
+  bool last_turn_was_growth; /* the last turn at the store went to demand, not
+                to items without demand */
+  bool any_cached;           /* weights were cached on some engine so far */
+  bool cached_only; /* the store accepts no load: only cached weights */
+  bool only_loading_engines_fit; /* the last pu_planner_choose found free
+                      memory only on engines that are loading */
+  guint deferred;                /* deferred loads, all items */
+  bool ignore_adapters; /* the memory need of a base leaves out its adapters */
   guint32 *holder_stamp; /* by engine: equals item_stamp if the engine holds
                             the marked item */
   double *scratch_load;  /* scratch by copy: engine load without the item */
@@ -139,10 +140,10 @@
   return &g_array_index (e->copies, pu_planned_copy_t, slot);
 }
 
-static inline pu_place_t
-pu_item_place (const pu_planned_item_t *t, guint i)
+static inline pu_copy_location_t
+pu_item_location (const pu_planned_item_t *t, guint i)
 {
-  return g_array_index (t->places, pu_place_t, i);
+  return g_array_index (t->places, pu_copy_location_t, i);
 }
 
 static inline bool
@@ -158,7 +159,7 @@
 
 /* Whether there is demand for T.  */
 static inline bool
-pu_planned_asked (const pu_planned_item_t *t)
+pu_planned_in_demand (const pu_planned_item_t *t)
 {
   return t->forecast.expected > PU_DEMAND_MIN_STREAMS;
 }
@@ -180,8 +181,8 @@
    its copies, so that the utilization of their engines is level.  */
 void pu_planner_spread_demand (pu_planner_t *p);
 
-/* pu_planner_spread_item - does the same for ITEM alone.  */
-void pu_planner_spread_item (pu_planner_t *p, guint32 item);
+/* pu_planner_spread_item_demand - does the same for ITEM alone.  */
+void pu_planner_spread_item_demand (pu_planner_t *p, guint32 item);
 
 /* pu_planner_gain - returns the late streams that one more copy of ITEM on
    ENGINE would save.  The demand of an adapter that has as many copies as its
@@ -193,22 +194,22 @@
    held demand.  WITH_BASE: ITEM is an adapter that is removed along with its
    base, whose loss already includes its demand.  */
 double pu_planner_eviction_loss (pu_planner_t *p, guint32 item,
-                                 pu_place_t place, bool with_base);
+                                 pu_copy_location_t place, bool with_base);
 
 /* Copies on one engine to evict.  */
 typedef struct
 {
   GArray *slots; /* of guint */
   double loss;   /* late streams */
-  guint young;   /* victims below their minimum stay */
+  guint n_young; /* victims below their minimum stay */
 } pu_victims_t;
 
 /* Which copies a load may evict.  */
 typedef enum
 {
-  PU_ROOM_NONE,   /* none: only free memory is used */
-  PU_ROOM_SPARE,  /* copies above their item's minimum */
-  PU_ROOM_MINIMUM /* all but the last ready copy of an item */
+  PU_EVICT_NONE,          /* none: only free memory is used */
+  PU_EVICT_ABOVE_MINIMUM, /* copies above their item's minimum */
+  PU_EVICT_TO_LAST        /* all but the last ready copy of an item */
 } pu_eviction_t;
 
 /* pu_planner_choose - returns the engine for a copy of VERSION of ITEM, or
@@ -244,7 +245,7 @@
 guint32 pu_planned_need_mb (const pu_planner_t *p, const pu_planned_item_t *t);
 
 /* Returns the free memory of E, in MB.  */
-guint32 pu_planned_free (const pu_planned_engine_t *e);
+guint32 pu_planned_free_mb (const pu_planned_engine_t *e);
 
 /* Returns the free memory of E that a new copy of T may use, in MB.  Memory
    reserved for adapters counts only for an adapter without a ready copy.  */
--- a/libplantainusher/placement/planner_load.c
+++ b/libplantainusher/placement/planner_load.c
@@ -43,7 +43,7 @@
 clear_counts (pu_planner_t *p)
 {
   p->coming = 0;
-  p->promised = 0;
+  p->deferred = 0;
   for (guint i = 0; i < p->items->len; i++)
     {
       pu_planned_item_t *t = pu_planned_item (p, i);
@@ -62,11 +62,11 @@
 {
   for (guint s = e->copies->len; s-- > 0;)
     {
-      if (pu_planned_copy (e, s)->promised)
+      if (pu_planned_copy (e, s)->deferred)
         g_array_remove_index (e->copies, s);
     }
-  if (e->promised)
-    g_array_append_val (e->copies, e->promise);
+  if (e->deferred)
+    g_array_append_val (e->copies, e->deferred_load);
 }
 
 static void
@@ -83,7 +83,7 @@
     {
       pu_planned_copy_t *c = pu_planned_copy (e, s);
       pu_planned_item_t *t = pu_planned_item (p, c->c.item);
-      pu_place_t place = { engine, s };
+      pu_copy_location_t place = { engine, s };
 
       c->share = 0;
       g_array_append_val (t->places, place);
@@ -91,9 +91,9 @@
       if (c->c.phase > PU_PLAN_LOADING)
         continue;
       t->coming++;
-      e->models_loading += !c->promised && t->i.base == PU_PLAN_NONE;
-      p->coming += !c->promised && !pu_planned_is_cached (e, c->c.item);
-      p->promised += c->promised;
+      e->models_loading += !c->deferred && t->i.base == PU_PLAN_NONE;
+      p->coming += !c->deferred && !pu_planned_is_cached (e, c->c.item);
+      p->deferred += c->deferred;
     }
 }
 
@@ -132,7 +132,7 @@
       if (t->adapters->len == 0)
         continue;
       for (guint k = 0; k < t->places->len; k++)
-        pu_planner_reserve_for_adapters (p, pu_item_place (t, k).engine, i);
+        pu_planner_reserve_for_adapters (p, pu_item_location (t, k).engine, i);
     }
 }
 
@@ -199,7 +199,7 @@
 }
 
 void
-pu_planner_spread_item (pu_planner_t *p, guint32 item)
+pu_planner_spread_item_demand (pu_planner_t *p, guint32 item)
 {
   pu_planned_item_t *t = pu_planned_item (p, item);
   double capacity[t->places->len + 1];
@@ -208,7 +208,7 @@
   reserve_scratch (p, t->places->len + 1);
   for (guint i = 0; i < t->places->len; i++)
     {
-      pu_place_t at = pu_item_place (t, i);
+      pu_copy_location_t at = pu_item_location (t, i);
       pu_planned_engine_t *e = pu_planned_engine (p, at.engine);
       pu_planned_copy_t *c = pu_planned_copy (e, at.slot);
 
@@ -227,7 +227,7 @@
   n = 0;
   for (guint i = 0; i < t->places->len; i++)
     {
-      pu_place_t at = pu_item_place (t, i);
+      pu_copy_location_t at = pu_item_location (t, i);
       pu_planned_engine_t *e = pu_planned_engine (p, at.engine);
       pu_planned_copy_t *c = pu_planned_copy (e, at.slot);
 
@@ -243,7 +243,7 @@
 pu_planner_spread_demand (pu_planner_t *p)
 {
   for (guint i = 0; i < p->items->len; i++)
-    pu_planner_spread_item (p, i);
+    pu_planner_spread_item_demand (p, i);
 }
 
 /* Returns the late streams on an engine with LOAD of CAPACITY, weighted by
@@ -296,7 +296,7 @@
 {
   for (guint i = 0; i < n; i++)
     {
-      if (pu_item_place (t, i).engine == engine)
+      if (pu_item_location (t, i).engine == engine)
         return true;
     }
   return false;
@@ -308,7 +308,7 @@
 is_leaving (const pu_planned_item_t *t, guint i, const pu_planned_engine_t *e)
 {
   return i < t->places->len
-         && !takes_demand (pu_planned_copy (e, pu_item_place (t, i).slot));
+         && !takes_demand (pu_planned_copy (e, pu_item_location (t, i).slot));
 }
 
 /* Returns the increase in late streams when the demand for ITEM is distributed
@@ -332,7 +332,7 @@
   for (guint i = 0; i <= t->places->len; i++)
     {
       guint32 engine
-          = i < t->places->len ? pu_item_place (t, i).engine : extra;
+          = i < t->places->len ? pu_item_location (t, i).engine : extra;
       pu_planned_engine_t *e;
       double mine;
 
@@ -378,8 +378,8 @@
 }
 
 double
-pu_planner_eviction_loss (pu_planner_t *p, guint32 item, pu_place_t place,
-                          bool with_base)
+pu_planner_eviction_loss (pu_planner_t *p, guint32 item,
+                          pu_copy_location_t place, bool with_base)
 {
   pu_planned_item_t *t = pu_planned_item (p, item);
   const pu_forecast_t *f = &t->forecast;
--- a/libplantainusher/placement/planner_repair.c
+++ b/libplantainusher/placement/planner_repair.c
@@ -19,7 +19,7 @@
 {
   guint s = e->copies->len - 1;
 
-  while (!pu_planned_copy (e, s)->promised)
+  while (!pu_planned_copy (e, s)->deferred)
     s--;
   return s;
 }
@@ -29,11 +29,11 @@
 {
   pu_planned_copy_t *c = pu_planned_copy (e, pending_slot (e));
 
-  e->promised = false;
-  r->p->promised--;
+  e->deferred = false;
+  r->p->deferred--;
   pu_planned_item (r->p, c->c.item)->coming--;
   c->c.phase = PU_PLAN_LEAVING;
-  pu_planner_spread_item (r->p, c->c.item);
+  pu_planner_spread_item_demand (r->p, c->c.item);
 }
 
 /* Cancels all pending loads of the unreachable ITEM.  */
@@ -44,7 +44,7 @@
     {
       pu_planned_engine_t *e = pu_planned_engine (r->p, i);
 
-      if (e->promised && e->usable && e->promise.c.item == item)
+      if (e->deferred && e->usable && e->deferred_load.c.item == item)
         cancel_pending (r, e);
     }
 }
@@ -56,9 +56,9 @@
   pu_planned_engine_t *e = pu_planned_engine (r->p, engine);
   pu_planned_copy_t *c = pu_planned_copy (e, pending_slot (e));
 
-  e->promised = false;
-  c->promised = false;
-  r->p->promised--;
+  e->deferred = false;
+  c->deferred = false;
+  r->p->deferred--;
   pu_round_emit_load (r, engine, c);
   if (pu_planned_item (r->p, c->c.item)->slow > 0)
     cancel_item_pending (r, c->c.item);
@@ -67,10 +67,10 @@
 static bool
 pending_is_valid (const pu_round_t *r, const pu_planned_engine_t *e)
 {
-  const pu_planned_item_t *t = pu_planned_item (r->p, e->promise.c.item);
+  const pu_planned_item_t *t = pu_planned_item (r->p, e->deferred_load.c.item);
 
-  return t->declared && pu_planned_version (t) == e->promise.c.version
-         && r->now < e->promise_until;
+  return t->declared && pu_planned_version (t) == e->deferred_load.c.version
+         && r->now < e->deferred_until;
 }
 
 /* An item that needs a load, or the pending load on ENGINE.  */
@@ -94,9 +94,9 @@
     return x->unreachable ? -1 : 1;
   if (x->t->i.importance != y->t->i.importance)
     return x->t->i.importance > y->t->i.importance ? -1 : 1;
-  if (pu_planned_asked (x->t) != pu_planned_asked (y->t))
-    return pu_planned_asked (x->t) ? -1 : 1;
-  if (pu_planned_asked (x->t)
+  if (pu_planned_in_demand (x->t) != pu_planned_in_demand (y->t))
+    return pu_planned_in_demand (x->t) ? -1 : 1;
+  if (pu_planned_in_demand (x->t)
       && x->t->forecast.expected != y->t->forecast.expected)
     return x->t->forecast.expected > y->t->forecast.expected ? -1 : 1;
   if (x->t->i.memory_mb != y->t->i.memory_mb)
@@ -105,19 +105,19 @@
 }
 
 void
-pu_round_keep_promises (pu_round_t *r, bool idle)
+pu_round_start_deferred (pu_round_t *r, bool idle)
 {
   GArray *startable;
 
-  if (r->p->promised == 0)
+  if (r->p->deferred == 0)
     return;
   startable = g_array_new (FALSE, FALSE, sizeof (pu_repair_t));
   for (guint32 i = 0; i < r->p->engines->len; i++)
     {
       pu_planned_engine_t *e = pu_planned_engine (r->p, i);
-      pu_repair_t n = { e->promise.c.item, i, false, NULL };
+      pu_repair_t n = { e->deferred_load.c.item, i, false, NULL };
 
-      if (!e->promised || !e->usable)
+      if (!e->deferred || !e->usable)
         continue;
       if (!pending_is_valid (r, e))
         {
@@ -126,24 +126,26 @@
         }
       n.t = pu_planned_item (r->p, n.item);
       n.unreachable = n.t->ready == 0;
-      if (idle != (n.unreachable && !pu_planned_asked (n.t)))
+      if (idle != (n.unreachable && !pu_planned_in_demand (n.t)))
         continue;
-      if (pu_planned_free (e) >= e->promise.c.memory_mb)
+      if (pu_planned_free_mb (e) >= e->deferred_load.c.memory_mb)
         {
           g_array_append_val (startable, n);
         }
-      else if (n.unreachable && r->now >= e->promise.since + PENDING_SLOW_MS)
+      else if (n.unreachable
+               && r->now >= e->deferred_load.since + PENDING_SLOW_MS)
         {
           n.t->slow++;
         }
     }
   g_array_sort (startable, compare_repairs);
-  for (guint i = 0; i < startable->len && pu_round_store_takes_urgent (r); i++)
+  for (guint i = 0; i < startable->len && pu_round_may_start_urgent_load (r);
+       i++)
     {
       guint32 engine = g_array_index (startable, pu_repair_t, i).engine;
 
       /* A load of the same item, started before, may have cancelled it.  */
-      if (pu_planned_engine (r->p, engine)->promised)
+      if (pu_planned_engine (r->p, engine)->deferred)
         start_pending (r, engine);
     }
   g_array_unref (startable);
@@ -155,11 +157,11 @@
 {
   for (guint i = 0; i < t->places->len; i++)
     {
-      pu_place_t at = pu_item_place (t, i);
+      pu_copy_location_t at = pu_item_location (t, i);
       const pu_planned_copy_t *c
           = pu_planned_copy (pu_planned_engine (p, at.engine), at.slot);
 
-      if (c->c.phase <= PU_PLAN_LOADING && !c->promised)
+      if (c->c.phase <= PU_PLAN_LOADING && !c->deferred)
         return true;
     }
   return false;
@@ -182,8 +184,8 @@
   r->repairing = true;
   if (has_ordered_load (r->p, t))
     return;
-  r->lacking = r->lacking || pu_planned_asked (t);
-  r->idle_lacking = true;
+  r->missing_in_demand = r->missing_in_demand || pu_planned_in_demand (t);
+  r->missing_any = true;
 }
 
 /* Whether T needs a first copy: none is ready, and only slow pending loads are
@@ -206,7 +208,7 @@
       pu_repair_t n = { i, PU_PLAN_NONE, needs_first_copy (t), t };
 
       note_unreachable (r, t);
-      if (!pu_round_may_try (r, t) || !pu_round_base_is_ready (r, t))
+      if (!pu_round_may_place (r, t) || !pu_round_base_is_ready (r, t))
         continue;
       if (n.unreachable || t->ready + t->coming < MAX (1, t->i.min_copies))
         g_array_append_val (repairs, n);
@@ -220,15 +222,16 @@
 static bool
 may_add_pending (const pu_round_t *r)
 {
-  return pu_round_store_takes_urgent (r)
-         || r->p->promised < PENDING_PER_STORE_LOAD * r->p->o.max_coming;
+  return pu_round_may_start_urgent_load (r)
+         || r->p->deferred
+                < PENDING_PER_STORE_LOAD * r->p->o.max_concurrent_loads;
 }
 
 static bool
 may_repair (const pu_round_t *r, const pu_repair_t *n)
 {
   return n->unreachable ? may_add_pending (r)
-                        : pu_round_store_takes_urgent (r);
+                        : pu_round_may_start_urgent_load (r);
 }
 
 static void
@@ -236,9 +239,10 @@
 {
   guint before = r->loads;
 
-  if (!pu_round_try_load (r, n->item, PU_ROOM_MINIMUM, PU_REASON_UNREACHABLE)
-      && n->t->slow == 0 && !r->p->quick_only && !r->p->waits_turn)
-    pu_round_open_room (r, n->item);
+  if (!pu_round_try_load (r, n->item, PU_EVICT_TO_LAST, PU_REASON_UNREACHABLE)
+      && n->t->slow == 0 && !r->p->cached_only
+      && !r->p->only_loading_engines_fit)
+    pu_round_evacuate (r, n->item);
   if (n->t->slow > 0 && r->loads > before)
     cancel_item_pending (r, n->item);
 }
@@ -252,7 +256,8 @@
     }
   else
     {
-      pu_round_try_load (r, n->item, PU_ROOM_SPARE, PU_REASON_MINIMUM);
+      pu_round_try_load (r, n->item, PU_EVICT_ABOVE_MINIMUM,
+                         PU_REASON_MINIMUM);
     }
 }
 
@@ -266,19 +271,19 @@
     {
       const pu_repair_t *n = &g_array_index (repairs, pu_repair_t, i);
 
-      if (pu_planned_asked (n->t) != asked)
+      if (pu_planned_in_demand (n->t) != asked)
         continue;
-      r->p->quick_only = !may_repair (r, n);
-      if (r->p->quick_only && !r->p->any_quick)
+      r->p->cached_only = !may_repair (r, n);
+      if (r->p->cached_only && !r->p->any_cached)
         break;
       repair (r, n);
     }
-  r->p->quick_only = false;
+  r->p->cached_only = false;
   g_array_unref (repairs);
 }
 
 void
-pu_round_repair_asked (pu_round_t *r)
+pu_round_repair_in_demand (pu_round_t *r)
 {
   repair_items (r, true);
 }
@@ -288,8 +293,8 @@
 {
   /* The next turn of the store goes to growth again, even if none of the idle
      items found room.  */
-  if (pu_round_store_takes_urgent (r))
-    r->p->grew = false;
-  pu_round_keep_promises (r, true);
+  if (pu_round_may_start_urgent_load (r))
+    r->p->last_turn_was_growth = false;
+  pu_round_start_deferred (r, true);
   repair_items (r, false);
 }
--- a/libplantainusher/placement/planner_round.h
+++ b/libplantainusher/placement/planner_round.h
@@ -15,14 +15,14 @@
   guint64 now;
   GArray *moves;
   pu_victims_t v;
-  guint32 for_item;  /* the item that loads free memory for; PU_PLAN_NONE */
-  bool full;         /* plans up to a stable placement: the store's limits do
-                        not apply */
-  bool repairing;    /* an item has no ready copy: spare copies wait */
-  guint loads;       /* ordered in this round */
-  bool lacking;      /* an item in demand has no ready copy and no load in
-                        flight: copies for demand wait */
-  bool idle_lacking; /* any item has none: copies for demand get every other
+  guint32 for_item; /* the item that loads free memory for; PU_PLAN_NONE */
+  bool full;        /* plans up to a stable placement: the store's limits do
+                       not apply */
+  bool repairing;   /* an item has no ready copy: spare copies wait */
+  guint loads;      /* ordered in this round */
+  bool missing_in_demand; /* an item in demand has no ready copy and no load in
+                   flight: copies for demand wait */
+  bool missing_any; /* any item has none: copies for demand get every other
                         load slot */
 } pu_round_t;
 
@@ -42,45 +42,45 @@
 bool pu_round_try_load (pu_round_t *r, guint32 item, pu_eviction_t evict,
                         pu_plan_reason_t reason);
 
-/* pu_round_store_takes_urgent - returns whether the store accepts one more
+/* pu_round_may_start_urgent_load - returns whether the store accepts one more
    load.  */
-bool pu_round_store_takes_urgent (const pu_round_t *r);
+bool pu_round_may_start_urgent_load (const pu_round_t *r);
 
-/* pu_round_store_takes - returns whether the store accepts one more load that
-   is not urgent, beside all deferred loads.  */
-bool pu_round_store_takes (const pu_round_t *r);
+/* pu_round_may_start_load - returns whether the store accepts one more load
+   that is not urgent, beside all deferred loads.  */
+bool pu_round_may_start_load (const pu_round_t *r);
 
-/* pu_round_may_try - returns whether T is declared and not in backoff.  */
-bool pu_round_may_try (const pu_round_t *r, const pu_planned_item_t *t);
+/* pu_round_may_place - returns whether T is declared and not in backoff.  */
+bool pu_round_may_place (const pu_round_t *r, const pu_planned_item_t *t);
 
 /* pu_round_base_is_ready - returns whether T is a model, or an adapter whose
    base has a ready copy that the adapter can be loaded beside.  */
 bool pu_round_base_is_ready (const pu_round_t *r, const pu_planned_item_t *t);
 
-/* pu_round_keep_promises - orders deferred loads whose memory is free now,
+/* pu_round_start_deferred - orders deferred loads whose memory is free now,
    those of items without a ready copy first.  IDLE: only those of items that
    have neither a ready copy nor demand, else all others.  */
-void pu_round_keep_promises (pu_round_t *r, bool idle);
+void pu_round_start_deferred (pu_round_t *r, bool idle);
 
-/* pu_round_is_hot - returns whether the utilization of any engine is above
-   the option `hot`.  */
-bool pu_round_is_hot (const pu_round_t *r);
+/* pu_round_any_engine_hot - returns whether the utilization of any engine is
+   above the option `hot`.  */
+bool pu_round_any_engine_hot (const pu_round_t *r);
 
-/* pu_round_open_room - starts or continues to move last copies from one engine
+/* pu_round_evacuate - starts or continues to move last copies from one engine
    to others, to free memory for ITEM, which no engine has memory for.  */
-void pu_round_open_room (pu_round_t *r, guint32 item);
+void pu_round_evacuate (pu_round_t *r, guint32 item);
 
-/* pu_round_repair_asked, pu_round_repair_idle - phases 1 and 2: plan loads for
-   items without a ready copy, then for those below their minimum of copies.
-   The first handles the items in demand, the second the others.  */
-void pu_round_repair_asked (pu_round_t *r);
+/* pu_round_repair_in_demand, pu_round_repair_idle - phases 1 and 2: plan loads
+   for items without a ready copy, then for those below their minimum of
+   copies. The first handles the items in demand, the second the others.  */
+void pu_round_repair_in_demand (pu_round_t *r);
 void pu_round_repair_idle (pu_round_t *r);
 
-/* pu_round_follow_demand - phase 5: plans copies whose gain exceeds their
+/* pu_round_scale_up - phase 5: plans copies whose gain exceeds their
    price.  */
-void pu_round_follow_demand (pu_round_t *r);
+void pu_round_scale_up (pu_round_t *r);
 
-/* pu_round_use_spare - phase 6: plans copies in free memory.  */
-void pu_round_use_spare (pu_round_t *r);
+/* pu_round_fill_spare_memory - phase 6: plans copies in free memory.  */
+void pu_round_fill_spare_memory (pu_round_t *r);
 
 #endif
--- a/libplantainusher/placement/planner_test.cc
+++ b/libplantainusher/placement/planner_test.cc
@@ -118,7 +118,7 @@
 
 TEST_F (Planner, LoadsUnreachableItemsFirstWithinTheStoreLimit)
 {
-  o.max_coming = 2;
+  o.max_concurrent_loads = 2;
   AddEngines (2);
   DeclareItem (0, 30);
   DeclareItem (1, 40);
@@ -132,13 +132,13 @@
    that most callers wait for goes first.  */
 TEST_F (Planner, LoadsTheUnreachableItemWithMostDemandFirst)
 {
-  o.max_coming = 1;
+  o.max_concurrent_loads = 1;
   AddEngines (2);
   DeclareItem (0, 30);
   DeclareItem (1, 40);
   DeclareItem (2, 20);
-  pu_planner_demand (p, 0, 1, 100.0);
-  pu_planner_demand (p, 2, 40, 40 * 1000.0);
+  pu_planner_add_demand (p, 0, 1, 100.0);
+  pu_planner_add_demand (p, 2, 40, 40 * 1000.0);
   EXPECT_EQ ("load 2.1@0 ", Step (false));
 }
 
@@ -147,7 +147,7 @@
    meanwhile behind one that gets none.  */
 TEST_F (Planner, QueuesNoLoadOnAnEngineThatIsLoading)
 {
-  o.one_load = true;
+  o.serial_loads = true;
   AddEngines (1);
   DeclareItem (0, 30);
   DeclareItem (1, 20);
@@ -156,7 +156,7 @@
   copies[0] = { { 0, 1, 30, PU_PLAN_LOADING } };
   ReportEngine (0);
   EXPECT_EQ ("", Step (false));
-  pu_planner_demand (p, 2, 40, 40 * 1000.0);
+  pu_planner_add_demand (p, 2, 40, 40 * 1000.0);
   EXPECT_EQ ("", Step (false));
   copies[0] = { { 0, 1, 30, PU_PLAN_READY } };
   ReportEngine (0);
@@ -168,7 +168,7 @@
    another model elsewhere.  */
 TEST_F (Planner, ItemWithDemandDoesNotWaitForALoadingEngine)
 {
-  o.one_load = true;
+  o.serial_loads = true;
   AddEngines (3);
   DeclareItem (0, 60);
   DeclareItem (1, 30);
@@ -179,7 +179,7 @@
   for (guint32 i = 0; i < 3; i++)
     ReportEngine (i);
   EXPECT_EQ ("", Step (false)) << "item 2 has no demand";
-  pu_planner_demand (p, 2, 40, 40 * 1000.0);
+  pu_planner_add_demand (p, 2, 40, 40 * 1000.0);
   EXPECT_EQ ("unload 0.1@0 ", Step ());
   EXPECT_EQ ("load 2.1@0 ", Step ());
 }
@@ -188,8 +188,8 @@
    is tried again as soon as that load has ended, without the retry delay.  */
 TEST_F (Planner, SpareCopyIsTriedAgainWhenTheLoadBeforeItEnds)
 {
-  o.one_load = true;
-  o.max_coming = 4;
+  o.serial_loads = true;
+  o.max_concurrent_loads = 4;
   AddEngines (2);
   DeclareItem (0, 30);
   DeclareItem (1, 20);
@@ -271,7 +271,7 @@
   Step (false);
   copies[1].push_back ({ 1, 1, 60, PU_PLAN_LOADING });
   ReportEngine (1);
-  pu_planner_demand (p, 0, 400, 200 * 1000.0);
+  pu_planner_add_demand (p, 0, 400, 200 * 1000.0);
   EXPECT_NE ("", Step (false));
 }
 
@@ -288,8 +288,8 @@
     DeclareItem (i, 90);
   for (int i = 0; i < 6; i++)
     {
-      pu_planner_set_store (p, 1);
-      pu_planner_demand (p, 0, 400, 200 * 1000.0);
+      pu_planner_set_load_slots (p, 1);
+      pu_planner_add_demand (p, 0, 400, 200 * 1000.0);
       order += Step (true).substr (0, 6) + ";";
     }
   EXPECT_EQ ("load 0;load 1;load 0;load 2;load 0;load 3;", order);
@@ -329,7 +329,7 @@
 TEST (Placement, LosingEnginesIsNotALoadFailureOfTheirModel)
 {
   pu_placement_options_t o = {};
-  pu_ledger_held_t held = { 0, 50, PU_LEDGER_READY };
+  pu_ledger_copy_t held = { 0, 50, PU_LEDGER_READY };
   pu_ledger_report_t r = {};
   pu_plan_item_t i = {};
 
@@ -398,13 +398,13 @@
     ;
   for (int i = 0; i < 30; i++)
     {
-      pu_planner_demand (p, 0, 2, 4000);
+      pu_planner_add_demand (p, 0, 2, 4000);
       EXPECT_EQ ("", Step ());
     }
   std::string grown;
   for (int i = 0; i < 30; i++)
     {
-      pu_planner_demand (p, 0, 30, 60000);
+      pu_planner_add_demand (p, 0, 30, 60000);
       grown += Step ();
     }
   EXPECT_EQ ("load 0.1@2 ", grown);
@@ -425,10 +425,10 @@
     continue;
   for (int i = 0; i < 30; i++)
     {
-      pu_planner_demand (p, 0, 400, 200 * 1000.0);
+      pu_planner_add_demand (p, 0, 400, 200 * 1000.0);
       Step ();
     }
-  EXPECT_EQ (5U, pu_planner_ready (p, 0))
+  EXPECT_EQ (5U, pu_planner_ready_copies (p, 0))
       << "all engines but the one with item 1's last copy";
 }
 
@@ -448,12 +448,12 @@
   copies[6] = { { 2, 1, 60, PU_PLAN_READY } };
   for (guint32 i = 0; i < 7; i++)
     ReportEngine (i);
-  pu_planner_set_store (p, 1);
-  pu_planner_demand (p, 0, 60, 60 * 1000.0);
-  pu_planner_demand (p, 1, 400, 400 * 1000.0);
+  pu_planner_set_load_slots (p, 1);
+  pu_planner_add_demand (p, 0, 60, 60 * 1000.0);
+  pu_planner_add_demand (p, 1, 400, 400 * 1000.0);
   EXPECT_EQ ("unload 2.1@5 ", Step ());
-  pu_planner_set_store (p, 1);
-  pu_planner_demand (p, 1, 400, 400 * 1000.0);
+  pu_planner_set_load_slots (p, 1);
+  pu_planner_add_demand (p, 1, 400, 400 * 1000.0);
   EXPECT_EQ ("load 1.1@5 ", Step ());
 }
 
@@ -471,8 +471,8 @@
   for (guint32 i = 0; i < 3; i++)
     ReportEngine (i);
   for (guint32 i = 1; i < 3; i++)
-    pu_planner_demand (p, i, 40, 40 * 1000.0);
-  pu_planner_demand (p, 0, 1, 20.0);
+    pu_planner_add_demand (p, i, 40, 40 * 1000.0);
+  pu_planner_add_demand (p, 0, 1, 20.0);
   std::string text = Step (false);
   EXPECT_EQ (std::string::npos, text.find ("load 0.1")) << text;
   EXPECT_NE (std::string::npos, text.find ("load ")) << text;
@@ -501,8 +501,8 @@
       bool grows = false;
       for (int i = 0; i < 30; i++)
         {
-          pu_planner_demand (p, 1, 40, 40 * 200.0);
-          pu_planner_demand (p, 0, per_second, per_second * 60 * 1000.0);
+          pu_planner_add_demand (p, 1, 40, 40 * 200.0);
+          pu_planner_add_demand (p, 0, per_second, per_second * 60 * 1000.0);
           Step (false);
           for (guint k = 0; k < moves->len; k++)
             {
@@ -532,14 +532,14 @@
     { 34, "load 0.1@1 load 0.1@2 load 0.1@3 load 0.1@4 " },
   };
 
-  o.max_coming = 8;
+  o.max_concurrent_loads = 8;
   for (auto &row : rows)
     {
       AddEngines (8);
       DeclareItem (0, 60);
       copies[0] = { { 0, 1, 60, PU_PLAN_READY } };
       ReportEngine (0);
-      pu_planner_demand (p, 0, row.streams, row.streams * 1000.0);
+      pu_planner_add_demand (p, 0, row.streams, row.streams * 1000.0);
       EXPECT_EQ (row.moves, Step (false)) << row.streams;
       for (guint i = 0; i < moves->len; i++)
         {
@@ -548,7 +548,7 @@
           copies[m.engine] = { { 0, 1, 60, PU_PLAN_LOADING } };
           ReportEngine (m.engine);
         }
-      pu_planner_demand (p, 0, row.streams, row.streams * 1000.0);
+      pu_planner_add_demand (p, 0, row.streams, row.streams * 1000.0);
       EXPECT_EQ ("", Step (false)) << row.streams << ", loading copies count";
       pu_planner_free (p);
       p = nullptr;
@@ -565,8 +565,8 @@
   DeclareItem (1, 30);
   copies[0] = { { 0, 1, 60, PU_PLAN_READY }, { 1, 1, 30, PU_PLAN_READY } };
   ReportEngine (0);
-  pu_planner_demand (p, 0, 60, 60 * 1000.0);
-  pu_planner_demand (p, 1, 2, 2 * 1000.0);
+  pu_planner_add_demand (p, 0, 60, 60 * 1000.0);
+  pu_planner_add_demand (p, 1, 2, 2 * 1000.0);
   std::string text = Step (false);
   EXPECT_EQ (std::string::npos, text.find ("load 1.1")) << text;
   EXPECT_NE (std::string::npos, text.find ("load 0.1")) << text;
@@ -580,7 +580,7 @@
   DeclareItem (0, 90);
   DeclareItem (1, 90);
   Step ();
-  pu_planner_demand (p, 0, 400, 200 * 1000.0);
+  pu_planner_add_demand (p, 0, 400, 200 * 1000.0);
   EXPECT_EQ ("load 0.1@3 load 0.1@2 ", Step ());
 }
 
@@ -588,7 +588,7 @@
 {
   AddEngines (4);
   DeclareItem (0, 60);
-  pu_planner_set_quick (p, 2, 0, true);
+  pu_planner_set_cached (p, 2, 0, true);
   EXPECT_EQ ("load 0.1@2 ", Step ());
 }
 
@@ -597,7 +597,7 @@
 TEST_F (Planner, CachedWeightsMayBeKnownBeforeTheEngine)
 {
   AddEngines (1);
-  pu_planner_set_quick (p, 40, 0, true);
+  pu_planner_set_cached (p, 40, 0, true);
   copies.resize (41);
   ReportEngine (40);
   DeclareItem (0, 60);
@@ -610,11 +610,11 @@
   AddEngines (4);
   DeclareItem (0, 60);
   DeclareItem (1, 60);
-  pu_planner_set_store (p, 0);
-  pu_planner_set_quick (p, 3, 1, true);
+  pu_planner_set_load_slots (p, 0);
+  pu_planner_set_cached (p, 3, 1, true);
   EXPECT_EQ ("load 1.1@3 ", Step ());
   EXPECT_EQ ("", Step ());
-  pu_planner_set_store (p, 1);
+  pu_planner_set_load_slots (p, 1);
   EXPECT_EQ ("load 0.1@0 ", Step ());
 }
 
--- a/libplantainusher/routing/choose.c
+++ b/libplantainusher/routing/choose.c
@@ -15,7 +15,7 @@
 #define SAMPLE_ROUNDS_MAX 3
 
 guint
-output_tokens (const pu_router_t *r, const request_t *q)
+expected_output_tokens (const pu_router_t *r, const request_t *q)
 {
   const model_t *m = model_at (r, q->model);
   double mean = m->mean_output_tokens > 0 ? m->mean_output_tokens
@@ -37,7 +37,7 @@
    copy can answer in time, so it is limited to the time measured without other
    work.  */
 double
-unloaded_ms (const pu_router_t *r, const request_t *q)
+unloaded_first_token_ms (const pu_router_t *r, const request_t *q)
 {
   const model_t *m = model_at (r, q->model);
   double fitted = linear_fit_predict (&m->first, q->prompt_tokens);
@@ -342,8 +342,8 @@
 }
 
 bool
-candidate_on (pu_router_t *r, const request_t *q, pu_router_backend_t b,
-              guint copy, guint64 now, candidate_t *c)
+evaluate_candidate (pu_router_t *r, const request_t *q, pu_router_backend_t b,
+                    guint copy, guint64 now, candidate_t *c)
 {
   bool ejected = now < backend_at (r, b)->ejected_until;
 
--- a/libplantainusher/routing/router.c
+++ b/libplantainusher/routing/router.c
@@ -139,8 +139,9 @@
 {
   const service_t *s = service_at (r, q->service);
   const model_t *m = model_at (r, q->model);
-  double unloaded = unloaded_ms (r, q);
-  double decode = output_tokens (r, q) * linear_fit_predict (&m->step, 1);
+  double unloaded = unloaded_first_token_ms (r, q);
+  double decode
+      = expected_output_tokens (r, q) * linear_fit_predict (&m->step, 1);
   double latest = (double)q->deadline - decode;
   double target = MAX (s->first_token_ms, UNLOADED_FACTOR * unloaded);
   double due;
--- a/libplantainusher/routing/router_int.h
+++ b/libplantainusher/routing/router_int.h
@@ -15,8 +15,9 @@
  */
 
 #define TRIED_MAX 4 /* failed backend servers that a request avoids */
-#define MEAN_SAMPLE_WEIGHT 0.1 /* weight of a new sample in a moving average  \
-                                */
+#define MEAN_SAMPLE_WEIGHT                                                    \
+  0.1 /* weight of a new sample in a moving average                           \
+       */
 /* Ticks for which the own requests in flight are kept, so that a late report
    is compared with the count at the time it describes.  */
 #define HISTORY_MAX 16
@@ -300,17 +301,19 @@
 
 /* choose.c */
 
-/* unloaded_ms - returns the expected time to the first token of Q on an idle
-   copy of its model.  */
-double unloaded_ms (const pu_router_t *r, const request_t *q);
+/* unloaded_first_token_ms - returns the expected time to the first token of Q
+   on an idle copy of its model.  */
+double unloaded_first_token_ms (const pu_router_t *r, const request_t *q);
 
-/* output_tokens - returns the expected number of output tokens of Q.  */
-guint output_tokens (const pu_router_t *r, const request_t *q);
+/* expected_output_tokens - returns the expected number of output tokens of Q.
+ */
+guint expected_output_tokens (const pu_router_t *r, const request_t *q);
 
-/* candidate_on - returns whether Q may start now on copy COPY of B, and sets
-   C.  */
-bool candidate_on (pu_router_t *r, const request_t *q, pu_router_backend_t b,
-                   guint copy, guint64 now, candidate_t *c);
+/* evaluate_candidate - returns whether Q may start now on copy COPY of B, and
+   sets C.  */
+bool evaluate_candidate (pu_router_t *r, const request_t *q,
+                         pu_router_backend_t b, guint copy, guint64 now,
+                         candidate_t *c);
 
 /* Whether a copy is left for the retry of a request.  */
 typedef enum
--- a/libplantainusher/suspects/suspects.c
+++ b/libplantainusher/suspects/suspects.c
@@ -137,7 +137,7 @@
 }
 
 void
-pu_suspects_lift (pu_suspects_t *s, guint64 fingerprint)
+pu_suspects_remove (pu_suspects_t *s, guint64 fingerprint)
 {
   g_hash_table_remove (s->records, &fingerprint);
 }
@@ -195,7 +195,7 @@
 }
 
 pu_suspects_verdict_t
-pu_suspects_judge (pu_suspects_t *s, guint64 fingerprint, guint64 now)
+pu_suspects_check (pu_suspects_t *s, guint64 fingerprint, guint64 now)
 {
   const record_t *r = g_hash_table_lookup (s->records, &fingerprint);
   const duplicates_t *d = duplicates_of (s, fingerprint);
@@ -212,7 +212,7 @@
        || duplicate_in_cooldown (s, fingerprint, now))
       && !has_break (s, PU_SUSPECTS_BREAK_CONCURRENT))
     return PU_SUSPECTS_WAIT;
-  return PU_SUSPECTS_APART;
+  return PU_SUSPECTS_RUN_ISOLATED;
 }
 
 static void
@@ -307,7 +307,7 @@
 }
 
 void
-pu_suspects_broke (pu_suspects_t *s, guint64 request)
+pu_suspects_connection_lost (pu_suspects_t *s, guint64 request)
 {
   attempt_t *r = g_hash_table_lookup (s->in_flight, &request);
 
@@ -345,7 +345,7 @@
 }
 
 void
-pu_suspects_cut (pu_suspects_t *s, guint64 request, guint64 now)
+pu_suspects_aborted (pu_suspects_t *s, guint64 request, guint64 now)
 {
   attempt_t *r = g_hash_table_lookup (s->in_flight, &request);
 
@@ -361,8 +361,8 @@
 }
 
 bool
-pu_suspects_stays (const pu_suspects_t *s, guint64 fingerprint,
-                   guint32 backend, guint64 since, guint64 now)
+pu_suspects_must_avoid (const pu_suspects_t *s, guint64 fingerprint,
+                        guint32 backend, guint64 since, guint64 now)
 {
   const duplicates_t *d = duplicates_of (s, fingerprint);
 
@@ -476,8 +476,8 @@
 }
 
 guint
-pu_suspects_died (pu_suspects_t *s, guint32 backend, guint64 incarnation,
-                  GArray *strikes, guint64 now)
+pu_suspects_backend_died (pu_suspects_t *s, guint32 backend,
+                          guint64 incarnation, GArray *strikes, guint64 now)
 {
   GPtrArray *dead;
   guint ended = 0;
@@ -506,7 +506,7 @@
 }
 
 guint
-pu_suspects_running (const pu_suspects_t *s)
+pu_suspects_in_flight (const pu_suspects_t *s)
 {
   return g_hash_table_size (s->in_flight);
 }
--- a/libplantainusher/suspects/suspects.h
+++ b/libplantainusher/suspects/suspects.h
@@ -83,8 +83,8 @@
 
 typedef enum
 {
-  PU_SUSPECTS_RUN,   /* not a suspect: no restriction */
-  PU_SUSPECTS_APART, /* a suspect: may run now, isolated */
+  PU_SUSPECTS_RUN,          /* not a suspect: no restriction */
+  PU_SUSPECTS_RUN_ISOLATED, /* a suspect: may run now, isolated */
   PU_SUSPECTS_WAIT,  /* ask again soon: a duplicate of a suspect is in flight
                         or in its cooldown, or the backend server of a
                         duplicate is being checked after a lost connection */
@@ -97,13 +97,13 @@
 void pu_suspects_put (pu_suspects_t *s, guint64 fingerprint, guint strikes,
                       bool convicted);
 
-/* pu_suspects_lift - removes the strikes and the conviction of
+/* pu_suspects_remove - removes the strikes and the conviction of
    FINGERPRINT.  */
-void pu_suspects_lift (pu_suspects_t *s, guint64 fingerprint);
+void pu_suspects_remove (pu_suspects_t *s, guint64 fingerprint);
 
-/* pu_suspects_judge - returns whether a request with FINGERPRINT may run at
+/* pu_suspects_check - returns whether a request with FINGERPRINT may run at
    NOW.  */
-pu_suspects_verdict_t pu_suspects_judge (pu_suspects_t *s, guint64 fingerprint,
+pu_suspects_verdict_t pu_suspects_check (pu_suspects_t *s, guint64 fingerprint,
                                          guint64 now);
 
 /* pu_suspects_is_suspect - returns whether a request with FINGERPRINT must be
@@ -122,26 +122,27 @@
    arrived.  */
 void pu_suspects_answered (pu_suspects_t *s, guint64 request);
 
-/* pu_suspects_broke - the connection of REQUEST was lost, and the caller is
-   checking whether its backend server has died.  The caller must report the
-   result with pu_suspects_died, pu_suspects_cut or pu_suspects_finished.  */
-void pu_suspects_broke (pu_suspects_t *s, guint64 request);
+/* pu_suspects_connection_lost - the connection of REQUEST was lost, and the
+   caller is checking whether its backend server has died.  The caller must
+   report the result with pu_suspects_backend_died, pu_suspects_aborted or
+   pu_suspects_finished.  */
+void pu_suspects_connection_lost (pu_suspects_t *s, guint64 request);
 
 /* pu_suspects_finished - REQUEST ended in any way other than the death of its
    backend server or an abort.  */
 void pu_suspects_finished (pu_suspects_t *s, guint64 request);
 
-/* pu_suspects_cut - REQUEST was aborted: it was cancelled, or its connection
-   was lost while its backend server still accepted connections.  The backend
-   server may still die because of REQUEST.  */
-void pu_suspects_cut (pu_suspects_t *s, guint64 request, guint64 now);
+/* pu_suspects_aborted - REQUEST was aborted: it was cancelled, or its
+   connection was lost while its backend server still accepted connections. The
+   backend server may still die because of REQUEST.  */
+void pu_suspects_aborted (pu_suspects_t *s, guint64 request, guint64 now);
 
-/* pu_suspects_stays - returns whether a request with FINGERPRINT must not be
-   sent to BACKEND because a duplicate is in flight on another one without an
-   answer.  SINCE is the time from which the request has waited for that; 0: it
-   has not waited yet.  */
-bool pu_suspects_stays (const pu_suspects_t *s, guint64 fingerprint,
-                        guint32 backend, guint64 since, guint64 now);
+/* pu_suspects_must_avoid - returns whether a request with FINGERPRINT must not
+   be sent to BACKEND because a duplicate is in flight on another one without
+   an answer.  SINCE is the time from which the request has waited for that; 0:
+   it has not waited yet.  */
+bool pu_suspects_must_avoid (const pu_suspects_t *s, guint64 fingerprint,
+                             guint32 backend, guint64 since, guint64 now);
 
 /* A strike to be proposed to the replicated log.  */
 typedef struct
@@ -153,14 +154,15 @@
                  alone */
 } pu_suspects_strike_t;
 
-/* pu_suspects_died - INCARNATION of BACKEND has died, and so have older ones.
-   Removes the requests in flight there and those aborted there within the
-   retention time, any of which may have caused the death.  Appends the strikes
-   to propose to STRIKES (of pu_suspects_strike_t), at most one for each
-   fingerprint; they count on this daemon at once.  Returns how many requests
-   were in flight.  */
-guint pu_suspects_died (pu_suspects_t *s, guint32 backend, guint64 incarnation,
-                        GArray *strikes, guint64 now);
+/* pu_suspects_backend_died - INCARNATION of BACKEND has died, and so have
+   older ones. Removes the requests in flight there and those aborted there
+   within the retention time, any of which may have caused the death.  Appends
+   the strikes to propose to STRIKES (of pu_suspects_strike_t), at most one for
+   each fingerprint; they count on this daemon at once.  Returns how many
+   requests were in flight.  */
+guint pu_suspects_backend_died (pu_suspects_t *s, guint32 backend,
+                                guint64 incarnation, GArray *strikes,
+                                guint64 now);
 
 /* pu_suspects_is_reserved - returns whether BACKEND runs a suspect, or is in
    the cooldown after one was aborted there.  The entry must then dispatch
@@ -168,9 +170,9 @@
 bool pu_suspects_is_reserved (const pu_suspects_t *s, guint32 backend,
                               guint64 now);
 
-/* pu_suspects_running - returns the number of requests recorded as in flight,
-   for the state dump.  */
-guint pu_suspects_running (const pu_suspects_t *s);
+/* pu_suspects_in_flight - returns the number of requests recorded as in
+   flight, for the state dump.  */
+guint pu_suspects_in_flight (const pu_suspects_t *s);
 
 G_END_DECLS
 
