--- a/libplantainusher/placement/adapters.c
+++ b/libplantainusher/placement/adapters.c
@@ -1,32 +1,36 @@
 #include "placement/adapters.h"
 
-/* One that was asked for so lately may be in use, or have a request on its
-   way: unloading it would wait, or cost that request.  */
-#define KEEP_MS 2500
-
-/* One that was asked for so lately is likely to be asked for again soon.  */
-#define ACTIVE_MS 8000
-
-/* Requests that an engine must have fewer than all that hold an adapter, to be
-   given it too: what a second's requests for one adapter add and take.  */
-#define SPREAD_GAP 8
-/* What an adapter that is given to an engine adds to its requests, until its
+/* An adapter that was requested within this time may be in use or have a
+   request on the way to it, and is not evicted: the unload would wait for that
+   request, or make it fail.  */
+#define EVICTION_MIN_IDLE_MS 2500
+
+/* An adapter that was requested within this time is likely to be requested
+   again soon.  */
+#define ACTIVE_WINDOW_MS 8000
+
+/* An engine gets a copy of an adapter only if it has this many requests fewer
+   than every engine that holds the adapter: about the requests for one adapter
+   that arrive and finish in one second.  */
+#define REPLICATE_MIN_GAP 8
+/* Requests that a new copy is assumed to add to its engine, until the engine's
    next report.  */
-#define SPREAD_LOAD 2
-/* Adapters given in one call: a leader's order takes a round trip.  */
-#define SPREAD_MAX 6
+#define REPLICATE_LOAD_ESTIMATE 2
+/* Copies ordered in one call.  Limited because each order of the leader takes
+   a round trip.  */
+#define REPLICATE_MAX 6
 
 typedef struct
 {
   bool is_adapter;
   guint32 base;
-  guint64 used; /* when it was last asked for, ms */
+  guint64 last_used; /* last request, ms; 0: never */
 } adapter_t;
 
 typedef struct
 {
-  guint places;
-  guint load;
+  guint slots; /* for adapters; 0: no limit */
+  guint load;  /* requests */
   bool usable;
 } engine_t;
 
@@ -34,7 +38,7 @@
 {
   pu_dispatcher_t *dispatcher;
   GArray *adapters; /* of adapter_t, by item */
-  GArray *engines;  /* of engine_t */
+  GArray *engines;  /* of engine_t, by engine handle */
 };
 
 pu_adapters_t *
@@ -99,10 +103,10 @@
 }
 
 void
-pu_adapters_engine (pu_adapters_t *a, guint32 engine, guint places, guint load,
+pu_adapters_engine (pu_adapters_t *a, guint32 engine, guint slots, guint load,
                     bool usable)
 {
-  engine_t e = { places, load, usable };
+  engine_t e = { slots, load, usable };
 
   if (a->engines->len <= engine)
     g_array_set_size (a->engines, engine + 1);
@@ -115,7 +119,7 @@
   adapter_t *t = adapter_at (a, item);
 
   if (t != NULL)
-    t->used = now;
+    t->last_used = now;
 }
 
 guint
@@ -127,24 +131,26 @@
     {
       const adapter_t *t = adapter_at (a, i);
 
-      active += t->is_adapter && t->base == base && t->used != 0
-                && now < t->used + ACTIVE_MS;
+      active += t->is_adapter && t->base == base && t->last_used != 0
+                && now < t->last_used + ACTIVE_WINDOW_MS;
     }
   return active;
 }
 
-/* What an engine offers to one adapter.  */
+/* An engine that can take an adapter, and what it would evict.  */
 typedef struct
 {
   guint32 engine;
-  guint taken;        /* places */
-  guint32 victim;     /* item to be unloaded; PU_ADAPTERS_NONE: none */
-  guint64 idle_since; /* of the victim */
-} offer_t;
+  guint slots_used;
+  guint32 victim;     /* adapter to evict; PU_ADAPTERS_NONE: a slot is free */
+  guint64 idle_since; /* last request for the victim, ms */
+} candidate_t;
 
-/* Looks at the adapters on ENGINE.  False: it has no place to give.  */
+/* Fills O with ENGINE and its least recently used adapter.  Returns false when
+   it has neither a free slot nor an adapter that may be evicted.  */
 static bool
-offer_make (const pu_adapters_t *a, guint32 engine, guint64 now, offer_t *o)
+find_candidate (const pu_adapters_t *a, guint32 engine, guint64 now,
+                candidate_t *o)
 {
   const engine_t *e = engine_of (a, engine);
   guint n;
@@ -152,34 +158,35 @@
       = pu_dispatcher_items (a->dispatcher, engine, &n);
   guint leaving = 0;
 
-  *o = (offer_t){ engine, 0, PU_ADAPTERS_NONE, G_MAXUINT64 };
+  *o = (candidate_t){ engine, 0, PU_ADAPTERS_NONE, G_MAXUINT64 };
   for (guint i = 0; i < n; i++)
     {
       const adapter_t *t = adapter_at (a, items[i].item);
 
       if (t == NULL || !t->is_adapter)
         continue;
-      o->taken++;
+      o->slots_used++;
       leaving += items[i].phase == PU_DISPATCHER_LEAVING;
-      if (items[i].phase != PU_DISPATCHER_READY || now < t->used + KEEP_MS
-          || t->used >= o->idle_since)
+      if (items[i].phase != PU_DISPATCHER_READY
+          || now < t->last_used + EVICTION_MIN_IDLE_MS
+          || t->last_used >= o->idle_since)
         continue;
       o->victim = items[i].item;
-      o->idle_since = t->used;
+      o->idle_since = t->last_used;
     }
-  if (e->places == 0 || o->taken < e->places)
+  if (e->slots == 0 || o->slots_used < e->slots)
     {
       o->victim = PU_ADAPTERS_NONE;
       return true;
     }
-  /* A place that is being given up is given to whoever asked for that.  */
+  /* A slot being freed belongs to the load that caused the eviction.  */
   return o->victim != PU_ADAPTERS_NONE && leaving == 0;
 }
 
-/* Free places first, then the victim that was idle for the longest time; of
-   equals the engine with less to do.  */
+/* Whether X is preferred to Y: a free slot first, then the victim idle for the
+   longest time, then fewer slots in use, then the lower load.  */
 static bool
-is_better (const pu_adapters_t *a, const offer_t *x, const offer_t *y)
+is_better (const pu_adapters_t *a, const candidate_t *x, const candidate_t *y)
 {
   bool x_free = x->victim == PU_ADAPTERS_NONE;
   bool y_free = y->victim == PU_ADAPTERS_NONE;
@@ -188,13 +195,13 @@
     return x_free;
   if (!x_free && x->idle_since != y->idle_since)
     return x->idle_since < y->idle_since;
-  if (x->taken != y->taken)
-    return x->taken < y->taken;
+  if (x->slots_used != y->slots_used)
+    return x->slots_used < y->slots_used;
   return engine_of (a, x->engine)->load < engine_of (a, y->engine)->load;
 }
 
 static bool
-order (pu_adapters_t *a, const offer_t *o, guint32 item, guint64 now)
+queue_load (pu_adapters_t *a, const candidate_t *o, guint32 item, guint64 now)
 {
   pu_dispatcher_order_t load = { PU_DISPATCHER_LOAD, item, true };
   pu_dispatcher_order_t unload = { PU_DISPATCHER_UNLOAD, o->victim, true };
@@ -205,9 +212,10 @@
   return pu_dispatcher_want (a->dispatcher, o->engine, &load, now);
 }
 
-/* Whether ENGINE may serve ITEM: its base is ready there.  */
+/* Whether ENGINE can serve ITEM once it is loaded: the engine is usable and
+   the base model is ready there.  */
 static bool
-has_base (const pu_adapters_t *a, guint32 engine, guint32 item)
+can_serve (const pu_adapters_t *a, guint32 engine, guint32 item)
 {
   const engine_t *e = engine_of (a, engine);
 
@@ -217,7 +225,7 @@
                 == PU_DISPATCHER_READY;
 }
 
-/* The engine that has ITEM or is getting it, the least loaded one.  */
+/* The least loaded of the engines that hold or are loading ITEM.  */
 static guint32
 find_holder (const pu_adapters_t *a, guint32 item)
 {
@@ -230,7 +238,7 @@
       bool has = phase == PU_DISPATCHER_READY || phase == PU_DISPATCHER_LOADING
                  || phase == PU_DISPATCHER_QUEUED;
 
-      if (!has || !has_base (a, i, item))
+      if (!has || !can_serve (a, i, item))
         continue;
       if (best == PU_ADAPTERS_NONE
           || engine_of (a, i)->load < engine_of (a, best)->load)
@@ -243,7 +251,7 @@
 pu_adapters_want (pu_adapters_t *a, guint32 item, guint64 now)
 {
   guint32 holder;
-  offer_t best = { PU_ADAPTERS_NONE, 0, 0, 0 };
+  candidate_t best = { PU_ADAPTERS_NONE, 0, 0, 0 };
 
   if (!pu_adapters_is (a, item))
     return PU_ADAPTERS_NONE;
@@ -253,38 +261,39 @@
     return holder;
   for (guint32 i = 0; i < a->engines->len; i++)
     {
-      offer_t o;
+      candidate_t o;
 
-      if (!has_base (a, i, item) || !offer_make (a, i, now, &o))
+      if (!can_serve (a, i, item) || !find_candidate (a, i, now, &o))
         continue;
       if (best.engine == PU_ADAPTERS_NONE || is_better (a, &o, &best))
         best = o;
     }
-  if (best.engine == PU_ADAPTERS_NONE || !order (a, &best, item, now))
+  if (best.engine == PU_ADAPTERS_NONE || !queue_load (a, &best, item, now))
     return PU_ADAPTERS_NONE;
   return best.engine;
 }
 
-/* --- spreading --- */
+/* --- replication --- */
 
-/* Whether ENGINE can be given ITEM without taking a place from one in use.  */
+/* Whether ENGINE can take a copy of ITEM without evicting an active adapter;
+   fills O.  */
 static bool
-has_place (const pu_adapters_t *a, guint32 engine, guint32 item, guint64 now,
-           offer_t *o)
+can_take_copy (const pu_adapters_t *a, guint32 engine, guint32 item,
+               guint64 now, candidate_t *o)
 {
-  return has_base (a, engine, item)
+  return can_serve (a, engine, item)
          && pu_dispatcher_phase (a->dispatcher, engine, item)
                 == PU_DISPATCHER_ABSENT
-         && offer_make (a, engine, now, o)
+         && find_candidate (a, engine, now, o)
          && (o->victim == PU_ADAPTERS_NONE
-             || now >= o->idle_since + ACTIVE_MS);
+             || now >= o->idle_since + ACTIVE_WINDOW_MS);
 }
 
-/* The engine with the fewest requests that can be given ITEM, in BEST; false
-   when none has so few that it pays.  */
+/* Sets BEST to the engine with the fewest requests that can take ITEM. Returns
+   false when none is REPLICATE_MIN_GAP below HOLDER.  */
 static bool
-find_relief (const pu_adapters_t *a, guint32 item, guint32 holder, guint64 now,
-             offer_t *best)
+find_replica_engine (const pu_adapters_t *a, guint32 item, guint32 holder,
+                     guint64 now, candidate_t *best)
 {
   guint most = engine_of (a, holder)->load;
   bool found = false;
@@ -292,9 +301,10 @@
   for (guint32 i = 0; i < a->engines->len; i++)
     {
       guint load = engine_of (a, i)->load;
-      offer_t o;
+      candidate_t o;
 
-      if (load + SPREAD_GAP > most || !has_place (a, i, item, now, &o))
+      if (load + REPLICATE_MIN_GAP > most
+          || !can_take_copy (a, i, item, now, &o))
         continue;
       *best = o;
       most = load;
@@ -306,21 +316,23 @@
 void
 pu_adapters_spread (pu_adapters_t *a, guint64 now)
 {
-  guint given = 0;
+  guint ordered = 0;
 
-  for (guint32 i = 0; i < a->adapters->len && given < SPREAD_MAX; i++)
+  for (guint32 i = 0; i < a->adapters->len && ordered < REPLICATE_MAX; i++)
     {
       const adapter_t *t = adapter_at (a, i);
       guint32 holder;
-      offer_t best;
+      candidate_t best;
 
-      if (!t->is_adapter || t->used == 0 || now >= t->used + ACTIVE_MS)
+      if (!t->is_adapter || t->last_used == 0
+          || now >= t->last_used + ACTIVE_WINDOW_MS)
         continue;
       holder = find_holder (a, i);
-      if (holder == PU_ADAPTERS_NONE || !find_relief (a, i, holder, now, &best)
-          || !order (a, &best, i, now))
+      if (holder == PU_ADAPTERS_NONE
+          || !find_replica_engine (a, i, holder, now, &best)
+          || !queue_load (a, &best, i, now))
         continue;
-      engine_of (a, best.engine)->load += SPREAD_LOAD;
-      given++;
+      engine_of (a, best.engine)->load += REPLICATE_LOAD_ESTIMATE;
+      ordered++;
     }
 }
--- a/libplantainusher/placement/adapters.h
+++ b/libplantainusher/placement/adapters.h
@@ -6,14 +6,16 @@
 G_BEGIN_DECLS
 
 /*
- * adapters - where an adapter is loaded that a request asks for.
+ * adapters - chooses the engine on which a requested adapter is loaded.
  *
- * Pure.  Adapters are small and many, their places on an engine few: each is
- * loaded when it is asked for, beside a ready copy of its base, in place of
- * the one there that was not asked for for the longest time.  The load that
- * this answers: each of a model's adapters is asked for every few seconds, and
- * all engines that hold the model together have about as many places as it has
- * adapters.
+ * Pure: no I/O, no clock.  `now` is monotonic milliseconds.
+ *
+ * Adapters are small and numerous, and an engine has few slots for them.  An
+ * adapter is loaded on demand, on an engine where its base model is ready.
+ * When that engine has no free slot, the least recently used adapter there is
+ * evicted.  The design is for a workload in which each adapter of a model is
+ * requested every few seconds, and the engines that hold the model have about
+ * as many slots in total as the model has adapters.
  */
 
 typedef struct pu_adapters pu_adapters_t;
@@ -21,31 +23,40 @@
 pu_adapters_t *pu_adapters_new (pu_dispatcher_t *dispatcher);
 void pu_adapters_free (pu_adapters_t *a);
 
-/* pu_adapters_set - ITEM is an adapter of BASE.  */
+/* pu_adapters_set - declares ITEM as an adapter of BASE.  */
 void pu_adapters_set (pu_adapters_t *a, guint32 item, guint32 base);
+
+/* pu_adapters_is - whether ITEM was declared as an adapter.  */
 bool pu_adapters_is (const pu_adapters_t *a, guint32 item);
+
+/* pu_adapters_base - the base model of ITEM, which must be an adapter.  */
 guint32 pu_adapters_base (const pu_adapters_t *a, guint32 item);
 
-/* pu_adapters_engine - ENGINE has PLACES for adapters (0: no limit) and LOAD
-   requests; USABLE: it takes orders and new work.  */
-void pu_adapters_engine (pu_adapters_t *a, guint32 engine, guint places,
+/* pu_adapters_engine - replaces the state of ENGINE: it has SLOTS for adapters
+   (0: no limit) and LOAD requests; USABLE: it accepts orders and new
+   requests.  */
+void pu_adapters_engine (pu_adapters_t *a, guint32 engine, guint slots,
                          guint load, bool usable);
 
-/* pu_adapters_used - ITEM was asked for.  */
+/* pu_adapters_used - records that ITEM was requested at NOW.  */
 void pu_adapters_used (pu_adapters_t *a, guint32 item, guint64 now);
 
-/* pu_adapters_active - adapters of BASE that were asked for lately.  */
+/* pu_adapters_active - the number of adapters of BASE that were requested
+   recently.  */
 guint pu_adapters_active (const pu_adapters_t *a, guint32 base, guint64 now);
 
-/* pu_adapters_spread - queues second copies of adapters in use, on engines
-   that have much less to do than all that hold them.  Loading one takes a few
-   milliseconds; a request that queues behind fifty takes a second.  */
+/* pu_adapters_spread - queues loads of additional copies of adapters in use,
+   on engines that have far fewer requests than every engine that holds the
+   adapter.  Loading a copy takes a few milliseconds; a request that queues
+   behind fifty others takes a second.  */
 void pu_adapters_spread (pu_adapters_t *a, guint64 now);
 
 #define PU_ADAPTERS_NONE G_MAXUINT32
 
-/* pu_adapters_want - the engine that has ITEM, or is getting it by an order
-   that this queues at the dispatcher; PU_ADAPTERS_NONE when no engine can.  */
+/* pu_adapters_want - records that ITEM was requested, and returns the engine
+   that holds or is loading it.  When there is none, queues its load at the
+   dispatcher and returns that engine.  Returns PU_ADAPTERS_NONE when ITEM is
+   no adapter or no engine can take it.  */
 guint32 pu_adapters_want (pu_adapters_t *a, guint32 item, guint64 now);
 
 G_END_DECLS
