--- a/libplantainusher/placement/fuzz_test.cc
+++ b/libplantainusher/placement/fuzz_test.cc
@@ -1,4 +1,4 @@
-#include "placement/world_test.h"
+#include "placement/simulation_test.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
@@ -9,46 +9,46 @@
 namespace
 {
 
-constexpr int kOps = 150;
+constexpr int kOperations = 150;
 
 std::string
 Run (unsigned seed, const std::vector<unsigned> &ops, const Breaks &b)
 {
-  World w (seed, b);
-
-  for (size_t i = 0; i < ops.size () && w.fault.empty (); i++)
-    w.Op (ops[i]);
-  if (w.fault.empty ())
-    w.Calm ();
-  pu_fuzz_report::get ().steps += w.steps;
-  pu_fuzz_report::get ().faults += w.faults;
-  return w.fault;
+  Simulation s (seed, b);
+
+  for (size_t i = 0; i < ops.size () && s.violation.empty (); i++)
+    s.RunOperation (ops[i]);
+  if (s.violation.empty ())
+    s.Settle ();
+  pu_fuzz_report::get ().steps += s.steps;
+  pu_fuzz_report::get ().faults += s.faults;
+  return s.violation;
 }
 
 RC_GTEST_PROP (PlacementFuzz, MemoryHoldsAndEveryItemIsReachable, ())
 {
   auto seed = *rc::gen::resize (100, rc::gen::arbitrary<unsigned> ());
-  auto ops
-      = *rc::gen::resize (100, rc::gen::container<std::vector<unsigned> > (
-                                   kOps, rc::gen::arbitrary<unsigned> ()));
+  auto ops = *rc::gen::resize (
+      100, rc::gen::container<std::vector<unsigned> > (
+               kOperations, rc::gen::arbitrary<unsigned> ()));
 
   RC_ASSERT (Run (seed, ops, Breaks ()) == "");
 }
 
-/* The first fault that the break causes over a fixed row of seeds.  */
+/* The first violation that the breaks B cause, over a fixed range of seeds. */
 std::string
-FirstFault (const Breaks &b)
+FirstViolation (const Breaks &b)
 {
   for (unsigned seed = 1; seed <= 200; seed++)
     {
       std::mt19937 rng (seed);
       std::vector<unsigned> ops;
 
-      for (int i = 0; i < kOps; i++)
+      for (int i = 0; i < kOperations; i++)
         ops.push_back (rng ());
-      std::string fault = Run (seed, ops, b);
-      if (!fault.empty ())
-        return fault;
+      std::string violation = Run (seed, ops, b);
+      if (!violation.empty ())
+        return violation;
     }
   return "";
 }
@@ -57,7 +57,7 @@
 {
   const char *name;
   Breaks breaks;
-  const char *fault;
+  const char *violation;
 };
 
 class PlacementBreak : public ::testing::TestWithParam<Case>
@@ -66,24 +66,33 @@
 
 TEST_P (PlacementBreak, IsCaught)
 {
-  EXPECT_NE (FirstFault (GetParam ().breaks).find (GetParam ().fault),
+  EXPECT_NE (FirstViolation (GetParam ().breaks).find (GetParam ().violation),
              std::string::npos);
 }
 
-const char kOver[] = "over its size";
+const char kMemoryExceeded[] = "over its size";
 
 INSTANTIATE_TEST_SUITE_P (
     Each, PlacementBreak,
     ::testing::Values (
-        Case{ "NoCheck", { PU_LEDGER_BREAK_NO_CHECK, 0, 0 }, kOver },
-        Case{ "OwnToken", { PU_LEDGER_BREAK_OWN_TOKEN, 0, 0 }, kOver },
-        Case{ "DownFrees", { PU_LEDGER_BREAK_DOWN_FREES, 0, 0 }, kOver },
-        Case{ "ReleaseOnLostAnswer", { 0, 0, PU_ORDERS_BREAK_LOST }, kOver },
-        Case{ "ReleaseOnTimeout", { 0, 0, PU_ORDERS_BREAK_TIMEOUT }, kOver },
+        Case{ "NoCheck", { PU_LEDGER_BREAK_NO_CHECK, 0, 0 }, kMemoryExceeded },
         Case{
-            "NewLeaderDoesNotWait", { 0, 0, PU_ORDERS_BREAK_NO_WAIT }, kOver },
-        Case{
-            "SentBeforeReserved", { 0, 0, PU_ORDERS_BREAK_UNLOGGED }, kOver },
+            "OwnToken", { PU_LEDGER_BREAK_OWN_TOKEN, 0, 0 }, kMemoryExceeded },
+        Case{ "DownFrees",
+              { PU_LEDGER_BREAK_DOWN_FREES, 0, 0 },
+              kMemoryExceeded },
+        Case{ "ReleaseOnLostAnswer",
+              { 0, 0, PU_ORDERS_BREAK_RELEASE_ON_LOST_ANSWER },
+              kMemoryExceeded },
+        Case{ "ReleaseOnTimeout",
+              { 0, 0, PU_ORDERS_BREAK_TIMEOUT },
+              kMemoryExceeded },
+        Case{ "NewLeaderDoesNotWait",
+              { 0, 0, PU_ORDERS_BREAK_NO_TAKEOVER_WAIT },
+              kMemoryExceeded },
+        Case{ "SentBeforeReserved",
+              { 0, 0, PU_ORDERS_BREAK_SEND_UNRESERVED },
+              kMemoryExceeded },
         Case{ "UnloadLastCopy",
               { 0, PU_PLANNER_BREAK_LAST_COPY, 0 },
               "last ready copy" }),
--- a/libplantainusher/placement/orders.c
+++ b/libplantainusher/placement/orders.c
@@ -6,9 +6,9 @@
 #define DEFAULT_TRANSIT_MS 5000
 #define DEFAULT_REPORT_MS 5000
 #define DEFAULT_RETRY_MS 1000
-#define DEFAULT_LOAD_MS 180000
-#define DEFAULT_UNLOAD_MS 120000
-#define DEFAULT_QUEUE_MS 30000
+#define DEFAULT_LOAD_TIMEOUT_MS 180000
+#define DEFAULT_UNLOAD_TIMEOUT_MS 120000
+#define DEFAULT_QUEUE_TIMEOUT_MS 30000
 #define DEFAULT_BACKOFF_MS 5000
 #define DEFAULT_BACKOFF_MAX_MS 300000
 #define DEFAULT_PER_ENGINE 2
@@ -16,8 +16,9 @@
 #define DEFAULT_LOADS_AT_ONCE 3
 #define RELEASE_RETRY_MS 1000
 #define BACKOFF_DOUBLINGS 8
-/* Retries after which an order to a fenced engine holds back no others.  */
-#define HOLD_RETRIES 2
+/* Retry intervals that an order to a token-checking engine waits for the
+   acknowledgement of an earlier one.  */
+#define ACK_WAIT_RETRIES 2
 
 typedef struct
 {
@@ -25,7 +26,7 @@
   guint64 until;
 } backoff_t;
 
-/* What the last report said of a backend server.  */
+/* A backend server's state by its last report.  */
 typedef struct
 {
   guint64 incarnation;
@@ -41,9 +42,9 @@
   GHashTable *backoffs; /* backend and copy -> backoff_t */
   GHashTable *servers;  /* backend -> server_t */
   guint32 last_id;
-  guint64 quiet_until; /* the leader before may still be heard of */
-  double loads;        /* the store lets begin now */
-  guint64 loads_at;    /* when that was counted */
+  guint64 inherited_until; /* expiry of orders of the previous leader, ms */
+  double load_credit;      /* loads that the store's rate allows now */
+  guint64 load_credit_at;  /* last refill, ms */
 };
 
 void
@@ -54,9 +55,9 @@
   o->transit_ms = DEFAULT_TRANSIT_MS;
   o->report_ms = DEFAULT_REPORT_MS;
   o->retry_ms = DEFAULT_RETRY_MS;
-  o->load_ms = DEFAULT_LOAD_MS;
-  o->unload_ms = DEFAULT_UNLOAD_MS;
-  o->queue_ms = DEFAULT_QUEUE_MS;
+  o->load_timeout_ms = DEFAULT_LOAD_TIMEOUT_MS;
+  o->unload_timeout_ms = DEFAULT_UNLOAD_TIMEOUT_MS;
+  o->queue_timeout_ms = DEFAULT_QUEUE_TIMEOUT_MS;
   o->backoff_ms = DEFAULT_BACKOFF_MS;
   o->backoff_max_ms = DEFAULT_BACKOFF_MAX_MS;
   o->per_engine = DEFAULT_PER_ENGINE;
@@ -81,7 +82,7 @@
 }
 
 static bool
-broken (const pu_orders_t *o, pu_orders_break_t b)
+break_enabled (const pu_orders_t *o, pu_orders_break_t b)
 {
   return (o->o.test_breaks & b) != 0;
 }
@@ -96,11 +97,11 @@
   o->backoffs
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
   o->servers = g_hash_table_new_full (NULL, NULL, NULL, g_free);
-  o->quiet_until = now;
-  if (!broken (o, PU_ORDERS_BREAK_NO_WAIT))
-    o->quiet_until += options->lease_ms + pu_orders_life_ms (options);
-  o->loads = 1;
-  o->loads_at = now;
+  o->inherited_until = now;
+  if (!break_enabled (o, PU_ORDERS_BREAK_NO_TAKEOVER_WAIT))
+    o->inherited_until += options->lease_ms + pu_orders_life_ms (options);
+  o->load_credit = 1;
+  o->load_credit_at = now;
   return o;
 }
 
@@ -189,25 +190,25 @@
 set_state (pu_orders_order_t *r, pu_orders_state_t state, guint64 now)
 {
   r->state = state;
-  r->changed = now;
+  r->state_since = now;
 }
 
-/* Whether something may still come of the order by itself.  */
+/* Whether the order is past the queue and neither done nor failed.  */
 static bool
-under_way (const pu_orders_order_t *r)
+in_flight (const pu_orders_order_t *r)
 {
   return r->state >= PU_ORDERS_PROPOSED && r->state <= PU_ORDERS_ACKED;
 }
 
 static pu_orders_order_t *
-add (pu_orders_t *o, const pu_orders_wish_t *w, guint64 now)
+add_order (pu_orders_t *o, const pu_orders_wish_t *w, guint64 now)
 {
   pu_orders_order_t *r = g_new0 (pu_orders_order_t, 1);
 
   r->id = ++o->last_id;
   r->wish = *w;
   r->wish.reason = g_strdup (w->reason != NULL ? w->reason : "");
-  r->changed = now;
+  r->state_since = now;
   g_ptr_array_add (o->orders, r);
   return r;
 }
@@ -227,21 +228,21 @@
   w.fenced = fenced;
   w.copy = open->copy;
   w.memory_mb = open->memory_mb;
-  w.reason = "taken over";
-  r = add (o, &w, now);
+  w.reason = "adopted from the previous leader";
+  r = add_order (o, &w, now);
   r->token = open->token;
   r->state = PU_ORDERS_SENT;
   r->inherited = true;
   r->ever_sent = true;
   r->send_until = 0;
-  r->life_until = o->quiet_until;
+  r->expires_at = o->inherited_until;
 }
 
 bool
 pu_orders_may_load (const pu_orders_t *o, guint32 backend, bool fenced,
                     guint64 now)
 {
-  if (fenced || now >= o->quiet_until)
+  if (fenced || now >= o->inherited_until)
     return true;
   for (guint i = 0; i < o->orders->len; i++)
     {
@@ -256,7 +257,7 @@
 bool
 pu_orders_quiet (const pu_orders_t *o, guint64 now)
 {
-  if (now >= o->quiet_until)
+  if (now >= o->inherited_until)
     return false;
   for (guint i = 0; i < o->orders->len; i++)
     {
@@ -268,10 +269,10 @@
   return false;
 }
 
-/* Whether an order that is open already stands against W.  A late unload of
-   an engine that ignores tokens could undo a load.  */
+/* Whether the existing order R forbids a new order W.  On an engine that
+   ignores tokens, an unload that arrives late could undo a later load.  */
 static bool
-stands_against (const pu_orders_order_t *r, const pu_orders_wish_t *w)
+conflicts (const pu_orders_order_t *r, const pu_orders_wish_t *w)
 {
   if (r->wish.backend != w->backend || r->wish.copy != w->copy)
     return false;
@@ -294,10 +295,10 @@
     return 0;
   for (guint i = 0; i < o->orders->len; i++)
     {
-      if (stands_against (order_at (o, i), w))
+      if (conflicts (order_at (o, i), w))
         return 0;
     }
-  return add (o, w, now)->id;
+  return add_order (o, w, now)->id;
 }
 
 void
@@ -319,7 +320,7 @@
 }
 
 static void
-fail (pu_orders_t *o, pu_orders_order_t *r, guint64 now)
+fail_order (pu_orders_t *o, pu_orders_order_t *r, guint64 now)
 {
   set_state (r, PU_ORDERS_FAILED, now);
   back_off (o, &r->wish, now);
@@ -333,7 +334,7 @@
 
   if (r == NULL)
     return;
-  r->lost = r->lost || a == PU_ORDERS_LOST;
+  r->answer_lost = r->answer_lost || a == PU_ORDERS_LOST;
   if (a == PU_ORDERS_LOST || r->state != PU_ORDERS_SENT)
     return;
   if (a == PU_ORDERS_ACCEPTED)
@@ -342,7 +343,7 @@
     }
   else
     {
-      fail (o, r, now);
+      fail_order (o, r, now);
     }
 }
 
@@ -357,10 +358,10 @@
   return NULL;
 }
 
-/* What a report of the same incarnation says of the order R.  */
+/* Advances the order R by a report of the same incarnation.  */
 static void
-see (pu_orders_t *o, pu_orders_order_t *r, const pu_ledger_report_t *report,
-     guint64 now)
+apply_report (pu_orders_t *o, pu_orders_order_t *r,
+              const pu_ledger_report_t *report, guint64 now)
 {
   const pu_ledger_held_t *h = find_held (report, r->wish.copy);
   guint64 key = backoff_key (r->wish.backend, r->wish.copy);
@@ -386,7 +387,7 @@
 }
 
 static server_t *
-make_server (pu_orders_t *o, guint32 backend)
+ensure_server (pu_orders_t *o, guint32 backend)
 {
   server_t *v = find_server (o, backend);
 
@@ -397,7 +398,8 @@
   return v;
 }
 
-/* Nothing more is sent of R: its process is gone, or out of reach.  */
+/* Fails R, whose engine process is gone or unreachable, so that it is not sent
+   any more.  A proposed order waits for the result of its reservation.  */
 static void
 stop_sending (pu_orders_order_t *r, guint64 now)
 {
@@ -409,7 +411,7 @@
 pu_orders_report (pu_orders_t *o, const pu_ledger_report_t *report,
                   guint64 now)
 {
-  server_t *v = make_server (o, report->backend);
+  server_t *v = ensure_server (o, report->backend);
 
   v->incarnation = report->incarnation;
   v->token = report->token;
@@ -423,23 +425,23 @@
       if (r->wish.backend != report->backend)
         continue;
       h = find_held (report, r->wish.copy);
-      r->held = h != NULL;
-      r->loading = h != NULL && h->phase == PU_LEDGER_LOADING;
+      r->copy_reported = h != NULL;
+      r->copy_loading = h != NULL && h->phase == PU_LEDGER_LOADING;
       if (r->wish.incarnation != report->incarnation)
         {
           stop_sending (r, now);
         }
       else
         {
-          see (o, r, report, now);
+          apply_report (o, r, report, now);
         }
     }
 }
 
 void
-pu_orders_down (pu_orders_t *o, guint32 backend, guint64 now)
+pu_orders_backend_down (pu_orders_t *o, guint32 backend, guint64 now)
 {
-  make_server (o, backend)->down = true;
+  ensure_server (o, backend)->down = true;
   for (guint i = 0; i < o->orders->len; i++)
     {
       pu_orders_order_t *r = order_at (o, i);
@@ -456,10 +458,11 @@
 
   if (r == NULL)
     return;
-  /* A load may go on when its order can no longer arrive: follow it.  */
+  /* An acknowledged order may still be running on the engine: keep it, to
+     track the result.  */
   if (r->state == PU_ORDERS_ACKED)
     {
-      r->release_at = G_MAXUINT64;
+      r->next_release_at = G_MAXUINT64;
       return;
     }
   g_ptr_array_remove (o->orders, r);
@@ -474,11 +477,12 @@
     return;
   set_state (r, PU_ORDERS_FAILED, now);
   if (!r->ever_sent)
-    r->life_until = now;
+    r->expires_at = now;
 }
 
 static void
-act (GArray *actions, pu_orders_do_t what, const pu_orders_order_t *r)
+add_action (GArray *actions, pu_orders_action_kind_t what,
+            const pu_orders_order_t *r)
 {
   pu_orders_action_t a;
 
@@ -488,7 +492,7 @@
 }
 
 static guint
-count_engine (const pu_orders_t *o, guint32 backend)
+count_in_flight (const pu_orders_t *o, guint32 backend)
 {
   guint n = 0;
 
@@ -496,13 +500,13 @@
     {
       const pu_orders_order_t *r = order_at (o, i);
 
-      n += r->wish.backend == backend && under_way (r);
+      n += r->wish.backend == backend && in_flight (r);
     }
   return n;
 }
 
 static guint
-count_loads (const pu_orders_t *o)
+count_loads_in_flight (const pu_orders_t *o)
 {
   guint n = 0;
 
@@ -510,51 +514,55 @@
     {
       const pu_orders_order_t *r = order_at (o, i);
 
-      n += r->wish.kind == PU_LEDGER_LOAD && under_way (r);
+      n += r->wish.kind == PU_LEDGER_LOAD && in_flight (r);
     }
   return n;
 }
 
-/* At most a second's loads are saved up.  */
+/* Token bucket for the store's rate limit; its capacity is the loads of one
+   second, and at least one load.  */
 static void
-refill (pu_orders_t *o, guint64 now)
+refill_load_credit (pu_orders_t *o, guint64 now)
 {
-  double ms = now - o->loads_at;
+  double ms = now - o->load_credit_at;
 
-  o->loads = MIN (MAX (1.0, o->o.loads_per_s),
-                  o->loads + ms / MS_PER_S * o->o.loads_per_s);
-  o->loads_at = now;
+  o->load_credit = MIN (MAX (1.0, o->o.loads_per_s),
+                        o->load_credit + ms / MS_PER_S * o->o.loads_per_s);
+  o->load_credit_at = now;
 }
 
 static bool
-store_takes (pu_orders_t *o)
+store_allows_load (pu_orders_t *o)
 {
-  return o->loads >= 1.0 && count_loads (o) < o->o.loads_at_once;
+  return o->load_credit >= 1.0
+         && count_loads_in_flight (o) < o->o.loads_at_once;
 }
 
 static void
-propose (pu_orders_t *o, pu_orders_order_t *r, guint64 now, GArray *actions)
+propose_order (pu_orders_t *o, pu_orders_order_t *r, guint64 now,
+               GArray *actions)
 {
   bool load = r->wish.kind == PU_LEDGER_LOAD;
 
-  if (count_engine (o, r->wish.backend) >= o->o.per_engine)
+  if (count_in_flight (o, r->wish.backend) >= o->o.per_engine)
     return;
-  if (load && !store_takes (o))
+  if (load && !store_allows_load (o))
     return;
-  o->loads -= load;
-  r->proposed = now;
+  o->load_credit -= load;
+  r->proposed_at = now;
   r->send_until = now + o->o.send_ms;
-  r->life_until = now + pu_orders_life_ms (&o->o);
+  r->expires_at = now + pu_orders_life_ms (&o->o);
   set_state (r, PU_ORDERS_PROPOSED, now);
-  act (actions, PU_ORDERS_DO_RESERVE, r);
-  if (broken (o, PU_ORDERS_BREAK_UNLOGGED))
-    act (actions, PU_ORDERS_DO_SEND, r);
+  add_action (actions, PU_ORDERS_DO_RESERVE, r);
+  if (break_enabled (o, PU_ORDERS_BREAK_SEND_UNRESERVED))
+    add_action (actions, PU_ORDERS_DO_SEND, r);
 }
 
-/* Whether an order with an earlier token to the same fenced engine should be
-   acknowledged first.  */
+/* Whether R must wait for the acknowledgement of an order with an earlier
+   token to the same token-checking engine.  */
 static bool
-held_back (const pu_orders_t *o, const pu_orders_order_t *r, guint64 now)
+must_wait_for_ack (const pu_orders_t *o, const pu_orders_order_t *r,
+                   guint64 now)
 {
   for (guint i = 0; r->wish.fenced && i < o->orders->len; i++)
     {
@@ -564,31 +572,31 @@
 
       if (q->wish.backend != r->wish.backend || q->token >= r->token)
         continue;
-      if (waits && now < q->proposed + HOLD_RETRIES * o->o.retry_ms)
+      if (waits && now < q->proposed_at + ACK_WAIT_RETRIES * o->o.retry_ms)
         return true;
     }
   return false;
 }
 
 static void
-send (pu_orders_t *o, pu_orders_order_t *r, guint64 now, GArray *actions)
+send_order (pu_orders_t *o, pu_orders_order_t *r, guint64 now, GArray *actions)
 {
   if (r->inherited || now >= r->send_until)
     return;
-  if (r->ever_sent && now < r->last_send + o->o.retry_ms)
+  if (r->ever_sent && now < r->last_sent_at + o->o.retry_ms)
     return;
-  if (!r->ever_sent && held_back (o, r, now))
+  if (!r->ever_sent && must_wait_for_ack (o, r, now))
     return;
   r->ever_sent = true;
-  r->last_send = now;
+  r->last_sent_at = now;
   r->tries++;
   if (r->state == PU_ORDERS_RESERVED)
     set_state (r, PU_ORDERS_SENT, now);
-  act (actions, PU_ORDERS_DO_SEND, r);
+  add_action (actions, PU_ORDERS_DO_SEND, r);
 }
 
 static bool
-is_fenced (const pu_orders_t *o, const pu_orders_order_t *r)
+checks_tokens (const pu_orders_t *o, const pu_orders_order_t *r)
 {
   const server_t *v = find_server (o, r->wish.backend);
 
@@ -605,142 +613,150 @@
          && r->token < v->token;
 }
 
-/* Whether a load was accepted and its copy is not there, though the engine has
-   reported the order's token, or has had the time to report the copy.  */
+/* Whether a load was acknowledged but its copy is absent, although the engine
+   has reported the order's token or has had report_ms to report the copy.  */
 static bool
-came_to_nothing (const pu_orders_t *o, const pu_orders_order_t *r, guint64 now)
+acked_but_absent (const pu_orders_t *o, const pu_orders_order_t *r,
+                  guint64 now)
 {
   const server_t *v = find_server (o, r->wish.backend);
 
-  if (r->wish.kind != PU_LEDGER_LOAD || r->state != PU_ORDERS_ACKED || r->held)
+  if (r->wish.kind != PU_LEDGER_LOAD || r->state != PU_ORDERS_ACKED
+      || r->copy_reported)
     return false;
   if (v == NULL || v->down || v->incarnation != r->wish.incarnation)
     return false;
-  return v->token >= r->token || now >= r->changed + o->o.report_ms;
+  return v->token >= r->token || now >= r->state_since + o->o.report_ms;
 }
 
-/* Whether the order has had its time: no answer within its life, or accepted
-   and not done.  */
+/* Whether the order has failed: no answer within its lifetime, acknowledged
+   but not done in time, or fenced off without effect.  */
 static bool
-too_late (const pu_orders_t *o, const pu_orders_order_t *r, guint64 now)
+has_failed (const pu_orders_t *o, const pu_orders_order_t *r, guint64 now)
 {
-  guint64 limit
-      = r->wish.kind == PU_LEDGER_LOAD ? o->o.load_ms : o->o.unload_ms;
+  guint64 limit = r->wish.kind == PU_LEDGER_LOAD ? o->o.load_timeout_ms
+                                                 : o->o.unload_timeout_ms;
 
-  if (under_way (r) && fenced_off (o, r) && !r->held)
+  if (in_flight (r) && fenced_off (o, r) && !r->copy_reported)
     return true;
-  if (came_to_nothing (o, r, now))
+  if (acked_but_absent (o, r, now))
     return true;
   switch (r->state)
     {
     case PU_ORDERS_RESERVED:
     case PU_ORDERS_SENT:
-      /* One of the leader before shows soon, or may be fenced off.  */
-      if (r->inherited && is_fenced (o, r))
-        return now >= r->changed + o->o.report_ms;
-      return now >= r->life_until;
+      /* An inherited order shows in a report within report_ms; otherwise it
+         fails now, so that it can be fenced off.  */
+      if (r->inherited && checks_tokens (o, r))
+        return now >= r->state_since + o->o.report_ms;
+      return now >= r->expires_at;
     case PU_ORDERS_ACKED:
-      return now >= r->changed + limit;
+      return now >= r->state_since + limit;
     default:
       return false;
     }
 }
 
 static void
-advance (pu_orders_t *o, pu_orders_order_t *r, guint64 now, GArray *actions)
+advance_order (pu_orders_t *o, pu_orders_order_t *r, guint64 now,
+               GArray *actions)
 {
-  if (too_late (o, r, now))
+  if (has_failed (o, r, now))
     {
-      fail (o, r, now);
-      act (actions, PU_ORDERS_DO_FAIL, r);
+      fail_order (o, r, now);
+      add_action (actions, PU_ORDERS_DO_FAIL, r);
       return;
     }
   if (r->state == PU_ORDERS_QUEUED)
     {
-      propose (o, r, now, actions);
+      propose_order (o, r, now, actions);
     }
   else if (r->state == PU_ORDERS_RESERVED || r->state == PU_ORDERS_SENT)
     {
-      send (o, r, now, actions);
+      send_order (o, r, now, actions);
     }
 }
 
-/* Whether the ledger takes a RELEASE of R when its life is over.  */
+/* Whether the ledger accepts a RELEASE of R after its lifetime.  */
 static bool
-life_ends (const pu_orders_t *o, const pu_orders_order_t *r)
+may_release (const pu_orders_t *o, const pu_orders_order_t *r)
 {
   if (r->wish.kind == PU_LEDGER_UNLOAD)
-    return !r->ever_sent || !is_fenced (o, r) || !r->held;
-  return !r->loading && (!is_fenced (o, r) || fenced_off (o, r));
+    return !r->ever_sent || !checks_tokens (o, r) || !r->copy_reported;
+  return !r->copy_loading && (!checks_tokens (o, r) || fenced_off (o, r));
 }
 
-/* The deliberate faults of the tests.  */
+/* Whether a deliberate fault of the tests (pu_orders_break_t) releases R
+   before the end of its lifetime.  */
 static bool
-released_early (const pu_orders_t *o, const pu_orders_order_t *r, guint64 now)
+break_releases (const pu_orders_t *o, const pu_orders_order_t *r, guint64 now)
 {
   if (r->state != PU_ORDERS_SENT || r->inherited)
     return false;
-  if (broken (o, PU_ORDERS_BREAK_TIMEOUT))
-    return now >= r->proposed + o->o.retry_ms;
-  return r->lost && broken (o, PU_ORDERS_BREAK_LOST);
+  if (break_enabled (o, PU_ORDERS_BREAK_TIMEOUT))
+    return now >= r->proposed_at + o->o.retry_ms;
+  return r->answer_lost
+         && break_enabled (o, PU_ORDERS_BREAK_RELEASE_ON_LOST_ANSWER);
 }
 
 static void
-release (pu_orders_t *o, pu_orders_order_t *r, guint64 now, GArray *actions)
+release_order (pu_orders_t *o, pu_orders_order_t *r, guint64 now,
+               GArray *actions)
 {
-  bool over = now >= r->life_until && life_ends (o, r);
+  bool over = now >= r->expires_at && may_release (o, r);
 
-  if (r->token == 0 || r->release_at > now)
+  if (r->token == 0 || r->next_release_at > now)
     return;
-  if (!over && !released_early (o, r, now))
+  if (!over && !break_releases (o, r, now))
     return;
-  r->release_at = now + RELEASE_RETRY_MS;
-  act (actions, PU_ORDERS_DO_RELEASE, r);
+  r->next_release_at = now + RELEASE_RETRY_MS;
+  add_action (actions, PU_ORDERS_DO_RELEASE, r);
 }
 
-/* Asks for a later token where an order that may still arrive, if doubled,
-   stands in the way: a load whose copy is not there by its memory, an unload
-   that was given up by its copy.  */
+/* Requests a later token where a delayed or duplicate delivery of R could
+   still take effect: a load whose copy is absent keeps its memory reserved,
+   and a failed unload could still remove the copy that is there.  */
 static void
-fence (pu_orders_t *o, const pu_orders_order_t *r, GArray *actions)
+fence_order (pu_orders_t *o, const pu_orders_order_t *r, GArray *actions)
 {
   const server_t *v = find_server (o, r->wish.backend);
   bool load = r->wish.kind == PU_LEDGER_LOAD;
   bool over
       = r->state == PU_ORDERS_FAILED || (r->state == PU_ORDERS_DONE && load);
 
-  if (!over || r->token == 0 || r->held == load || fenced_off (o, r))
+  if (!over || r->token == 0 || r->copy_reported == load || fenced_off (o, r))
     return;
   if (v == NULL || v->down || !v->fenced)
     return;
-  if (r->release_at != G_MAXUINT64 && count_engine (o, r->wish.backend) == 0)
-    act (actions, PU_ORDERS_DO_FENCE, r);
+  if (r->next_release_at != G_MAXUINT64
+      && count_in_flight (o, r->wish.backend) == 0)
+    add_action (actions, PU_ORDERS_DO_FENCE, r);
 }
 
 static bool
-forgotten (const pu_orders_t *o, const pu_orders_order_t *r, guint64 now)
+is_removable (const pu_orders_t *o, const pu_orders_order_t *r, guint64 now)
 {
   bool over = r->state >= PU_ORDERS_DONE;
 
   if (r->state == PU_ORDERS_QUEUED)
-    return now >= r->changed + o->o.queue_ms;
-  return over && (r->token == 0 || r->release_at == G_MAXUINT64);
+    return now >= r->state_since + o->o.queue_timeout_ms;
+  return over && (r->token == 0 || r->next_release_at == G_MAXUINT64);
 }
 
 void
 pu_orders_step (pu_orders_t *o, guint64 now, GArray *actions)
 {
-  refill (o, now);
+  refill_load_credit (o, now);
   for (guint i = 0; i < o->orders->len; i++)
-    advance (o, order_at (o, i), now, actions);
+    advance_order (o, order_at (o, i), now, actions);
   for (guint i = 0; i < o->orders->len; i++)
     {
-      release (o, order_at (o, i), now, actions);
-      fence (o, order_at (o, i), actions);
+      release_order (o, order_at (o, i), now, actions);
+      fence_order (o, order_at (o, i), actions);
     }
   for (guint i = o->orders->len; i-- > 0;)
     {
-      if (forgotten (o, order_at (o, i), now))
+      if (is_removable (o, order_at (o, i), now))
         g_ptr_array_remove_index (o->orders, i);
     }
 }
--- a/libplantainusher/placement/orders.h
+++ b/libplantainusher/placement/orders.h
@@ -9,45 +9,50 @@
 G_BEGIN_DECLS
 
 /*
- * orders - what the leader has asked of the engines, and what became of it.
+ * orders - the load and unload orders of the leader and their state.
  *
- * An order is wanted, reserved in the log (its log position is its fencing
- * token), sent, acknowledged and seen done in the engine's report:
+ * Pure: no I/O, no clock.  `now` is monotonic milliseconds.
+ *
+ * An order is queued, reserved in the log (its log position is its fencing
+ * token), sent, acknowledged, and done when the engine's report shows it:
  *
  *   QUEUED -> PROPOSED -> RESERVED -> SENT -> ACKED -> DONE
- *                                        \-> FAILED (refused, or too late)
+ *                                        \-> FAILED (refused or timed out)
  *
  * An order in any state after PROPOSED counts in the ledger until it is
- * closed.  DONE and FAILED say nothing about memory.
+ * closed.  The states DONE and FAILED do not free its memory.
  *
  * Engines that check tokens.  A load counts until the engine reports a later
- * token: no clock is trusted, an order that has reached the engine may wait
- * there for any time.  Where a given-up order stands in the way, DO_FENCE asks
- * for another order for the same copy, which carries the later token.
+ * token.  Elapsed time is no proof, since an order that has reached the engine
+ * may wait there for any time.  Where a failed order could still take effect,
+ * the action DO_FENCE requests another order for the same copy, which has a
+ * later token.
  *
- * Engines that ignore tokens.  The end of its life ends an order, by
- * RELEASE.  It may be sent, and sent again, until `send_ms` after it was
- * proposed; what is sent takes effect within `transit_ms` or never; and what
- * took effect is in the ledger within `report_ms`, or the engine's lease is
- * lost.  Life is the sum, counted from the proposal, so an order sent late
- * cannot take effect after it.  Those who send and report must keep to it:
- * each send uses a fresh connection, reset at the end of the transit time; a
- * report older than `report_ms` is dropped, never proposed.
+ * Engines that ignore tokens.  An order ends by RELEASE at the end of its
+ * lifetime.  It may be sent, and sent again, until `send_ms` after it was
+ * proposed.  A message takes effect within `transit_ms` or never.  Its effect
+ * is in the ledger within `report_ms`, or the engine's lease is lost.  The
+ * lifetime is the sum of the three, counted from the proposal, so an order
+ * that is sent late cannot take effect after it.  Senders and reporters must
+ * keep to these limits: each send uses a new connection, which is reset at the
+ * end of the transit time; a report older than `report_ms` is dropped and
+ * never proposed.
  *
- * A new leader does not know when the one before it last sent.  That was
- * while it held its lease; so the orders that the new leader finds in the log
- * live for `lease_ms` and a whole life after it took over, and for as long it
- * orders no loads on the engines that they are for and that ignore tokens.
- * To an engine without an open order in the log nothing is under way: each
- * order, load or unload, is in the log before it is sent, and stays open
- * until the end of its life.  Make a new pu_orders_t at each take-over, when
- * the log up to the new term is applied, and adopt the open orders of the
- * state.
+ * Take-over.  A new leader does not know when the previous one last sent, only
+ * that this was while the previous one held its lease.  Orders that the new
+ * leader finds in the log therefore live for `lease_ms` plus one full lifetime
+ * after the take-over.  For that time the new leader orders no loads on the
+ * engines that these orders are for and that ignore tokens.  An engine without
+ * an open order in the log has none in flight: each order, load or unload, is
+ * in the log before it is sent, and stays open until the end of its lifetime.
+ * Create a new pu_orders_t at each take-over, when the log is applied up to
+ * the new term, and adopt the open orders of the replicated state.
  *
- * The store's limits on loads, a second and at once, and the limit on orders
- * under way to one engine hold back proposals.  Orders to an engine that
- * checks tokens are sent by rising token, each after the one before it was
- * acknowledged, or has not been for two retries.
+ * Limits.  Proposals wait for the weights store's limits on loads per second
+ * and on concurrent loads, and for the limit on orders in flight to one
+ * engine.  Orders to an engine that checks tokens are sent by increasing
+ * token: each waits until the previous one is acknowledged, or until two retry
+ * intervals after the proposal of the previous one.
  */
 
 typedef struct pu_orders pu_orders_t;
@@ -63,149 +68,160 @@
   PU_ORDERS_FAILED
 } pu_orders_state_t;
 
-/* How an engine answered.  */
+/* The engine's answer to an order, by HTTP status.  */
 typedef enum
 {
   PU_ORDERS_ACCEPTED,  /* 202 */
   PU_ORDERS_OLD_TOKEN, /* 409 */
   PU_ORDERS_NO_MEMORY, /* 507 */
-  PU_ORDERS_REFUSED,   /* another error */
-  PU_ORDERS_LOST       /* no answer: nothing is known */
+  PU_ORDERS_REFUSED,   /* any other error */
+  PU_ORDERS_LOST       /* no answer: the order may have arrived or not */
 } pu_orders_answer_t;
 
-/* What is wanted of an engine.  */
+/* What an order asks of an engine.  */
 typedef struct
 {
   pu_ledger_kind_t kind;
   guint32 backend;
   guint64 incarnation;
-  bool fenced; /* checks tokens */
+  bool fenced; /* the engine checks tokens */
   guint32 copy;
-  guint32 memory_mb;
+  guint32 memory_mb; /* on each accelerator */
   const char *reason;
 } pu_orders_wish_t;
 
+/* An order.  Times are monotonic milliseconds.  */
 typedef struct
 {
-  guint32 id; /* of this object's own; never 0 */
+  guint32 id; /* assigned by pu_orders_want; never 0 */
   pu_orders_state_t state;
-  pu_orders_wish_t wish; /* its reason lives as long as the order */
-  guint64 token;         /* 0 before it is reserved */
-  bool inherited;        /* from the leader before */
+  pu_orders_wish_t wish; /* its reason is owned by the order */
+  guint64 token;         /* 0 until the order is reserved */
+  bool inherited;        /* from the previous leader */
   bool ever_sent;
-  bool lost;    /* an answer was */
-  bool held;    /* the copy was in the last report */
-  bool loading; /* and loading */
+  bool answer_lost;   /* at least one send had no answer */
+  bool copy_reported; /* the last report lists the copy */
+  bool copy_loading;  /* the last report lists the copy as loading */
   guint32 tries;
-  guint64 proposed; /* when, in ms; here and below */
-  guint64 last_send;
-  guint64 send_until; /* never sent after */
-  guint64 life_until; /* cannot take effect after */
-  guint64 changed;    /* its state */
-  guint64 release_at; /* next RELEASE, when it was asked already; G_MAXUINT64
-                         when the ledger has closed it */
+  guint64 proposed_at;
+  guint64 last_sent_at;
+  guint64 send_until;      /* not sent from then on */
+  guint64 expires_at;      /* cannot take effect after this */
+  guint64 state_since;     /* last change of state */
+  guint64 next_release_at; /* when RELEASE may be proposed again; G_MAXUINT64
+                              when the ledger has closed the order */
 } pu_orders_order_t;
 
 typedef enum
 {
   PU_ORDERS_DO_RESERVE, /* propose RESERVE; answer by pu_orders_reserved */
   PU_ORDERS_DO_SEND,    /* send to the engine; answer by pu_orders_answer */
-  PU_ORDERS_DO_RELEASE, /* propose RELEASE: its life is over */
-  PU_ORDERS_DO_FENCE,   /* want another order for the same copy */
-  PU_ORDERS_DO_FAIL     /* given up; only to be told */
-} pu_orders_do_t;
+  PU_ORDERS_DO_RELEASE, /* propose RELEASE: the lifetime is over */
+  PU_ORDERS_DO_FENCE,   /* queue another order for the same copy */
+  PU_ORDERS_DO_FAIL     /* the order failed; for information only */
+} pu_orders_action_kind_t;
 
 typedef struct
 {
-  pu_orders_do_t what;
-  pu_orders_order_t order; /* as it is now */
+  pu_orders_action_kind_t what;
+  pu_orders_order_t order; /* a snapshot */
 } pu_orders_action_t;
 
 /* Deliberate faults for the tests that show the checks can fail.  */
 typedef enum
 {
   PU_ORDERS_BREAK_NONE = 0,
-  PU_ORDERS_BREAK_LOST = 1,    /* release on a lost answer */
+  PU_ORDERS_BREAK_RELEASE_ON_LOST_ANSWER = 1, /* release on a lost answer */
   PU_ORDERS_BREAK_TIMEOUT = 2, /* release on a timeout without proof */
-  PU_ORDERS_BREAK_NO_WAIT = 4, /* a new leader does not wait */
-  PU_ORDERS_BREAK_UNLOGGED = 8 /* sent before it is reserved */
+  PU_ORDERS_BREAK_NO_TAKEOVER_WAIT = 4, /* a new leader does not wait */
+  PU_ORDERS_BREAK_SEND_UNRESERVED = 8   /* sent before it is reserved */
 } pu_orders_break_t;
 
 typedef struct
 {
-  guint64 lease_ms; /* of a leader */
-  guint64 send_ms;
-  guint64 transit_ms;
-  guint64 report_ms;  /* from a change on an engine until it is applied */
-  guint64 retry_ms;   /* between sends of the same order */
-  guint64 load_ms;    /* from reserved to ready, else given up */
-  guint64 unload_ms;  /* from reserved to gone: a drain may take long */
-  guint64 queue_ms;   /* wanted but not proposed, then dropped */
-  guint64 backoff_ms; /* after a failure; doubles */
+  guint64 lease_ms;          /* lease of a leader */
+  guint64 send_ms;           /* from the proposal to the last send */
+  guint64 transit_ms;        /* from a send until it takes effect, or never */
+  guint64 report_ms;         /* from a change on an engine until the report of
+                                it is applied */
+  guint64 retry_ms;          /* between two sends of the same order */
+  guint64 load_timeout_ms;   /* from acknowledged to ready, else failed */
+  guint64 unload_timeout_ms; /* from acknowledged to gone, else failed; long,
+                                since a drain may take long */
+  guint64 queue_timeout_ms;  /* queued but not proposed, then dropped */
+  guint64 backoff_ms;        /* after the first failure; doubles with each */
   guint64 backoff_max_ms;
-  guint per_engine;    /* orders under way to one engine */
-  double loads_per_s;  /* of the store */
-  guint loads_at_once; /* of the store at full speed */
+  guint per_engine;    /* orders in flight to one engine */
+  double loads_per_s;  /* rate limit of the weights store */
+  guint loads_at_once; /* concurrent loads that the store serves at full
+                          speed */
   guint test_breaks;   /* pu_orders_break_t; 0 outside tests */
 } pu_orders_options_t;
 
 void pu_orders_options_init (pu_orders_options_t *o);
 
-/* pu_orders_life_ms - `life_ms` of the order records in the log.  */
+/* pu_orders_life_ms - the lifetime of an order, `life_ms` of the order records
+   in the log.  */
 guint64 pu_orders_life_ms (const pu_orders_options_t *o);
 
-/* pu_orders_new - for a leader that took over at NOW.  */
+/* pu_orders_new - creates the orders of a leader that took over at NOW.  */
 pu_orders_t *pu_orders_new (const pu_orders_options_t *o, guint64 now);
 void pu_orders_free (pu_orders_t *o);
 
-/* pu_orders_set_store - the store's limits from now on.  */
+/* pu_orders_set_store - replaces the limits of the weights store.  */
 void pu_orders_set_store (pu_orders_t *o, double loads_per_s,
                           guint loads_at_once);
 
-/* pu_orders_adopt - takes over an order that is open in the state.  */
+/* pu_orders_adopt - takes over an order that the replicated state has as
+   open.  FENCED: its engine checks tokens.  */
 void pu_orders_adopt (pu_orders_t *o, const pu_ledger_order_t *open,
                       bool fenced, guint64 now);
 
-/* pu_orders_may_load - whether loads may be ordered on BACKEND, which is
-   FENCED or not: not yet for a new leader and one that is not, while an order
-   of the leader before may be under way to it.  */
+/* pu_orders_may_load - whether loads may be ordered on BACKEND.  FENCED: its
+   engine checks tokens.  False only for an engine that ignores tokens, while
+   an order of the previous leader may be in flight to it.  */
 bool pu_orders_may_load (const pu_orders_t *o, guint32 backend, bool fenced,
                          guint64 now);
 
-/* pu_orders_quiet - whether any backend server gets no loads for that.  */
+/* pu_orders_quiet - whether any backend server takes no loads because of an
+   order of the previous leader.  */
 bool pu_orders_quiet (const pu_orders_t *o, guint64 now);
 
 /* pu_orders_want - queues an order.  Returns its id, or 0 when it is refused:
-   another order for the same copy there is under way, the copy's last
-   failures hold it back, or pu_orders_may_load says no.  */
+   it conflicts with another order for the same copy on the same backend
+   server, the back-off after failures of that copy there is not over, or
+   pu_orders_may_load forbids the load.  */
 guint32 pu_orders_want (pu_orders_t *o, const pu_orders_wish_t *w,
                         guint64 now);
 
-/* pu_orders_reserved - RESERVE for the order ID was applied with TOKEN, or
-   refused (ACCEPTED false).  */
+/* pu_orders_reserved - handles the result of RESERVE for the order ID: applied
+   with TOKEN, or refused (ACCEPTED false).  */
 void pu_orders_reserved (pu_orders_t *o, guint32 id, bool accepted,
                          guint64 token, guint64 now);
 
-/* pu_orders_answer - the engine answered the order TOKEN.  An answer for an
-   order that is not known, or doubled, is no harm.  */
+/* pu_orders_answer - handles the engine's answer to the order TOKEN.  An
+   answer for an unknown order and a duplicate answer are ignored.  */
 void pu_orders_answer (pu_orders_t *o, guint64 token, pu_orders_answer_t a,
                        guint64 now);
 
-/* pu_orders_report - what a backend server reported; the ledger has taken it
-   in already.  */
+/* pu_orders_report - handles a report of a backend server, after the ledger
+   has applied it.  */
 void pu_orders_report (pu_orders_t *o, const pu_ledger_report_t *r,
                        guint64 now);
 
-/* pu_orders_down - BACKEND lost its lease: nothing more is sent to it.  */
-void pu_orders_down (pu_orders_t *o, guint32 backend, guint64 now);
+/* pu_orders_backend_down - handles the loss of BACKEND's lease: nothing more
+   is sent to it.  */
+void pu_orders_backend_down (pu_orders_t *o, guint32 backend, guint64 now);
 
-/* pu_orders_closed - the ledger counts the order TOKEN no more.  */
+/* pu_orders_closed - handles that the ledger no longer counts the order
+   TOKEN.  */
 void pu_orders_closed (pu_orders_t *o, guint64 token);
 
-/* pu_orders_cancel - the order ID is not sent any more.  */
+/* pu_orders_cancel - stops sending the order ID.  */
 void pu_orders_cancel (pu_orders_t *o, guint32 id, guint64 now);
 
-/* pu_orders_step - appends what is to be done now (pu_orders_action_t).  */
+/* pu_orders_step - appends the actions that are due (pu_orders_action_t) to
+   ACTIONS.  */
 void pu_orders_step (pu_orders_t *o, guint64 now, GArray *actions);
 
 /* pu_orders_count, pu_orders_get - the orders that are not closed, oldest
@@ -213,8 +229,9 @@
 guint pu_orders_count (const pu_orders_t *o);
 const pu_orders_order_t *pu_orders_get (const pu_orders_t *o, guint i);
 
-/* pu_orders_failures - failures of COPY on BACKEND in a row; UNTIL, when not
-   NULL, is set to the end of its back-off.  */
+/* pu_orders_failures - the number of consecutive failures of COPY on BACKEND;
+   UNTIL, when not NULL, is set to the end of the back-off, or to 0 when there
+   was no failure.  */
 guint pu_orders_failures (const pu_orders_t *o, guint32 backend, guint32 copy,
                           guint64 *until);
 
--- a/libplantainusher/placement/placement.c
+++ b/libplantainusher/placement/placement.c
@@ -2,17 +2,17 @@
 
 #include <string.h>
 
-/* Before the planner tries the same again.  */
-#define REFUSED_WAIT_MS 2000
+/* How long the planner is kept from a load that could not be queued.  */
+#define REFUSED_RETRY_MS 2000
 
 typedef struct
 {
-  bool named;
+  bool known;
   guint32 item;
   guint32 version;
-} name_t;
+} copy_id_t;
 
-/* A backend server as last told.  */
+/* A backend server's state by the last pu_placement_backend.  */
 typedef struct
 {
   bool known;
@@ -28,12 +28,13 @@
   pu_placement_options_t o;
   pu_planner_t *planner;
   pu_orders_t *orders;
-  GArray *names;       /* of name_t, by copy */
-  GHashTable *copies;  /* item and version -> copy */
-  GArray *servers;     /* of server_t, by backend */
-  GPtrArray *mine;     /* scratch: the orders to one backend server */
-  GArray *next;        /* scratch, of guint: chains of orders by backend */
-  GArray *wanted;      /* scratch, of pu_move_t */
+  GArray *copy_ids;          /* of copy_id_t, by copy */
+  GHashTable *copies;        /* item and version -> copy + 1 */
+  GArray *servers;           /* of server_t, by backend */
+  GPtrArray *backend_orders; /* scratch: the orders to one backend server */
+  GArray *next;        /* scratch, of guint: linked lists of orders, one list
+                          for each backend server */
+  GArray *moves;       /* scratch, of pu_move_t */
   GArray *plan_copies; /* scratch, of pu_plan_copy_t */
   GString *reason;     /* scratch */
 };
@@ -55,14 +56,14 @@
   pl->o = *o;
   pl->planner = pu_planner_new (&o->planner);
   pl->orders = pu_orders_new (&o->orders, now);
-  pl->names = g_array_new (FALSE, TRUE, sizeof (name_t));
+  pl->copy_ids = g_array_new (FALSE, TRUE, sizeof (copy_id_t));
   pl->copies
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, NULL);
   pl->servers = g_array_new (FALSE, TRUE, sizeof (server_t));
   g_array_set_clear_func (pl->servers, clear_server);
-  pl->mine = g_ptr_array_new ();
+  pl->backend_orders = g_ptr_array_new ();
   pl->next = g_array_new (FALSE, FALSE, sizeof (guint));
-  pl->wanted = g_array_new (FALSE, FALSE, sizeof (pu_move_t));
+  pl->moves = g_array_new (FALSE, FALSE, sizeof (pu_move_t));
   pl->plan_copies = g_array_new (FALSE, FALSE, sizeof (pu_plan_copy_t));
   pl->reason = g_string_new (NULL);
   return pl;
@@ -75,12 +76,12 @@
     return;
   pu_planner_free (pl->planner);
   pu_orders_free (pl->orders);
-  g_array_unref (pl->names);
+  g_array_unref (pl->copy_ids);
   g_hash_table_unref (pl->copies);
   g_array_unref (pl->servers);
-  g_ptr_array_unref (pl->mine);
+  g_ptr_array_unref (pl->backend_orders);
   g_array_unref (pl->next);
-  g_array_unref (pl->wanted);
+  g_array_unref (pl->moves);
   g_array_unref (pl->plan_copies);
   g_string_free (pl->reason, TRUE);
   g_free (pl);
@@ -99,7 +100,7 @@
 }
 
 static guint64
-name_key (guint32 item, guint32 version)
+copy_key (guint32 item, guint32 version)
 {
   return (guint64)item << 32 | version;
 }
@@ -108,13 +109,13 @@
 pu_placement_name_copy (pu_placement_t *pl, guint32 copy, guint32 item,
                         guint32 version)
 {
-  guint64 key = name_key (item, version);
-  name_t *n;
+  guint64 key = copy_key (item, version);
+  copy_id_t *n;
 
-  if (pl->names->len <= copy)
-    g_array_set_size (pl->names, copy + 1);
-  n = &g_array_index (pl->names, name_t, copy);
-  n->named = true;
+  if (pl->copy_ids->len <= copy)
+    g_array_set_size (pl->copy_ids, copy + 1);
+  n = &g_array_index (pl->copy_ids, copy_id_t, copy);
+  n->known = true;
   n->item = item;
   n->version = version;
   g_hash_table_insert (pl->copies, g_memdup2 (&key, sizeof key),
@@ -122,19 +123,19 @@
 }
 
 static bool
-find_name (const pu_placement_t *pl, guint32 copy, name_t *n)
+find_copy_id (const pu_placement_t *pl, guint32 copy, copy_id_t *n)
 {
-  if (copy >= pl->names->len)
+  if (copy >= pl->copy_ids->len)
     return false;
-  *n = g_array_index (pl->names, name_t, copy);
-  return n->named;
+  *n = g_array_index (pl->copy_ids, copy_id_t, copy);
+  return n->known;
 }
 
 static bool
 find_copy (const pu_placement_t *pl, guint32 item, guint32 version,
            guint32 *copy)
 {
-  guint64 key = name_key (item, version);
+  guint64 key = copy_key (item, version);
   gpointer v = g_hash_table_lookup (pl->copies, &key);
 
   *copy = GPOINTER_TO_UINT (v) - 1;
@@ -152,17 +153,17 @@
   return s->known ? s : NULL;
 }
 
-/* Whether an unload of COPY is under way, or was given up and may still
-   arrive.  */
+/* Whether an unload of COPY is in flight, or failed and may still arrive.
+   Reads pl->backend_orders.  */
 static bool
 may_be_unloaded (const pu_placement_t *pl, guint32 copy)
 {
-  for (guint i = 0; i < pl->mine->len; i++)
+  for (guint i = 0; i < pl->backend_orders->len; i++)
     {
-      const pu_orders_order_t *r = g_ptr_array_index (pl->mine, i);
+      const pu_orders_order_t *r = g_ptr_array_index (pl->backend_orders, i);
 
       if (r->wish.copy == copy && r->wish.kind == PU_LEDGER_UNLOAD
-          && r->state != PU_ORDERS_DONE && r->release_at != G_MAXUINT64)
+          && r->state != PU_ORDERS_DONE && r->next_release_at != G_MAXUINT64)
         return true;
     }
   return false;
@@ -182,9 +183,9 @@
                pu_plan_phase_t phase)
 {
   pu_plan_copy_t c;
-  name_t n;
+  copy_id_t n;
 
-  if (!find_name (pl, copy, &n))
+  if (!find_copy_id (pl, copy, &n))
     return;
   c.item = n.item;
   c.version = n.version;
@@ -194,7 +195,7 @@
 }
 
 static bool
-holds (const server_t *s, guint32 copy)
+holds_copy (const server_t *s, guint32 copy)
 {
   for (guint i = 0; i < s->held->len; i++)
     {
@@ -204,16 +205,16 @@
   return false;
 }
 
-/* Whether an earlier order of pl->mine loads the same copy as the one at
-   INDEX: a leader change may leave several.  */
+/* Whether an earlier order of pl->backend_orders loads the same copy as the
+   one at INDEX.  There may be several after a change of leader.  */
 static bool
-ordered_before (const pu_placement_t *pl, guint index)
+has_earlier_load (const pu_placement_t *pl, guint index)
 {
-  const pu_orders_order_t *r = g_ptr_array_index (pl->mine, index);
+  const pu_orders_order_t *r = g_ptr_array_index (pl->backend_orders, index);
 
   for (guint i = 0; i < index; i++)
     {
-      const pu_orders_order_t *o = g_ptr_array_index (pl->mine, i);
+      const pu_orders_order_t *o = g_ptr_array_index (pl->backend_orders, i);
 
       if (o->wish.kind == PU_LEDGER_LOAD && o->state <= PU_ORDERS_ACKED
           && o->wish.copy == r->wish.copy)
@@ -222,19 +223,19 @@
   return false;
 }
 
-/* Adds the loads under way; returns the memory that the ledger does not
-   count yet.  */
+/* Adds the copies that are ordered but not reported yet to pl->plan_copies.
+   Returns the MB of those that the ledger does not count yet.  */
 static guint32
-add_ordered (pu_placement_t *pl, const server_t *s)
+add_ordered_copies (pu_placement_t *pl, const server_t *s)
 {
   guint32 unreserved = 0;
 
-  for (guint i = 0; i < pl->mine->len; i++)
+  for (guint i = 0; i < pl->backend_orders->len; i++)
     {
-      const pu_orders_order_t *r = g_ptr_array_index (pl->mine, i);
+      const pu_orders_order_t *r = g_ptr_array_index (pl->backend_orders, i);
 
       if (r->wish.kind != PU_LEDGER_LOAD || r->state > PU_ORDERS_ACKED
-          || holds (s, r->wish.copy) || ordered_before (pl, i))
+          || holds_copy (s, r->wish.copy) || has_earlier_load (pl, i))
         continue;
       if (r->state < PU_ORDERS_RESERVED)
         unreserved += r->wish.memory_mb;
@@ -243,9 +244,10 @@
   return unreserved;
 }
 
-/* Tells the planner how BACKEND stands now; its orders are in pl->mine.  */
+/* Updates the planner's state of BACKEND, whose orders must be in
+   pl->backend_orders.  */
 static void
-tell_planner (pu_placement_t *pl, guint32 backend, guint64 now)
+update_planner_engine (pu_placement_t *pl, guint32 backend, guint64 now)
 {
   const server_t *s = find_server (pl, backend);
   pu_plan_engine_t e = { 0 };
@@ -260,7 +262,8 @@
 
       add_plan_copy (pl, h->copy, h->memory_mb, plan_phase (pl, h));
     }
-  e.committed_mb = pl->o.committed (pl->o.data, backend) + add_ordered (pl, s);
+  e.committed_mb
+      = pl->o.committed (pl->o.data, backend) + add_ordered_copies (pl, s);
   e.zone = s->zone;
   e.accelerators = s->report.accelerators;
   e.memory_mb = s->report.memory_mb;
@@ -273,35 +276,37 @@
 }
 
 static void
-find_mine (pu_placement_t *pl, guint32 backend)
+find_backend_orders (pu_placement_t *pl, guint32 backend)
 {
-  g_ptr_array_set_size (pl->mine, 0);
+  g_ptr_array_set_size (pl->backend_orders, 0);
   for (guint i = 0; i < pu_orders_count (pl->orders); i++)
     {
       const pu_orders_order_t *r = pu_orders_get (pl->orders, i);
 
       if (r->wish.backend == backend)
-        g_ptr_array_add (pl->mine, (gpointer)r);
+        g_ptr_array_add (pl->backend_orders, (gpointer)r);
     }
 }
 
 static void
-refresh (pu_placement_t *pl, guint32 backend, guint64 now)
+refresh_engine (pu_placement_t *pl, guint32 backend, guint64 now)
 {
-  find_mine (pl, backend);
-  tell_planner (pl, backend, now);
+  find_backend_orders (pl, backend);
+  update_planner_engine (pl, backend, now);
 }
 
-/* The same for all backend servers, with one pass over the orders.  */
+/* Like refresh_engine for all backend servers, with one pass over the
+   orders.  */
 static void
-refresh_all (pu_placement_t *pl, guint64 now)
+refresh_all_engines (pu_placement_t *pl, guint64 now)
 {
   guint n = pu_orders_count (pl->orders);
   guint *next;
 
   if (pl->servers->len == 0)
     return;
-  /* next[n + b] is the first order to b, next[i] the one after order i.  */
+  /* next[n + b] is the index of the first order to backend server b, and
+     next[i] that of the order after order i to the same one.  */
   g_array_set_size (pl->next, n + pl->servers->len);
   next = (guint *)(void *)pl->next->data;
   memset (next, 0xff, pl->next->len * sizeof *next);
@@ -316,15 +321,16 @@
     }
   for (guint32 b = 0; b < pl->servers->len; b++)
     {
-      g_ptr_array_set_size (pl->mine, 0);
+      g_ptr_array_set_size (pl->backend_orders, 0);
       for (guint i = next[n + b]; i < n; i = next[i])
-        g_ptr_array_add (pl->mine, (gpointer)pu_orders_get (pl->orders, i));
-      tell_planner (pl, b, now);
+        g_ptr_array_add (pl->backend_orders,
+                         (gpointer)pu_orders_get (pl->orders, i));
+      update_planner_engine (pl, b, now);
     }
 }
 
 static bool
-holds_ready (const pu_ledger_report_t *r, guint32 copy)
+reports_copy (const pu_ledger_report_t *r, guint32 copy)
 {
   for (guint i = 0; i < r->n_held; i++)
     {
@@ -334,23 +340,23 @@
   return false;
 }
 
-/* Counts as failed what the engine had ready and lost without an order, though
-   its process goes on.  */
+/* Reports a load failure to the planner for each copy that was ready and is
+   missing from R without an unload order, though the process is the same.  */
 static void
-tell_losses (pu_placement_t *pl, const server_t *s,
-             const pu_ledger_report_t *r, guint64 now)
+note_lost_copies (pu_placement_t *pl, const server_t *s,
+                  const pu_ledger_report_t *r, guint64 now)
 {
   if (!s->known || s->report.incarnation != r->incarnation)
     return;
-  find_mine (pl, r->backend);
+  find_backend_orders (pl, r->backend);
   for (guint i = 0; i < s->held->len; i++)
     {
       const pu_ledger_held_t *h
           = &g_array_index (s->held, pu_ledger_held_t, i);
-      name_t n;
+      copy_id_t n;
 
-      if (h->phase == PU_LEDGER_READY && find_name (pl, h->copy, &n)
-          && !holds_ready (r, h->copy) && !may_be_unloaded (pl, h->copy))
+      if (h->phase == PU_LEDGER_READY && find_copy_id (pl, h->copy, &n)
+          && !reports_copy (r, h->copy) && !may_be_unloaded (pl, h->copy))
         {
           pu_planner_load_failed (pl->planner, r->backend, n.item, n.version,
                                   now);
@@ -370,7 +376,7 @@
   if (s->held == NULL)
     s->held = g_array_new (FALSE, FALSE, sizeof (pu_ledger_held_t));
   if (!down)
-    tell_losses (pl, s, r, now);
+    note_lost_copies (pl, s, r, now);
   g_array_set_size (s->held, 0);
   if (r->n_held > 0)
     g_array_append_vals (s->held, r->held, r->n_held);
@@ -382,13 +388,13 @@
   s->streams = streams;
   if (down)
     {
-      pu_orders_down (pl->orders, r->backend, now);
+      pu_orders_backend_down (pl->orders, r->backend, now);
     }
   else
     {
       pu_orders_report (pl->orders, &s->report, now);
     }
-  refresh (pl, r->backend, now);
+  refresh_engine (pl, r->backend, now);
 }
 
 void
@@ -398,7 +404,7 @@
   const server_t *s = find_server (pl, open->backend);
 
   pu_orders_adopt (pl->orders, open, s != NULL && s->report.fenced, now);
-  refresh (pl, open->backend, now);
+  refresh_engine (pl, open->backend, now);
 }
 
 static guint32
@@ -421,15 +427,15 @@
   guint32 backend = backend_of (pl, id, 0);
 
   pu_orders_reserved (pl->orders, id, accepted, token, now);
-  refresh (pl, backend, now);
+  refresh_engine (pl, backend, now);
 }
 
 static void
-tell_failure (pu_placement_t *pl, const pu_orders_order_t *r, guint64 now)
+note_failed_load (pu_placement_t *pl, const pu_orders_order_t *r, guint64 now)
 {
-  name_t n;
+  copy_id_t n;
 
-  if (r->wish.kind == PU_LEDGER_LOAD && find_name (pl, r->wish.copy, &n))
+  if (r->wish.kind == PU_LEDGER_LOAD && find_copy_id (pl, r->wish.copy, &n))
     {
       pu_planner_load_failed (pl->planner, r->wish.backend, n.item, n.version,
                               now);
@@ -449,9 +455,9 @@
 
       if (r->token == token && r->state == PU_ORDERS_FAILED
           && a == PU_ORDERS_REFUSED)
-        tell_failure (pl, r, now);
+        note_failed_load (pl, r, now);
     }
-  refresh (pl, backend, now);
+  refresh_engine (pl, backend, now);
 }
 
 void
@@ -460,12 +466,12 @@
   guint32 backend = backend_of (pl, 0, token);
 
   pu_orders_closed (pl->orders, token);
-  refresh (pl, backend, now);
+  refresh_engine (pl, backend, now);
 }
 
 static bool
-want (pu_placement_t *pl, pu_ledger_kind_t kind, guint32 backend, guint32 copy,
-      guint32 memory_mb, const char *reason, guint64 now)
+queue_order (pu_placement_t *pl, pu_ledger_kind_t kind, guint32 backend,
+             guint32 copy, guint32 memory_mb, const char *reason, guint64 now)
 {
   const server_t *s = find_server (pl, backend);
   pu_orders_wish_t w = { 0 };
@@ -483,7 +489,7 @@
 }
 
 static void
-want_move (pu_placement_t *pl, const pu_move_t *m, guint64 now)
+queue_move (pu_placement_t *pl, const pu_move_t *m, guint64 now)
 {
   pu_ledger_kind_t kind
       = m->kind == PU_MOVE_LOAD ? PU_LEDGER_LOAD : PU_LEDGER_UNLOAD;
@@ -495,46 +501,49 @@
   g_string_truncate (pl->reason, 0);
   pu_planner_explain_move (pl->planner, m, pl->reason);
   g_string_truncate (pl->reason, pl->reason->len - 1);
-  if (want (pl, kind, m->engine, copy, m->memory_mb, pl->reason->str, now)
+  if (queue_order (pl, kind, m->engine, copy, m->memory_mb, pl->reason->str,
+                   now)
       || kind == PU_LEDGER_UNLOAD)
     return;
   pu_orders_failures (pl->orders, m->engine, copy, &until);
   pu_planner_block (pl->planner, m->engine, m->item,
-                    MAX (until, now + REFUSED_WAIT_MS));
+                    MAX (until, now + REFUSED_RETRY_MS));
 }
 
 static void
-plan (pu_placement_t *pl, guint64 now)
+plan_moves (pu_placement_t *pl, guint64 now)
 {
-  refresh_all (pl, now);
-  g_array_set_size (pl->wanted, 0);
-  pu_planner_step (pl->planner, now, pl->wanted);
-  for (guint i = 0; i < pl->wanted->len; i++)
-    want_move (pl, &g_array_index (pl->wanted, pu_move_t, i), now);
-  for (guint i = 0; i < pl->wanted->len; i++)
-    refresh (pl, g_array_index (pl->wanted, pu_move_t, i).engine, now);
+  refresh_all_engines (pl, now);
+  g_array_set_size (pl->moves, 0);
+  pu_planner_step (pl->planner, now, pl->moves);
+  for (guint i = 0; i < pl->moves->len; i++)
+    queue_move (pl, &g_array_index (pl->moves, pu_move_t, i), now);
+  for (guint i = 0; i < pl->moves->len; i++)
+    refresh_engine (pl, g_array_index (pl->moves, pu_move_t, i).engine, now);
 }
 
-/* Whether the copy of R may go from its engine: others are ready.  */
+/* Whether the planner allows the unload R: another copy is ready, or this one
+   is not.  */
 static bool
-may_unload (const pu_placement_t *pl, const pu_orders_order_t *r)
+may_send_unload (const pu_placement_t *pl, const pu_orders_order_t *r)
 {
-  name_t n;
+  copy_id_t n;
 
-  return !find_name (pl, r->wish.copy, &n)
+  return !find_copy_id (pl, r->wish.copy, &n)
          || pu_planner_may_unload (pl->planner, r->wish.backend, n.item,
                                    n.version);
 }
 
-/* Another order for the copy of R, for its later token: a load where an
-   unload was given up, which changes nothing, or where no copy of the item is
-   ready; else an unload.  */
+/* Queues another order for the copy of R, whose later token fences R off.  It
+   is a load when R is an unload that failed (the copy is there, so the load
+   changes nothing) or when no copy of the item is ready; otherwise an
+   unload.  */
 static void
-want_fence (pu_placement_t *pl, const pu_orders_order_t *r, guint64 now)
+queue_fence (pu_placement_t *pl, const pu_orders_order_t *r, guint64 now)
 {
-  name_t n;
+  copy_id_t n;
   bool load = r->wish.kind == PU_LEDGER_UNLOAD
-              || (find_name (pl, r->wish.copy, &n)
+              || (find_copy_id (pl, r->wish.copy, &n)
                   && pu_planner_wants (pl->planner, n.item, n.version));
   guint32 memory_mb = r->wish.memory_mb;
   const server_t *s = find_server (pl, r->wish.backend);
@@ -547,30 +556,29 @@
       if (h->copy == r->wish.copy)
         memory_mb = MAX (memory_mb, h->memory_mb);
     }
-  want (pl, load ? PU_LEDGER_LOAD : PU_LEDGER_UNLOAD, r->wish.backend,
-        r->wish.copy, memory_mb, "a later token, to close an earlier order",
-        now);
+  queue_order (pl, load ? PU_LEDGER_LOAD : PU_LEDGER_UNLOAD, r->wish.backend,
+               r->wish.copy, memory_mb, "to fence off an earlier order", now);
 }
 
-/* Carries out what is the object's own in A; true when the caller must see
-   it.  */
+/* Handles A as far as it concerns the planner and the orders.  Returns whether
+   the caller must handle it too.  */
 static bool
-filter (pu_placement_t *pl, const pu_orders_action_t *a, guint64 now)
+handle_action (pu_placement_t *pl, const pu_orders_action_t *a, guint64 now)
 {
   bool unload = a->order.wish.kind == PU_LEDGER_UNLOAD;
 
   switch (a->what)
     {
     case PU_ORDERS_DO_SEND:
-      if (!unload || may_unload (pl, &a->order))
+      if (!unload || may_send_unload (pl, &a->order))
         return true;
       pu_orders_cancel (pl->orders, a->order.id, now);
       return false;
     case PU_ORDERS_DO_FENCE:
-      want_fence (pl, &a->order, now);
+      queue_fence (pl, &a->order, now);
       return false;
     case PU_ORDERS_DO_FAIL:
-      tell_failure (pl, &a->order, now);
+      note_failed_load (pl, &a->order, now);
       return true;
     default:
       return true;
@@ -578,19 +586,18 @@
 }
 
 void
-pu_placement_step (pu_placement_t *pl, bool planned, guint64 now,
-                   GArray *actions)
+pu_placement_step (pu_placement_t *pl, bool plan, guint64 now, GArray *actions)
 {
   guint from = actions->len;
 
-  if (planned)
-    plan (pl, now);
+  if (plan)
+    plan_moves (pl, now);
   pu_orders_step (pl->orders, now, actions);
   for (guint i = from; i < actions->len;)
     {
       pu_orders_action_t a = g_array_index (actions, pu_orders_action_t, i);
 
-      if (filter (pl, &a, now))
+      if (handle_action (pl, &a, now))
         {
           i++;
         }
--- a/libplantainusher/placement/world_test.cc
+++ b/libplantainusher/placement/simulation_test.cc
@@ -1,4 +1,4 @@
-#include "placement/world_test.h"
+#include "placement/simulation_test.h"
 
 #include <algorithm>
 #include <cstdarg>
@@ -7,12 +7,16 @@
 
 namespace
 {
-constexpr guint64 kTick = 200, kReportEvery = 1000, kTransit = 2000;
-constexpr guint64 kReportLag = 3000;
-/* A load that is planned may be refused, and another place found.  */
-constexpr unsigned kIdleChecks = 5;
-const guint32 kMemory[World::kItems] = { 40, 35, 30, 30, 25, 3, 3 };
-const guint32 kBase[World::kItems] = {
+constexpr guint64 kTickMs = 200, kReportIntervalMs = 1000,
+                  kMaxTransitMs = 2000;
+constexpr guint64 kMaxReportAgeMs = 3000;
+/* Copies of this version fail once they are loaded.  */
+constexpr guint32 kFailingVersion = 3;
+/* A planned load may be refused and planned again on another engine, so an
+   item may wait for a few checks.  */
+constexpr unsigned kMaxStalledChecks = 5;
+const guint32 kItemMemoryMb[Simulation::kItems] = { 40, 35, 30, 30, 25, 3, 3 };
+const guint32 kBase[Simulation::kItems] = {
   PU_PLAN_NONE, PU_PLAN_NONE, PU_PLAN_NONE, PU_PLAN_NONE, PU_PLAN_NONE, 0, 1
 };
 
@@ -23,7 +27,7 @@
 }
 } // namespace
 
-World::World (unsigned seed, const Breaks &b) : rng (seed)
+Simulation::Simulation (unsigned seed, const Breaks &b) : rng (seed)
 {
   pu_ledger_options_t lo = { b.ledger };
 
@@ -39,11 +43,11 @@
   options.planner.test_breaks = b.planner;
   options.orders.lease_ms = 2000;
   options.orders.send_ms = 3000;
-  options.orders.transit_ms = kTransit;
-  options.orders.report_ms = kReportLag + kTick;
+  options.orders.transit_ms = kMaxTransitMs;
+  options.orders.report_ms = kMaxReportAgeMs + kTickMs;
   options.orders.retry_ms = 600;
-  options.orders.load_ms = 20000;
-  options.orders.unload_ms = 20000;
+  options.orders.load_timeout_ms = 20000;
+  options.orders.unload_timeout_ms = 20000;
   options.orders.backoff_ms = 1000;
   options.orders.backoff_max_ms = 8000;
   options.orders.test_breaks = b.orders;
@@ -56,23 +60,23 @@
   TakeOver ();
 }
 
-World::~World () { pu_ledger_free (ledger); }
+Simulation::~Simulation () { pu_ledger_free (ledger); }
 
 void
-World::Later (guint64 ms, std::function<void ()> f)
+Simulation::Schedule (guint64 ms, std::function<void ()> f)
 {
   events.push_back ({ now + ms, std::move (f) });
 }
 
 void
-World::Fault (const std::string &what)
+Simulation::ReportViolation (const std::string &what)
 {
-  if (fault.empty ())
-    fault = what + " at " + std::to_string (now);
+  if (violation.empty ())
+    violation = what + " at " + std::to_string (now);
 }
 
 void
-World::Trace (const char *format, ...)
+Simulation::Trace (const char *format, ...)
 {
   va_list args;
 
@@ -86,7 +90,7 @@
 }
 
 void
-World::Declare (guint32 item)
+Simulation::Declare (guint32 item)
 {
   pu_plan_item_t i = {};
   std::string name = "item" + std::to_string (item);
@@ -95,7 +99,7 @@
   i.base = kBase[item];
   i.version = version[item];
   i.previous_version = PU_PLAN_NONE;
-  i.memory_mb = kMemory[item];
+  i.memory_mb = kItemMemoryMb[item];
   i.min_copies = 1;
   i.max_copies = 3;
   i.importance = 5;
@@ -103,7 +107,7 @@
 }
 
 void
-World::Tell (guint32 engine)
+Simulation::UpdateLeader (guint32 engine)
 {
   pu_ledger_report_t r;
   bool down;
@@ -112,15 +116,15 @@
     pu_placement_backend (leader.get (), &r, down, engine % 2, 4.0, now);
 }
 
-/* The old leader goes on sending while its lease could last.  */
+/* Replaces the leader.  The previous one may send until its lease ends.  */
 void
-World::TakeOver ()
+Simulation::TakeOver ()
 {
   GArray *open = pu_ledger_orders (ledger);
 
   Trace ("new leader");
-  zombie = leader;
-  zombie_until = now + options.orders.lease_ms;
+  deposed = leader;
+  deposed_until = now + options.orders.lease_ms;
   leader = Leader (pu_placement_new (&options, now), pu_placement_free);
   for (guint32 i = 0; i < kItems; i++)
     {
@@ -129,7 +133,7 @@
       Declare (i);
     }
   for (guint32 i = 0; i < kEngines; i++)
-    Tell (i);
+    UpdateLeader (i);
   for (guint i = 0; i < open->len; i++)
     pu_placement_adopt (leader.get (),
                         &g_array_index (open, pu_ledger_order_t, i), now);
@@ -137,7 +141,7 @@
 }
 
 void
-World::Restart (guint32 engine)
+Simulation::Restart (guint32 engine)
 {
   Engine &e = engines[engine];
 
@@ -150,7 +154,7 @@
 }
 
 void
-World::RunEngines ()
+Simulation::RunEngines ()
 {
   for (auto &e : engines)
     {
@@ -160,10 +164,11 @@
 
           if (h->second.phase == PU_LEDGER_LOADING && due)
             h->second.phase = PU_LEDGER_READY;
-          /* A load may fail, and version 3 always does.  */
-          bool bad = h->second.phase == PU_LEDGER_READY && due
-                     && (h->first % kVersions == 3 || Chance (1));
-          if ((h->second.phase == PU_LEDGER_DRAINING && due) || bad)
+          /* A loaded copy may fail; one of kFailingVersion always does.  */
+          bool failed
+              = h->second.phase == PU_LEDGER_READY && due
+                && (h->first % kVersions == kFailingVersion || Chance (1));
+          if ((h->second.phase == PU_LEDGER_DRAINING && due) || failed)
             h = e.held.erase (h);
           else
             ++h;
@@ -172,7 +177,7 @@
 }
 
 void
-World::SendReports ()
+Simulation::SendReports ()
 {
   for (guint32 i = 0; i < kEngines; i++)
     {
@@ -187,19 +192,19 @@
       r.seq = ++e.seq;
       r.token = e.token;
       r.accelerators = 1;
-      r.memory_mb = kSize;
+      r.memory_mb = kEngineMemoryMb;
       r.fenced = e.fenced;
       for (auto &h : e.held)
         {
-          bool part = h.second.phase == PU_LEDGER_LOADING;
+          bool loading = h.second.phase == PU_LEDGER_LOADING;
 
-          held.push_back ({ h.first, h.second.memory_mb / (part ? 2 : 1),
+          held.push_back ({ h.first, h.second.memory_mb / (loading ? 2 : 1),
                             h.second.phase });
         }
       pu_ledger_report_t known;
       bool same = pu_ledger_backend (ledger, i, &known, nullptr)
                   && known.incarnation == r.incarnation && known.token > 0;
-      if (same && Chance (3)) /* contradicts what it said before */
+      if (same && Chance (3)) /* contradicts the last report */
         {
           faults++;
           r.token = known.token - 1;
@@ -210,25 +215,25 @@
           faults++;
           continue;
         }
-      guint64 made = now;
-      Later (calm ? 0 : Random (kReportLag - kReportEvery),
-             [=] { ApplyReport (i, r, held, made); });
+      guint64 made_at = now;
+      Schedule (settling ? 0 : Random (kMaxReportAgeMs - kReportIntervalMs),
+                [=] { ApplyReport (i, r, held, made_at); });
     }
 }
 
 void
-World::ApplyReport (guint32 engine, pu_ledger_report_t r,
-                    std::vector<pu_ledger_held_t> held, guint64 made)
+Simulation::ApplyReport (guint32 engine, pu_ledger_report_t r,
+                         std::vector<pu_ledger_held_t> held, guint64 made_at)
 {
   GArray *closed = g_array_new (FALSE, FALSE, sizeof (guint64));
 
   r.held = held.data ();
   r.n_held = held.size ();
-  position++;
+  log_position++;
   Trace ("report of engine %u: seq %lu token %lu held %u", engine,
          (unsigned long)r.seq, (unsigned long)r.token, r.n_held);
   if (pu_ledger_backend_up (ledger, &r, closed) != PU_LEDGER_STALE)
-    applied_at[engine] = made;
+    report_made_at[engine] = made_at;
   for (guint i = 0; i < closed->len; i++)
     {
       guint64 token = g_array_index (closed, guint64, i);
@@ -236,13 +241,13 @@
       Trace ("closed %lu", (unsigned long)token);
       pu_placement_closed (leader.get (), token, now);
     }
-  Tell (engine);
+  UpdateLeader (engine);
   g_array_unref (closed);
 }
 
-/* Without a fresh report a backend server is down.  */
+/* Marks backend servers down whose last applied report is too old.  */
 void
-World::DropLeases ()
+Simulation::ExpireLeases ()
 {
   for (guint32 i = 0; i < kEngines; i++)
     {
@@ -250,23 +255,23 @@
       bool down;
 
       if (!pu_ledger_backend (ledger, i, &r, &down) || down
-          || now - applied_at[i] < kReportLag)
+          || now - report_made_at[i] < kMaxReportAgeMs)
         continue;
       Trace ("engine %u down", i);
       pu_ledger_backend_down (ledger, i, r.incarnation);
-      Tell (i);
+      UpdateLeader (i);
     }
 }
 
 pu_orders_answer_t
-World::Arrive (const pu_orders_order_t &o)
+Simulation::Deliver (const pu_orders_order_t &o)
 {
   Engine &e = engines[o.wish.backend];
   auto h = e.held.find (o.wish.copy);
 
   if (!e.alive)
     return PU_ORDERS_LOST;
-  Trace ("arrives %lu %s copy %u at engine %u (token %lu)",
+  Trace ("delivered %lu %s copy %u at engine %u (token %lu)",
          (unsigned long)o.token, o.wish.kind == 0 ? "load" : "unload",
          o.wish.copy, o.wish.backend, (unsigned long)e.token);
   if (e.fenced && o.token < e.token)
@@ -282,53 +287,55 @@
   if (h != e.held.end ())
     return h->second.phase == PU_LEDGER_DRAINING ? PU_ORDERS_NO_MEMORY
                                                  : PU_ORDERS_ACCEPTED;
-  /* It believes the order: it looks at no sum of its own.  */
+  /* The engine does not check its free memory: the ledger alone must keep
+     the memory from being exceeded.  */
   e.held[o.wish.copy]
       = { o.wish.memory_mb, PU_LEDGER_LOADING, now + 1000 + Random (3000) };
   return PU_ORDERS_ACCEPTED;
 }
 
 void
-World::Send (const Leader &who, const pu_orders_order_t &o)
+Simulation::Send (const Leader &who, const pu_orders_order_t &o)
 {
-  guint64 to = engines[o.wish.backend].incarnation;
-  unsigned copies = Chance (15) ? 0 : Chance (15) ? 2 : 1;
-  auto heard = std::make_shared<bool> (false);
+  guint64 incarnation = engines[o.wish.backend].incarnation;
+  unsigned deliveries = Chance (15) ? 0 : Chance (15) ? 2 : 1;
+  auto answered = std::make_shared<bool> (false);
 
-  faults += copies != 1;
-  if (copies == 0)
-    Later (500, [=] {
+  faults += deliveries != 1;
+  if (deliveries == 0)
+    Schedule (500, [=] {
       pu_placement_answer (who.get (), o.token, PU_ORDERS_LOST, now);
     });
-  for (unsigned i = 0; i < copies; i++)
+  for (unsigned i = 0; i < deliveries; i++)
     {
-      /* What has reached a process that checks tokens may wait there for any
-         time; with its end it is gone.  */
-      bool waits = o.wish.fenced && Random (10) == 0;
+      /* An order that has reached a process that checks tokens may wait there
+         for any time, and is lost when the process ends.  */
+      bool delayed = o.wish.fenced && Random (10) == 0;
 
-      Later (calm ? 10 : Random (waits ? 60000 : kTransit), [=] {
-        bool gone = waits && to != engines[o.wish.backend].incarnation;
-        pu_orders_answer_t a = gone ? PU_ORDERS_LOST : Arrive (o);
+      Schedule (settling ? 10 : Random (delayed ? 60000 : kMaxTransitMs), [=] {
+        bool process_ended
+            = delayed && incarnation != engines[o.wish.backend].incarnation;
+        pu_orders_answer_t a = process_ended ? PU_ORDERS_LOST : Deliver (o);
 
         if (Chance (20))
           {
             faults++;
             a = PU_ORDERS_LOST;
           }
-        if (!*heard)
+        if (!*answered)
           pu_placement_answer (who.get (), o.token, a, now);
-        *heard = true;
+        *answered = true;
       });
     }
 }
 
 void
-World::Act (const Leader &who, const pu_orders_action_t &a)
+Simulation::CarryOut (const Leader &who, const pu_orders_action_t &a)
 {
   const pu_orders_order_t &o = a.order;
 
   Trace ("%s: %s %lu %s copy %u engine %u: %s",
-         who == leader ? "leader" : "old leader",
+         who == leader ? "leader" : "deposed leader",
          a.what == PU_ORDERS_DO_RESERVE   ? "reserve"
          : a.what == PU_ORDERS_DO_SEND    ? "send"
          : a.what == PU_ORDERS_DO_RELEASE ? "release"
@@ -344,11 +351,11 @@
       Send (who, o);
     }
   if (who != leader)
-    return; /* it cannot reach a quorum */
+    return; /* a deposed leader cannot reach a quorum */
   if (a.what == PU_ORDERS_DO_RESERVE)
     {
       pu_ledger_order_t l
-          = { ++position,         o.wish.kind, o.wish.backend,
+          = { ++log_position,     o.wish.kind, o.wish.backend,
               o.wish.incarnation, o.wish.copy, o.wish.memory_mb };
       bool accepted = pu_ledger_reserve (ledger, &l, nullptr);
 
@@ -359,13 +366,13 @@
 }
 
 void
-World::Tick ()
+Simulation::Tick ()
 {
-  bool second = now % kReportEvery == 0;
-  GArray *todo = g_array_new (FALSE, FALSE, sizeof (pu_orders_action_t));
+  bool report_due = now % kReportIntervalMs == 0;
+  GArray *actions = g_array_new (FALSE, FALSE, sizeof (pu_orders_action_t));
 
   RunEngines ();
-  if (second)
+  if (report_due)
     SendReports ();
   for (size_t i = 0; i < events.size (); i++)
     {
@@ -380,26 +387,26 @@
   events.erase (std::remove_if (events.begin (), events.end (),
                                 [] (const Event &e) { return !e.run; }),
                 events.end ());
-  DropLeases ();
-  if (zombie && now >= zombie_until)
-    zombie.reset ();
-  if (zombie)
-    pu_placement_step (zombie.get (), false, now, todo);
-  for (guint i = 0; i < todo->len; i++)
-    Act (zombie, g_array_index (todo, pu_orders_action_t, i));
-  g_array_set_size (todo, 0);
-  pu_placement_step (leader.get (), second, now, todo);
-  if (second)
-    CheckStanding ();
-  for (guint i = 0; i < todo->len; i++)
-    Act (leader, g_array_index (todo, pu_orders_action_t, i));
-  g_array_unref (todo);
+  ExpireLeases ();
+  if (deposed && now >= deposed_until)
+    deposed.reset ();
+  if (deposed)
+    pu_placement_step (deposed.get (), false, now, actions);
+  for (guint i = 0; i < actions->len; i++)
+    CarryOut (deposed, g_array_index (actions, pu_orders_action_t, i));
+  g_array_set_size (actions, 0);
+  pu_placement_step (leader.get (), report_due, now, actions);
+  if (report_due)
+    CheckWaitingItems ();
+  for (guint i = 0; i < actions->len; i++)
+    CarryOut (leader, g_array_index (actions, pu_orders_action_t, i));
+  g_array_unref (actions);
   CheckMemory ();
-  now += kTick;
+  now += kTickMs;
 }
 
 void
-World::Op (unsigned op)
+Simulation::RunOperation (unsigned op)
 {
   guint32 item = op / 16 % kItems;
   guint32 engine = op / 16 % kEngines;
@@ -435,9 +442,9 @@
 }
 
 void
-World::Calm ()
+Simulation::Settle ()
 {
-  calm = true;
+  settling = true;
   for (guint32 i = 0; i < kEngines; i++)
     {
       if (!engines[i].alive)
@@ -445,32 +452,33 @@
     }
   for (guint32 i = 0; i < kItems; i++)
     {
-      if (version[i] == 3)
+      if (version[i] == kFailingVersion)
         version[i] = 0;
       Declare (i);
     }
-  for (guint64 end = now + 300000; now < end && fault.empty ();)
+  for (guint64 end = now + 300000; now < end && violation.empty ();)
     Tick ();
   for (guint32 i = 0; i < kItems; i++)
     {
       if (pu_planner_ready (pu_placement_planner (leader.get ()), i) == 0)
-        Fault ("item " + std::to_string (i) + " is not reachable");
+        ReportViolation ("item " + std::to_string (i) + " has no ready copy");
     }
 }
 
 void
-World::CheckMemory ()
+Simulation::CheckMemory ()
 {
   for (auto &e : engines)
     {
-      if (e.Memory () > kSize)
-        Fault ("memory of an engine is over its size");
+      if (e.MemoryMb () > kEngineMemoryMb)
+        ReportViolation ("memory of an engine is over its size");
     }
 }
 
-/* By the ledger alone: another copy must be ready on an engine that is up.  */
+/* Checks, by the ledger alone, that another copy of the item is ready on an
+   engine that is up.  */
 void
-World::CheckUnload (const pu_orders_order_t &o)
+Simulation::CheckUnload (const pu_orders_order_t &o)
 {
   guint32 item = o.wish.copy / kVersions;
   unsigned others = 0;
@@ -495,23 +503,23 @@
         }
     }
   if (here && others == 0)
-    Fault ("the last ready copy is unloaded");
+    ReportViolation ("the last ready copy is unloaded");
 }
 
-/* What no caller can reach has a load under way, or the store is busy, or the
-   base comes first, or a try that failed is made again.  */
+/* An item without a ready copy must have a load in flight, or wait for its
+   base model, for a retry, or for a store that is at its limit.  */
 void
-World::CheckStanding ()
+Simulation::CheckWaitingItems ()
 {
   pu_planner_t *p = pu_placement_planner (leader.get ());
   const pu_orders_t *o = pu_placement_orders (leader.get ());
-  std::set<std::pair<guint32, guint32> > under_way;
+  std::set<std::pair<guint32, guint32> > in_flight;
 
   for (guint i = 0; i < pu_orders_count (o); i++)
     {
       const pu_orders_order_t *r = pu_orders_get (o, i);
       if (r->wish.kind == PU_LEDGER_LOAD && r->state <= PU_ORDERS_ACKED)
-        under_way.insert ({ r->wish.backend, r->wish.copy });
+        in_flight.insert ({ r->wish.backend, r->wish.copy });
     }
   for (guint32 i = 0; i < kEngines; i++)
     {
@@ -519,16 +527,17 @@
       bool known = pu_ledger_backend (ledger, i, &r, nullptr);
       for (guint k = 0; known && k < r.n_held; k++)
         if (r.held[k].phase == PU_LEDGER_LOADING)
-          under_way.insert ({ i, r.held[k].copy });
+          in_flight.insert ({ i, r.held[k].copy });
     }
   for (guint32 i = 0; i < kItems; i++)
     {
       if (pu_planner_item_state (p, i, now) == PU_ITEM_STATE_WAIT_STORE
-          && under_way.size () < options.planner.max_coming)
-        idle[i]++;
+          && in_flight.size () < options.planner.max_coming)
+        stalled_checks[i]++;
       else
-        idle[i] = 0;
-      if (idle[i] > kIdleChecks)
-        Fault ("item " + std::to_string (i) + " waits for nothing");
+        stalled_checks[i] = 0;
+      if (stalled_checks[i] > kMaxStalledChecks)
+        ReportViolation ("item " + std::to_string (i)
+                         + " waits for a store that has capacity");
     }
 }
