--- a/libplantainusher/placement/orders.h
+++ b/libplantainusher/placement/orders.h
@@ -93,7 +93,7 @@
 /* An order.  Times are monotonic milliseconds.  */
 typedef struct
 {
-  guint32 id; /* assigned by pu_orders_want; never 0 */
+  guint32 id; /* unique within the pu_orders_t; never 0 */
   pu_orders_state_t state;
   pu_orders_wish_t wish; /* its reason is owned by the order */
   guint64 token;         /* 0 until the order is reserved */
