--- a/libplantainusher/placement/adapters.c
+++ b/libplantainusher/placement/adapters.c
@@ -166,7 +166,7 @@
       if (t == NULL || !t->is_adapter)
         continue;
       o->slots_used++;
-      leaving += items[i].phase == PU_DISPATCHER_LEAVING;
+      leaving += items[i].phase == PU_DISPATCHER_UNLOADING;
       if (items[i].phase != PU_DISPATCHER_READY
           || now < t->last_used + EVICTION_MIN_IDLE_MS
           || t->last_used >= o->idle_since)
@@ -207,9 +207,9 @@
   pu_dispatcher_order_t unload = { PU_DISPATCHER_UNLOAD, o->victim, true };
 
   if (o->victim != PU_ADAPTERS_NONE
-      && !pu_dispatcher_want (a->dispatcher, o->engine, &unload, now))
+      && !pu_dispatcher_enqueue (a->dispatcher, o->engine, &unload, now))
     return false;
-  return pu_dispatcher_want (a->dispatcher, o->engine, &load, now);
+  return pu_dispatcher_enqueue (a->dispatcher, o->engine, &load, now);
 }
 
 /* Whether ENGINE can serve ITEM once it is loaded: the engine is usable and
@@ -219,7 +219,7 @@
 {
   const engine_t *e = engine_of (a, engine);
 
-  return e->usable && pu_dispatcher_known (a->dispatcher, engine)
+  return e->usable && pu_dispatcher_accepts_orders (a->dispatcher, engine)
          && pu_dispatcher_phase (a->dispatcher, engine,
                                  pu_adapters_base (a, item))
                 == PU_DISPATCHER_READY;
--- a/libplantainusher/placement/simulation_test.cc
+++ b/libplantainusher/placement/simulation_test.cc
@@ -23,7 +23,7 @@
 guint64
 Committed (void *data, guint32 backend)
 {
-  return pu_ledger_committed ((pu_ledger_t *)data, backend);
+  return pu_ledger_committed_mb ((pu_ledger_t *)data, backend);
 }
 } // namespace
 
@@ -39,7 +39,7 @@
   options.planner.move_price = 0.1;
   options.planner.min_stay_s = 3;
   options.planner.watch_s = 2;
-  options.planner.max_coming = 3;
+  options.planner.max_concurrent_loads = 3;
   options.planner.test_breaks = b.planner;
   options.orders.lease_ms = 2000;
   options.orders.send_ms = 3000;
@@ -112,7 +112,7 @@
   pu_ledger_report_t r;
   bool down;
 
-  if (pu_ledger_backend (ledger, engine, &r, &down))
+  if (pu_ledger_get_backend (ledger, engine, &r, &down))
     pu_placement_backend (leader.get (), &r, down, engine % 2, 4.0, now);
 }
 
@@ -183,7 +183,7 @@
     {
       Engine &e = engines[i];
       pu_ledger_report_t r = {};
-      std::vector<pu_ledger_held_t> held;
+      std::vector<pu_ledger_copy_t> held;
 
       if (!e.alive)
         continue;
@@ -202,7 +202,7 @@
                             h.second.phase });
         }
       pu_ledger_report_t known;
-      bool same = pu_ledger_backend (ledger, i, &known, nullptr)
+      bool same = pu_ledger_get_backend (ledger, i, &known, nullptr)
                   && known.incarnation == r.incarnation && known.token > 0;
       if (same && Chance (3)) /* contradicts the last report */
         {
@@ -223,7 +223,7 @@
 
 void
 Simulation::ApplyReport (guint32 engine, pu_ledger_report_t r,
-                         std::vector<pu_ledger_held_t> held, guint64 made_at)
+                         std::vector<pu_ledger_copy_t> held, guint64 made_at)
 {
   GArray *closed = g_array_new (FALSE, FALSE, sizeof (guint64));
 
@@ -254,7 +254,7 @@
       pu_ledger_report_t r;
       bool down;
 
-      if (!pu_ledger_backend (ledger, i, &r, &down) || down
+      if (!pu_ledger_get_backend (ledger, i, &r, &down) || down
           || now - report_made_at[i] < kMaxReportAgeMs)
         continue;
       Trace ("engine %u down", i);
@@ -434,8 +434,8 @@
       Declare (item);
       break;
     default:
-      pu_planner_demand (pu_placement_planner (leader.get ()), item,
-                         op / 128 % 32, (op / 128 % 32) * 1000.0);
+      pu_planner_add_demand (pu_placement_planner (leader.get ()), item,
+                             op / 128 % 32, (op / 128 % 32) * 1000.0);
     }
   for (unsigned n = 1 + op / 4096 % 8; n > 0; n--)
     Tick ();
@@ -460,7 +460,8 @@
     Tick ();
   for (guint32 i = 0; i < kItems; i++)
     {
-      if (pu_planner_ready (pu_placement_planner (leader.get ()), i) == 0)
+      if (pu_planner_ready_copies (pu_placement_planner (leader.get ()), i)
+          == 0)
         ReportViolation ("item " + std::to_string (i) + " has no ready copy");
     }
 }
@@ -489,7 +490,7 @@
       pu_ledger_report_t r;
       bool down;
 
-      if (!pu_ledger_backend (ledger, i, &r, &down) || down)
+      if (!pu_ledger_get_backend (ledger, i, &r, &down) || down)
         continue;
       for (guint k = 0; k < r.n_held; k++)
         {
@@ -524,7 +525,7 @@
   for (guint32 i = 0; i < kEngines; i++)
     {
       pu_ledger_report_t r;
-      bool known = pu_ledger_backend (ledger, i, &r, nullptr);
+      bool known = pu_ledger_get_backend (ledger, i, &r, nullptr);
       for (guint k = 0; known && k < r.n_held; k++)
         if (r.held[k].phase == PU_LEDGER_LOADING)
           in_flight.insert ({ i, r.held[k].copy });
@@ -532,7 +533,7 @@
   for (guint32 i = 0; i < kItems; i++)
     {
       if (pu_planner_item_state (p, i, now) == PU_ITEM_STATE_WAIT_STORE
-          && in_flight.size () < options.planner.max_coming)
+          && in_flight.size () < options.planner.max_concurrent_loads)
         stalled_checks[i]++;
       else
         stalled_checks[i] = 0;
