--- a/libplantainusher/entry/announce.c
+++ b/libplantainusher/entry/announce.c
@@ -8,11 +8,11 @@
 
 enum
 {
-  LOG_PERIOD_MS = 60000,
+  INVALID_LOG_PERIOD_MS = 60000,
 };
 
 static guint64
-now_of (const pu_entry_t *en)
+loop_now (const pu_entry_t *en)
 {
   return uv_now (en->o.loop);
 }
@@ -47,13 +47,13 @@
   g_free (p);
 }
 
-/* --- to the log --- */
+/* --- proposals to the log --- */
 
 typedef struct
 {
   pu_entry_t *en;
   char *name;
-} proposed_t;
+} proposal_t;
 
 static const pu_backend_record *
 view_record (const pu_entry_t *en, const char *name)
@@ -61,9 +61,10 @@
   return pu_state_backend (en->o.hooks.view (en->o.hooks.data), name);
 }
 
-/* Whether the log must be told: it does not have what was reported last, or
-   takes the backend server for down.  What it keeps may differ from the
-   report where an order says otherwise.  */
+/* Whether the last report must be proposed: the log has not accepted it, or
+   the view lacks this incarnation or has it as down.  The comparison is with
+   the last accepted report, not with the view's record, which may differ from
+   it because of an order.  */
 static bool
 must_propose (const pu_reporter_t *p)
 {
@@ -81,26 +82,27 @@
 static void
 on_proposed (void *data, const pu_reply *r, const pu_error_t *e)
 {
-  proposed_t *asked = data;
-  pu_entry_t *en = asked->en;
-  pu_reporter_t *p = g_hash_table_lookup (en->reporters, asked->name);
+  proposal_t *proposal = data;
+  pu_entry_t *en = proposal->en;
+  pu_reporter_t *p = g_hash_table_lookup (en->reporters, proposal->name);
 
   (void)e;
   en->pending--;
-  g_free (asked->name);
-  g_free (asked);
+  g_free (proposal->name);
+  g_free (proposal);
   if (p != NULL && p->proposed != NULL)
     {
-      bool taken = r != NULL
-                   && (r->outcome == PU_OUTCOME_DONE
-                       || r->outcome == PU_OUTCOME_SEEN);
+      bool in_log = r != NULL
+                    && (r->outcome == PU_OUTCOME_DONE
+                        || r->outcome == PU_OUTCOME_SEEN);
 
-      record_free (taken ? p->accepted : p->proposed);
-      if (taken)
+      record_free (in_log ? p->accepted : p->proposed);
+      if (in_log)
         p->accepted = p->proposed;
       p->proposed = NULL;
-      /* It may have changed meanwhile; a refusal waits for the next report. */
-      if (taken && !record_equal (p->accepted, p->record))
+      /* The record may have changed since the proposal.  A refused one is
+         proposed again with the next report.  */
+      if (in_log && !record_equal (p->accepted, p->record))
         record_propose (p);
     }
   pu_entry_check (en);
@@ -111,22 +113,22 @@
 {
   pu_entry_t *en = p->en;
   pu_command c = { .type = PU_COMMAND_BACKEND_UP };
-  proposed_t *asked = g_new0 (proposed_t, 1);
+  proposal_t *proposal = g_new0 (proposal_t, 1);
 
-  asked->en = en;
-  asked->name = g_strdup (p->record->name);
+  proposal->en = en;
+  proposal->name = g_strdup (p->record->name);
   en->pending++;
   p->proposed = record_copy (p->record);
   c.pu_command_u.backend_up = *p->proposed;
   c.pu_command_u.backend_up.seq = p->seq;
   en->o.hooks.propose (en->o.hooks.data, &c, en->o.propose_ms, on_proposed,
-                       asked);
+                       proposal);
 }
 
 /* --- one report --- */
 
 static void
-leaving_take (pu_entry_t *en, const pu_backend_record *b)
+leaving_apply (pu_entry_t *en, const pu_backend_record *b)
 {
   pu_server_t *s = pu_server_find (en, b->name);
 
@@ -138,7 +140,7 @@
 }
 
 static void
-router_tell (pu_entry_t *en, const pu_announcement_t *a)
+router_report (pu_entry_t *en, const pu_announcement_t *a)
 {
   const pu_server_t *s = pu_server_find (en, a->record->name);
 
@@ -146,14 +148,14 @@
       || s->incarnation != a->record->incarnation)
     return;
   if (a->has_load)
-    pu_router_report (en->router, s->handle, &a->load, now_of (en));
+    pu_router_report (en->router, s->handle, &a->load, loop_now (en));
   if (a->has_events)
     pu_router_kv_events (en->router, s->handle, &a->events);
   pu_router_due (en);
 }
 
 static pu_reporter_t *
-reporter_take (pu_entry_t *en, pu_announcement_t *a)
+reporter_update (pu_entry_t *en, pu_announcement_t *a)
 {
   pu_reporter_t *p = g_hash_table_lookup (en->reporters, a->record->name);
 
@@ -170,16 +172,16 @@
 }
 
 static void
-report_take (pu_entry_t *en, pu_announcement_t *a)
+report_apply (pu_entry_t *en, pu_announcement_t *a)
 {
-  pu_reporter_t *p = reporter_take (en, a);
+  pu_reporter_t *p = reporter_update (en, a);
 
   en->o.hooks.renew (en->o.hooks.data, a->record->name,
                      a->record->incarnation);
-  leaving_take (en, a->record);
+  leaving_apply (en, a->record);
   if (must_propose (p))
     record_propose (p);
-  router_tell (en, a);
+  router_report (en, a);
   if (a->has_load)
     pu_spread_add (en, a->record->name, a->record->incarnation, &a->load);
 }
@@ -212,7 +214,7 @@
       && seq <= p->seq)
     return false;
   a.record = record_copy (record);
-  report_take (en, &a);
+  report_apply (en, &a);
   pu_announcement_clear (&a);
   return true;
 }
@@ -236,35 +238,35 @@
     return;
   leaving = *b;
   leaving.leaving = TRUE;
-  leaving_take (en, &leaving);
+  leaving_apply (en, &leaving);
   c.pu_command_u.backend_leaving.name = (char *)name;
   c.pu_command_u.backend_leaving.incarnation = b->incarnation;
   en->o.hooks.propose (en->o.hooks.data, &c, en->o.propose_ms, ignore_reply,
                        NULL);
 }
 
-/* --- the path --- */
+/* --- HTTP handler --- */
 
 static void
-bad_report (pu_entry_t *en, pu_http_request_t *http, const pu_findings_t *f)
+report_reject (pu_entry_t *en, pu_http_request_t *http, const pu_findings_t *f)
 {
   const pu_finding_t *first = pu_findings_get (f, 0);
 
   en->bad_announcements++;
-  if (pu_log_limited (&en->bad_logged, now_of (en), LOG_PERIOD_MS))
+  if (pu_log_limited (&en->bad_logged, loop_now (en), INVALID_LOG_PERIOD_MS))
     {
       pu_log_warn (PU_ENTRY_PART,
-                   "%" G_GUINT64_FORMAT " bad reports so far; this one: '%s' "
-                   "%s",
+                   "%" G_GUINT64_FORMAT " invalid reports so far; the latest: "
+                   "'%s' %s",
                    en->bad_announcements, first->path, first->message);
     }
   pu_answer_json (http, 400,
                   json_pack ("{s:s, s:s, s:o}", "error", "invalid", "message",
-                             "The report breaks a rule.", "findings",
+                             "The report is invalid.", "findings",
                              pu_findings_to_json (f)));
 }
 
-/* What is known of this incarnation; NULL: it must say all.  */
+/* Returns the record known of INCARNATION; NULL: a full report is needed.  */
 static const pu_backend_record *
 known_record (const pu_entry_t *en, const char *name, guint64 incarnation)
 {
@@ -278,27 +280,28 @@
 
 static void
 report_answer (const pu_entry_t *en, pu_http_request_t *http, guint64 seq,
-               bool whole)
+               bool want_full)
 {
   static const pu_refusal_t cut_off = { 503, "cut-off", PU_NOT_RUN, 0 };
   json_t *v;
 
   if (!pu_entry_takes_reports (en))
     {
-      pu_answer_error (http, NULL, &cut_off,
-                       "This instance reaches no voter; report to another.");
+      pu_answer_error (
+          http, NULL, &cut_off,
+          "This instance can't reach a voter; report to another one.");
       return;
     }
   v = json_pack ("{s:I, s:i}", "seq", (json_int_t)seq, "interval_ms",
                  (int)en->o.report_ms);
-  if (whole)
+  if (want_full)
     json_object_set_new (v, "whole", json_true ());
   pu_answer_json (http, 200, v);
 }
 
 static void
-report_read (pu_entry_t *en, pu_http_request_t *http, const json_t *root,
-             const char *name, guint64 incarnation, pu_findings_t *f)
+report_handle (pu_entry_t *en, pu_http_request_t *http, const json_t *root,
+               const char *name, guint64 incarnation, pu_findings_t *f)
 {
   const pu_backend_record *base = known_record (en, name, incarnation);
   const pu_reporter_t *p = g_hash_table_lookup (en->reporters, name);
@@ -311,7 +314,7 @@
     }
   if (!pu_announcement_read (&a, root, base, f))
     {
-      bad_report (en, http, f);
+      report_reject (en, http, f);
     }
   else if (p != NULL && p->record->incarnation == incarnation
            && a.seq <= p->seq)
@@ -320,7 +323,7 @@
     }
   else
     {
-      report_take (en, &a);
+      report_apply (en, &a);
       report_answer (en, http, a.seq, false);
     }
   pu_announcement_clear (&a);
@@ -350,14 +353,15 @@
 
   if (!is_backend_key (en, authorization))
     {
-      pu_answer_error (http, NULL, &denied, "A backend key is needed.");
+      pu_answer_error (http, NULL, &denied,
+                       "A valid backend key is required.");
       return;
     }
   f = pu_findings_new ();
   root = pu_json_load_document (body, len, en->o.announcement_max, f);
   if (root == NULL || !pu_announcement_name (root, &name, &incarnation, f))
     {
-      bad_report (en, http, f);
+      report_reject (en, http, f);
     }
   else if (incarnation < known_incarnation (en, name))
     {
@@ -367,7 +371,7 @@
     }
   else
     {
-      report_read (en, http, root, name, incarnation, f);
+      report_handle (en, http, root, name, incarnation, f);
     }
   json_decref (root);
   pu_findings_free (f);
--- a/libplantainusher/entry/announcement.c
+++ b/libplantainusher/entry/announcement.c
@@ -4,32 +4,32 @@
 
 #include "state/codec.h"
 
-#define PART_MAX 1048576 /* accelerators, MB */
-#define EVENTS_MAX 65536 /* of one report */
-#define HEX_DIGITS 16
+#define VALUE_MAX 1048576 /* counts and sizes in MB */
+#define HASHES_MAX 65536  /* block hashes in one list of a report */
+#define HASH_HEX_DIGITS 16
 
-static const char *const members[]
+static const char *const known_members[]
     = { "name", "incarnation",  "kind",      "service",  "address", "region",
         "zone", "accelerators", "memory_mb", "fenced",   "leaving", "token",
         "seq",  "copies",       "load",      "kv_events" };
 
-static const char *const phases[] = {
+static const char *const phase_names[] = {
   [PU_COPY_LOADING] = "loading",
   [PU_COPY_READY] = "ready",
   [PU_COPY_DRAINING] = "draining",
   [PU_COPY_UNLOADING] = "unloading",
 };
 
-/* --- single values; an absent one leaves what was there --- */
+/* --- single values; where the member is absent, *VALUE stays as it is --- */
 
 static void
-finding (pu_findings_t *f, const char *path, const char *name,
-         const char *what)
+add_finding (pu_findings_t *f, const char *path, const char *name,
+             const char *message)
 {
-  char *place = g_strdup_printf ("%s/%s", path, name);
+  char *member_path = g_strdup_printf ("%s/%s", path, name);
 
-  pu_findings_add (f, place, "%s", what);
-  g_free (place);
+  pu_findings_add (f, member_path, "%s", message);
+  g_free (member_path);
 }
 
 static void
@@ -43,7 +43,7 @@
   if (!json_is_integer (v) || json_integer_value (v) < 0
       || (guint64)json_integer_value (v) > max)
     {
-      finding (f, path, name, "is not a whole number in range.");
+      add_finding (f, path, name, "is not an integer in the allowed range.");
     }
   else
     {
@@ -57,7 +57,7 @@
 {
   guint64 n = *value;
 
-  read_number (o, path, name, PART_MAX, &n, f);
+  read_number (o, path, name, VALUE_MAX, &n, f);
   *value = (guint)n;
 }
 
@@ -70,7 +70,7 @@
     return;
   if (!json_is_boolean (v))
     {
-      finding (f, "", name, "is not true or false.");
+      add_finding (f, "", name, "is not a boolean.");
     }
   else
     {
@@ -90,10 +90,10 @@
   if (s == NULL || strlen (s) > PU_NAME_MAX || (*s == 0 && !empty)
       || strlen (s) != json_string_length (v))
     {
-      finding (f, path, name, "is not a name.");
+      add_finding (f, path, name, "is not a valid name.");
       return;
     }
-  /* rpcgen's strings belong to malloc.  */
+  /* The XDR functions free strings with free.  */
   free (*value);
   *value = strdup (s);
 }
@@ -118,7 +118,7 @@
     }
   else
     {
-      finding (f, "", "kind", "is not \"engine\" or \"plain\".");
+      add_finding (f, "", "kind", "is not \"engine\" or \"plain\".");
     }
 }
 
@@ -130,7 +130,7 @@
   read_name (o, "", "address", false, &b->address, f);
   if (json_object_get (o, "address") != NULL
       && !pu_http_address_parse (b->address, &addr, NULL))
-    finding (f, "", "address", "is not IP:port.");
+    add_finding (f, "", "address", "is not IP:port.");
 }
 
 static void
@@ -139,14 +139,14 @@
 {
   const char *s = json_string_value (json_object_get (o, "phase"));
 
-  for (guint i = 0; i < G_N_ELEMENTS (phases); i++)
+  for (guint i = 0; i < G_N_ELEMENTS (phase_names); i++)
     {
-      if (g_strcmp0 (s, phases[i]) != 0)
+      if (g_strcmp0 (s, phase_names[i]) != 0)
         continue;
       c->phase = (pu_copy_phase)i;
       return;
     }
-  finding (f, path, "phase", "is not a phase of a copy.");
+  add_finding (f, path, "phase", "is not a copy phase.");
 }
 
 static void
@@ -162,7 +162,7 @@
   read_uint (o, path, "memory_mb", &c->memory_mb, f);
   read_phase (o, path, c, f);
   if (*c->model == 0)
-    finding (f, path, "model", "is missing.");
+    add_finding (f, path, "model", "is missing.");
 }
 
 static void
@@ -188,7 +188,8 @@
     return;
   if (!json_is_array (list) || n > PU_LIST_MAX)
     {
-      finding (f, "", "copies", "is not a list, or too long.");
+      add_finding (f, "", "copies",
+                   "is not an array or has too many entries.");
       return;
     }
   copies_clear (b);
@@ -234,19 +235,20 @@
   b->down = FALSE;
 }
 
-/* What a record must have, whichever report said it.  */
+/* Checks that B has what a record needs, from this report or an earlier one.
+ */
 static void
-record_check (const pu_backend_record *b, pu_findings_t *f)
+check_record (const pu_backend_record *b, pu_findings_t *f)
 {
   if (*b->address == 0)
-    finding (f, "", "address", "is missing.");
+    add_finding (f, "", "address", "is missing.");
   if (b->kind == PU_BACKEND_PLAIN && *b->service == 0)
-    finding (f, "", "service", "is missing for a plain service.");
+    add_finding (f, "", "service", "is missing for a plain service.");
   if (b->kind == PU_BACKEND_ENGINE
       && (b->accelerators == 0 || b->memory_mb == 0))
     {
-      finding (f, "", "accelerators",
-               "and memory_mb of an engine must be above 0.");
+      add_finding (f, "", "accelerators",
+                   "and memory_mb must be greater than 0 for an engine.");
     }
 }
 
@@ -262,7 +264,7 @@
     return;
   if (!json_is_object (o))
     {
-      finding (f, "", "load", "is not an object.");
+      add_finding (f, "", "load", "is not an object.");
       return;
     }
   a->has_load = true;
@@ -272,7 +274,8 @@
   if (tokens != NULL
       && (!json_is_number (tokens) || json_number_value (tokens) < 0))
     {
-      finding (f, "/load", "tokens_per_s", "is not a number of 0 or more.");
+      add_finding (f, "/load", "tokens_per_s",
+                   "is not a non-negative number.");
     }
   else
     {
@@ -288,17 +291,18 @@
   const json_t *one;
   size_t i;
 
-  if (json_array_size (list) > EVENTS_MAX)
-    finding (f, "/kv_events", name, "is too long.");
+  if (json_array_size (list) > HASHES_MAX)
+    add_finding (f, "/kv_events", name, "has too many entries.");
   json_array_foreach (list, i, one)
   {
     const char *s = json_string_value (one);
     guint64 hash = 0;
 
-    if (s == NULL || strlen (s) > HEX_DIGITS
+    if (s == NULL || strlen (s) > HASH_HEX_DIGITS
         || !g_ascii_string_to_unsigned (s, 16, 0, G_MAXUINT64, &hash, NULL))
       {
-        finding (f, "/kv_events", name, "holds what is no block hash.");
+        add_finding (f, "/kv_events", name,
+                     "contains an entry that is not a block hash.");
         break;
       }
     g_array_append_val (found, hash);
@@ -324,29 +328,29 @@
   a->events.n_removed = a->removed->len;
 }
 
-/* --- the whole --- */
+/* --- the report --- */
 
 static bool
-is_member (const char *name)
+is_known_member (const char *name)
 {
-  for (gsize i = 0; i < G_N_ELEMENTS (members); i++)
+  for (gsize i = 0; i < G_N_ELEMENTS (known_members); i++)
     {
-      if (strcmp (members[i], name) == 0)
+      if (strcmp (known_members[i], name) == 0)
         return true;
     }
   return false;
 }
 
 static void
-members_check (const json_t *root, pu_findings_t *f)
+check_members (const json_t *root, pu_findings_t *f)
 {
   const char *key;
   json_t *value;
 
   json_object_foreach ((json_t *)root, key, value)
   {
-    if (!is_member (key))
-      finding (f, "", key, "is not known.");
+    if (!is_known_member (key))
+      add_finding (f, "", key, "is not a known member.");
   }
 }
 
@@ -359,10 +363,10 @@
   *name = json_string_value (v);
   *incarnation = 0;
   if (*name == NULL || **name == 0 || strlen (*name) > PU_NAME_MAX)
-    finding (f, "", "name", "is not a name.");
+    add_finding (f, "", "name", "is not a valid name.");
   read_number (root, "", "incarnation", G_MAXINT64, incarnation, f);
   if (*incarnation == 0)
-    finding (f, "", "incarnation", "must be 1 or more.");
+    add_finding (f, "", "incarnation", "must be 1 or more.");
   return pu_findings_count (f) == 0;
 }
 
@@ -375,10 +379,10 @@
   a->record = base != NULL ? pu_codec_clone ((xdrproc_t)xdr_pu_backend_record,
                                              base, sizeof *base)
                            : record_new ();
-  members_check (root, f);
+  check_members (root, f);
   read_number (root, "", "seq", G_MAXINT64, &a->seq, f);
   read_record (root, a->record, f);
-  record_check (a->record, f);
+  check_record (a->record, f);
   read_load (root, a, f);
   read_events (root, a, f);
   a->load.seq = a->seq;
--- a/libplantainusher/entry/servers.c
+++ b/libplantainusher/entry/servers.c
@@ -6,21 +6,23 @@
 
 enum
 {
-  REFUSED_DEAD = 2,     /* probes that nobody listened to */
-  PROBE_AGAIN_MS = 100, /* between them */
-  DEAD_KEPT_MS = 5000,  /* until the view must have it */
+  PROBES_UNTIL_DOWN = 2, /* failed probes in a row */
+  PROBE_RETRY_MS = 100,
+  /* A server found dead here stays down for this time, by which the view must
+     have it as down.  */
+  LOCAL_DOWN_MS = 5000,
 };
 
-/* A copy that S has, or lacks, against its last report.  */
+/* What is known of a copy contrary to its backend server's last report.  */
 typedef struct
 {
   char *version;
-  bool has;
-  guint64 until; /* loop time: a report knows by then */
+  bool present;
+  guint64 expires_at; /* loop time; reports show the copy's state by then */
 } extra_t;
 
 static void
-extra_free (gpointer extra)
+override_free (gpointer extra)
 {
   extra_t *x = extra;
 
@@ -48,7 +50,7 @@
 }
 
 static pu_server_t *
-server_get (pu_entry_t *en, const char *name)
+server_get_or_add (pu_entry_t *en, const char *name)
 {
   pu_server_t *s = pu_server_find (en, name);
 
@@ -61,21 +63,21 @@
   s->number = ++en->last_server;
   s->held = g_ptr_array_new ();
   s->extras
-      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, extra_free);
+      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, override_free);
   g_hash_table_insert (en->servers, s->name, s);
   return s;
 }
 
-/* server_wait - something of S ends with time: the tick looks at it.  Of some
-   thousand backend servers nearly all wait for nothing.  */
+/* server_watch - makes the tick visit S until none of its timers is left.  Of
+   several thousand backend servers nearly all have no timer.  */
 static void
-server_wait (pu_server_t *s)
+server_watch (pu_server_t *s)
 {
   g_hash_table_add (s->en->waiting, s);
 }
 
 static bool
-is_waiting (const pu_server_t *s)
+has_timer (const pu_server_t *s)
 {
   return s->probe_at != 0 || s->cut_apart > 0 || s->dead_until != 0
          || g_hash_table_size (s->extras) > 0;
@@ -83,10 +85,10 @@
 
 /* --- strikes --- */
 
-/* INCARNATION of S is dead: what ran there, or was cut there shortly before,
-   gets a strike.  */
+/* Proposes a strike for each request that ran at INCARNATION of S when it died
+   or was aborted there shortly before.  */
 static void
-incarnation_died (pu_server_t *s, guint64 incarnation)
+incarnation_propose_strikes (pu_server_t *s, guint64 incarnation)
 {
   pu_entry_t *en = s->en;
   GArray *strikes = g_array_new (FALSE, FALSE, sizeof (pu_suspects_strike_t));
@@ -106,7 +108,7 @@
 /* --- the router's table --- */
 
 static pu_router_phase_t
-phase_of (pu_copy_phase phase)
+router_phase (pu_copy_phase phase)
 {
   switch (phase)
     {
@@ -121,13 +123,13 @@
   return PU_ROUTER_COPY_DRAINING;
 }
 
-/* Whether S is known to lack MODEL.  */
+/* Whether an override says that S has no copy of MODEL.  */
 static bool
-is_lacking (const pu_server_t *s, const char *model)
+is_marked_absent (const pu_server_t *s, const char *model)
 {
   const extra_t *x = g_hash_table_lookup (s->extras, model);
 
-  return x != NULL && !x->has;
+  return x != NULL && !x->present;
 }
 
 static bool
@@ -142,7 +144,8 @@
 }
 
 static void
-extras_add (const pu_server_t *s, const pu_backend_record *b, GArray *copies)
+overrides_append (const pu_server_t *s, const pu_backend_record *b,
+                  GArray *copies)
 {
   GHashTableIter it;
   gpointer model;
@@ -154,25 +157,25 @@
       const extra_t *x = value;
       pu_router_copy_t one = { model, x->version, PU_ROUTER_COPY_READY };
 
-      if (x->has && !is_reported (b, model))
+      if (x->present && !is_reported (b, model))
         g_array_append_val (copies, one);
     }
 }
 
 static void
-copies_add (const pu_server_t *s, const pu_backend_record *b,
-            const char *plain, GArray *copies)
+copies_append (const pu_server_t *s, const pu_backend_record *b,
+               const char *plain, GArray *copies)
 {
   for (guint i = 0; i < b->copies.copies_len; i++)
     {
       const pu_copy_record *c = &b->copies.copies_val[i];
       pu_router_copy_t one
-          = { c->model, c->model_version, phase_of (c->phase) };
+          = { c->model, c->model_version, router_phase (c->phase) };
 
-      if (!is_lacking (s, c->model))
+      if (!is_marked_absent (s, c->model))
         g_array_append_val (copies, one);
     }
-  extras_add (s, b, copies);
+  overrides_append (s, b, copies);
   if (b->kind == PU_BACKEND_PLAIN)
     {
       pu_router_copy_t one = { plain, "", PU_ROUTER_COPY_READY };
@@ -182,7 +185,7 @@
 }
 
 static void
-router_set (pu_server_t *s, const pu_backend_record *b)
+router_update (pu_server_t *s, const pu_backend_record *b)
 {
   GArray *copies = g_array_new (FALSE, FALSE, sizeof (pu_router_copy_t));
   char *plain = g_strconcat ("service:", b->service, NULL);
@@ -195,7 +198,7 @@
     .leaving = s->leaving || s->suspects > 0,
   };
 
-  copies_add (s, b, plain, copies);
+  copies_append (s, b, plain, copies);
   o.copies = (const pu_router_copy_t *)(void *)copies->data;
   o.n_copies = copies->len;
   s->handle = pu_router_set_backend (s->en->router, &o);
@@ -212,10 +215,10 @@
 }
 
 static void
-incarnation_take (pu_server_t *s, const pu_backend_record *b)
+incarnation_set (pu_server_t *s, const pu_backend_record *b)
 {
   if (s->incarnation != 0)
-    incarnation_died (s, s->incarnation);
+    incarnation_propose_strikes (s, s->incarnation);
   g_hash_table_remove (s->en->load_ids, &s->load_id);
   s->incarnation = b->incarnation;
   s->load_id = pu_entry_load_id (s->name, s->incarnation);
@@ -225,9 +228,9 @@
   s->refused = 0;
 }
 
-/* How S stands with this entry, in a word.  */
+/* The state of S at this entry, as logged.  */
 static const char *
-health_of (const pu_server_t *s)
+health_name (const pu_server_t *s)
 {
   if (s->incarnation == 0)
     return "unknown";
@@ -237,14 +240,14 @@
 }
 
 static void
-health_tell (const pu_server_t *s, const char *before)
+health_log_change (const pu_server_t *s, const char *before)
 {
-  if (strcmp (before, health_of (s)) == 0)
+  if (strcmp (before, health_name (s)) == 0)
     return;
   pu_log_event (
       PU_ENTRY_PART, "Backend server changed state.",
       PU_LOG_TEXT ("server", s->name), PU_LOG_TEXT ("address", s->address),
-      PU_LOG_TEXT ("before", before), PU_LOG_TEXT ("now", health_of (s)),
+      PU_LOG_TEXT ("before", before), PU_LOG_TEXT ("now", health_name (s)),
       PU_LOG_NUMBER ("incarnation", s->incarnation),
       PU_LOG_NUMBER ("changes", s->en->changes));
 }
@@ -252,13 +255,13 @@
 pu_server_t *
 pu_server_apply (pu_entry_t *en, const pu_backend_record *b)
 {
-  pu_server_t *s = server_get (en, b->name);
-  const char *before = health_of (s);
+  pu_server_t *s = server_get_or_add (en, b->name);
+  const char *before = health_name (s);
 
   if (b->incarnation < s->incarnation)
     return s;
   if (b->incarnation > s->incarnation)
-    incarnation_take (s, b);
+    incarnation_set (s, b);
   g_free (s->address);
   s->address = g_strdup (b->address);
   s->plain = b->kind == PU_BACKEND_PLAIN;
@@ -270,21 +273,21 @@
     }
   else
     {
-      router_set (s, b);
+      router_update (s, b);
     }
-  health_tell (s, before);
+  health_log_change (s, before);
   return s;
 }
 
 static void
-backend_take (const pu_backend_record *b, void *data)
+backend_apply (const pu_backend_record *b, void *data)
 {
   pu_server_apply (data, b);
 }
 
-/* A backend server that the view has forgotten.  */
+/* Takes backend servers that are no longer in the view out of the router.  */
 static void
-forgotten_remove (pu_entry_t *en, const pu_state_t *view)
+unlisted_remove (pu_entry_t *en, const pu_state_t *view)
 {
   GHashTableIter it;
   gpointer value;
@@ -294,13 +297,13 @@
     {
       pu_server_t *s = value;
 
-      const char *before = health_of (s);
+      const char *before = health_name (s);
 
       if (pu_state_backend (view, s->name) != NULL)
         continue;
       router_remove (s);
       s->down = true;
-      health_tell (s, before);
+      health_log_change (s, before);
     }
 }
 
@@ -309,10 +312,10 @@
 {
   const pu_state_t *view = en->o.hooks.view (en->o.hooks.data);
 
-  if (pu_state_each_changed_backend (view, since, backend_take, en))
+  if (pu_state_each_changed_backend (view, since, backend_apply, en))
     return;
-  pu_state_each_backend (view, backend_take, en);
-  forgotten_remove (en, view);
+  pu_state_each_backend (view, backend_apply, en);
+  unlisted_remove (en, view);
 }
 
 void
@@ -330,14 +333,14 @@
     }
   b = pu_state_backend (en->o.hooks.view (en->o.hooks.data), s->name);
   if (b != NULL && b->incarnation == s->incarnation)
-    router_set (s, b);
+    router_update (s, b);
   pu_router_due (en);
 }
 
 void
 pu_server_apart_cut (pu_server_t *s)
 {
-  server_wait (s);
+  server_watch (s);
   s->cut_apart++;
   s->apart_until = uv_now (s->en->o.loop) + s->en->o.settle_ms;
 }
@@ -364,11 +367,11 @@
   return false;
 }
 
-/* --- copies against the reports --- */
+/* --- overrides of reported copies --- */
 
-/* extra_note - the router is told by the caller.  */
+/* override_set - does not update the router; the caller does.  */
 static void
-extra_note (pu_server_t *s, const char *model, bool has, guint64 until)
+override_set (pu_server_t *s, const char *model, bool present, guint64 until)
 {
   const pu_document_t *d = s->en->document;
   pu_model_handle_t m = pu_document_find_model (d, model);
@@ -378,13 +381,13 @@
     return;
   x = g_new0 (extra_t, 1);
   x->version = g_strdup (pu_document_model (d, m)->version);
-  x->has = has;
-  x->until = until;
-  server_wait (s);
+  x->present = present;
+  x->expires_at = until;
+  server_watch (s);
   g_hash_table_replace (s->extras, g_strdup (model), x);
 }
 
-/* The record of S, where the router has S; else NULL.  */
+/* Returns the view's record of S, or NULL when S is not in the router.  */
 static const pu_backend_record *
 routed_record (const pu_server_t *s)
 {
@@ -396,32 +399,33 @@
 }
 
 static void
-extra_put (pu_server_t *s, const char *model, bool has, guint64 until)
+override_apply (pu_server_t *s, const char *model, bool present, guint64 until)
 {
   const pu_backend_record *b = routed_record (s);
 
   if (b == NULL
       || pu_document_find_model (s->en->document, model) == PU_HANDLE_NONE)
     return;
-  extra_note (s, model, has, until);
-  router_set (s, b);
+  override_set (s, model, present, until);
+  router_update (s, b);
 }
 
 void
 pu_server_extra (pu_server_t *s, const char *model, guint64 until)
 {
-  extra_put (s, model, true, until);
+  override_apply (s, model, true, until);
 }
 
 void
 pu_server_lacks (pu_server_t *s, const char *model, guint64 until)
 {
-  extra_put (s, model, false, until);
+  override_apply (s, model, false, until);
 }
 
-/* Whether MODEL is BASE or an adapter of it.  */
+/* Whether MODEL is BASE or an adapter of BASE.  */
 static bool
-is_of_base (const pu_document_t *d, const char *model, const char *base)
+is_base_or_adapter (const pu_document_t *d, const char *model,
+                    const char *base)
 {
   pu_model_handle_t h = pu_document_find_model (d, model);
   const char *own
@@ -435,7 +439,7 @@
 {
   const extra_t *x = g_hash_table_lookup (s->extras, model);
 
-  return x != NULL && !x->has && x->until >= until;
+  return x != NULL && !x->present && x->expires_at >= until;
 }
 
 void
@@ -444,55 +448,55 @@
   const pu_document_t *d = s->en->document;
   const pu_backend_record *b = routed_record (s);
   GHashTableIter it;
-  gpointer told;
+  gpointer overridden;
   gpointer extra;
 
   if (b == NULL)
     return;
   g_hash_table_iter_init (&it, s->extras);
-  while (g_hash_table_iter_next (&it, &told, &extra))
+  while (g_hash_table_iter_next (&it, &overridden, &extra))
     {
       extra_t *x = extra;
 
-      if (!is_of_base (d, told, model))
+      if (!is_base_or_adapter (d, overridden, model))
         continue;
-      x->has = false;
-      x->until = until;
+      x->present = false;
+      x->expires_at = until;
     }
   for (u_int i = 0; i < b->copies.copies_len; i++)
     {
       const char *own = b->copies.copies_val[i].model;
 
-      if (is_of_base (d, own, model))
-        extra_note (s, own, false, until);
+      if (is_base_or_adapter (d, own, model))
+        override_set (s, own, false, until);
     }
-  router_set (s, b);
+  router_update (s, b);
 }
 
 static gboolean
-is_over (gpointer model, gpointer extra, gpointer now)
+override_is_expired (gpointer model, gpointer extra, gpointer now)
 {
   (void)model;
-  return ((extra_t *)extra)->until <= *(guint64 *)now;
+  return ((extra_t *)extra)->expires_at <= *(guint64 *)now;
 }
 
 static void
-extras_tick (pu_server_t *s, guint64 now)
+overrides_tick (pu_server_t *s, guint64 now)
 {
   const pu_backend_record *b;
 
-  if (g_hash_table_foreach_remove (s->extras, is_over, &now) == 0
+  if (g_hash_table_foreach_remove (s->extras, override_is_expired, &now) == 0
       || s->handle == PU_ROUTER_NONE)
     return;
   b = pu_state_backend (s->en->o.hooks.view (s->en->o.hooks.data), s->name);
   if (b != NULL)
-    router_set (s, b);
+    router_update (s, b);
 }
 
 /* --- probes --- */
 
 static void
-held_release (pu_server_t *s)
+held_retry (pu_server_t *s)
 {
   GPtrArray *held = s->held;
 
@@ -529,22 +533,23 @@
 }
 
 static void
-server_dead (pu_server_t *s)
+server_mark_dead (pu_server_t *s)
 {
-  pu_log_note (PU_ENTRY_PART, "Backend server %s is dead: nobody listens.",
+  pu_log_note (PU_ENTRY_PART,
+               "Backend server %s is down: probes were refused or closed.",
                s->name);
-  incarnation_died (s, s->incarnation);
+  incarnation_propose_strikes (s, s->incarnation);
   router_remove (s);
   s->down = true;
-  server_wait (s);
-  s->dead_until = uv_now (s->en->o.loop) + DEAD_KEPT_MS;
+  server_watch (s);
+  s->dead_until = uv_now (s->en->o.loop) + LOCAL_DOWN_MS;
   pu_http_client_close_idle (s->en->client, s->address);
   down_propose (s);
-  held_release (s);
+  held_retry (s);
 }
 
 static bool
-was_closed (pu_http_end_t kind)
+is_refused_or_closed (pu_http_end_t kind)
 {
   return kind == PU_HTTP_END_CONNECT_FAILED || kind == PU_HTTP_END_CLOSED
          || kind == PU_HTTP_END_STALE;
@@ -557,21 +562,21 @@
 
   (void)call;
   s->probe = NULL;
-  /* A dying process may still take a connection and close it: alive is who
-     answers, or at least keeps the connection.  */
-  if (result->head || !was_closed (result->kind))
+  /* A dying process may still accept a connection and close it, so S counts as
+     alive only if it responds or keeps the connection open.  */
+  if (result->head || !is_refused_or_closed (result->kind))
     {
-      held_release (s);
+      held_retry (s);
       return;
     }
-  if (++s->refused >= REFUSED_DEAD)
+  if (++s->refused >= PROBES_UNTIL_DOWN)
     {
-      server_dead (s);
+      server_mark_dead (s);
     }
   else
     {
-      server_wait (s);
-      s->probe_at = uv_now (s->en->o.loop) + PROBE_AGAIN_MS;
+      server_watch (s);
+      s->probe_at = uv_now (s->en->o.loop) + PROBE_RETRY_MS;
     }
 }
 
@@ -590,7 +595,7 @@
   s->probe_at = 0;
   s->probe = pu_http_client_start (s->en->client, &o, NULL);
   if (s->probe == NULL)
-    held_release (s);
+    held_retry (s);
 }
 
 void
@@ -606,11 +611,12 @@
   if (s->down)
     return;
   pu_log_note (PU_ENTRY_PART,
-               "Backend server %s is gone: another has its address.", s->name);
+               "Backend server %s is down: another one has its address.",
+               s->name);
   router_remove (s);
   s->down = true;
-  server_wait (s);
-  s->dead_until = uv_now (s->en->o.loop) + DEAD_KEPT_MS;
+  server_watch (s);
+  s->dead_until = uv_now (s->en->o.loop) + LOCAL_DOWN_MS;
   down_propose (s);
 }
 
@@ -632,9 +638,9 @@
     g_ptr_array_remove (x->at.server->held, x);
 }
 
-/* What was found dead here is what the view says again.  */
+/* Ends the local down state of S: the view's record applies again.  */
 static void
-dead_tick (pu_server_t *s, guint64 now)
+local_down_tick (pu_server_t *s, guint64 now)
 {
   const pu_backend_record *b;
 
@@ -649,8 +655,8 @@
 static void
 server_tick (pu_server_t *s, guint64 now)
 {
-  extras_tick (s, now);
-  dead_tick (s, now);
+  overrides_tick (s, now);
+  local_down_tick (s, now);
   if (s->probe_at != 0 && s->probe_at <= now)
     probe_start (s);
   for (; s->cut_apart > 0 && s->apart_until <= now; s->cut_apart--)
@@ -667,7 +673,7 @@
       pu_server_t *s = l->data;
 
       server_tick (s, now);
-      if (!is_waiting (s))
+      if (!has_timer (s))
         g_hash_table_remove (en->waiting, s);
     }
   g_list_free (all);
