--- a/libplantainusher/entry/claim.c
+++ b/libplantainusher/entry/claim.c
@@ -5,16 +5,16 @@
 
 #include "base/breaks.h"
 
-/* What a proposal's answer belongs to.  */
+/* Context of a proposal to the replicated log.  */
 typedef struct
 {
   pu_entry_t *en;
   pu_once_handle_t handle;
   guint64 attempt;
-} asked_t;
+} proposal_t;
 
 static guint64
-now_of (const pu_entry_t *en)
+loop_now (const pu_entry_t *en)
 {
   return uv_now (en->o.loop);
 }
@@ -37,29 +37,34 @@
 }
 
 static void
-begin_refuse (pu_exchange_t *x, pu_once_begin_t why)
+begin_reject (pu_exchange_t *x, pu_once_begin_t why)
 {
-  static const pu_refusal_t old = { 410, "key_too_old", PU_NOT_RUN, 0 };
-  static const pu_refusal_t bad = { 400, "invalid_request", PU_NOT_RUN, 0 };
-  static const pu_refusal_t other = { 422, "key_reused", PU_NOT_RUN, 0 };
-  static const pu_refusal_t full = { 503, "overloaded", PU_NOT_RUN, 1000 };
+  static const pu_refusal_t too_old = { 410, "key_too_old", PU_NOT_RUN, 0 };
+  static const pu_refusal_t bad_key
+      = { 400, "invalid_request", PU_NOT_RUN, 0 };
+  static const pu_refusal_t key_reused = { 422, "key_reused", PU_NOT_RUN, 0 };
+  static const pu_refusal_t overloaded
+      = { 503, "overloaded", PU_NOT_RUN, 1000 };
 
   switch (why)
     {
     case PU_ONCE_ACCEPTED:
       break;
     case PU_ONCE_TOO_OLD:
-      pu_exchange_fail (x, &old, "The Idempotency-Key is too old.");
+      pu_exchange_fail (x, &too_old, "The Idempotency-Key is too old.");
       break;
     case PU_ONCE_BAD_KEY:
-      pu_exchange_fail (x, &bad, "The Idempotency-Key can't be used.");
+      pu_exchange_fail (x, &bad_key,
+                        "The Idempotency-Key is empty or too long.");
       break;
     case PU_ONCE_KEY_MISMATCH:
-      pu_exchange_fail (x, &other,
+      pu_exchange_fail (x, &key_reused,
                         "The Idempotency-Key was used for another request.");
       break;
     case PU_ONCE_FULL:
-      pu_exchange_fail (x, &full, "Too many keys are at work here.");
+      pu_exchange_fail (
+          x, &overloaded,
+          "Too many at-most-once calls are in progress at this entry.");
       break;
     }
 }
@@ -73,10 +78,10 @@
   x->phase = PU_X_CLAIMING;
   begun = pu_once_begin (en->once, x->number, x->q.service, x->key,
                          call_fingerprint (x), pu_once_key_wall (x->key),
-                         wall_now (), x->window_ms, now_of (en));
+                         wall_now (), x->window_ms, loop_now (en));
   if (begun != PU_ONCE_ACCEPTED)
     {
-      begin_refuse (x, begun);
+      begin_reject (x, begun);
     }
   else
     {
@@ -84,51 +89,52 @@
     }
 }
 
-/* --- the log's answers --- */
+/* --- results of proposals --- */
 
-static asked_t *
-asked_new (pu_entry_t *en, const pu_once_action_t *a)
+static proposal_t *
+proposal_new (pu_entry_t *en, const pu_once_action_t *a)
 {
-  asked_t *asked = g_new0 (asked_t, 1);
+  proposal_t *proposal = g_new0 (proposal_t, 1);
 
-  asked->en = en;
-  asked->handle = a->handle;
-  asked->attempt = a->attempt;
+  proposal->en = en;
+  proposal->handle = a->handle;
+  proposal->attempt = a->attempt;
   en->pending++;
-  return asked;
+  return proposal;
 }
 
 static pu_entry_t *
-asked_over (asked_t *asked)
+proposal_end (proposal_t *proposal)
 {
-  pu_entry_t *en = asked->en;
+  pu_entry_t *en = proposal->en;
 
   en->pending--;
-  g_free (asked);
+  g_free (proposal);
   return en;
 }
 
 static bool
-is_own (const asked_t *asked, const pu_claim_record *c)
+is_own_claim (const proposal_t *proposal, const pu_claim_record *c)
 {
-  const pu_entry_t *en = asked->en;
+  const pu_entry_t *en = proposal->en;
 
-  return c->attempt == asked->attempt && strcmp (c->owner, en->name) == 0
+  return c->attempt == proposal->attempt && strcmp (c->owner, en->name) == 0
          && c->owner_incarnation == en->o.hooks.incarnation (en->o.hooks.data);
 }
 
 static pu_once_claimed_t
-seen_claim (const asked_t *asked, const pu_claim_record *c)
+seen_claim_result (const proposal_t *proposal, const pu_claim_record *c)
 {
   if (c == NULL)
     return PU_ONCE_REFUSED;
-  if (is_own (asked, c))
+  if (is_own_claim (proposal, c))
     return PU_ONCE_CLOSED;
   return c->phase == PU_CLAIM_RAN ? PU_ONCE_KEPT : PU_ONCE_LOST;
 }
 
 static pu_once_claimed_t
-claimed_of (const asked_t *asked, const pu_reply *r, const pu_error_t *e)
+claim_result (const proposal_t *proposal, const pu_reply *r,
+              const pu_error_t *e)
 {
   if (r == NULL)
     return e->kind == PU_ERROR_TIMEOUT ? PU_ONCE_TIMEOUT : PU_ONCE_REFUSED;
@@ -139,7 +145,7 @@
     case PU_OUTCOME_DONE:
       return PU_ONCE_GRANTED;
     case PU_OUTCOME_SEEN:
-      return seen_claim (asked, r->claim);
+      return seen_claim_result (proposal, r->claim);
     case PU_OUTCOME_CONFLICT:
       return PU_ONCE_MISMATCH;
     case PU_OUTCOME_BUSY:
@@ -153,20 +159,21 @@
 static void
 on_claimed (void *data, const pu_reply *r, const pu_error_t *e)
 {
-  asked_t *asked = data;
-  pu_entry_t *en = asked->en;
-  pu_once_claimed_t what = claimed_of (asked, r, e);
+  proposal_t *proposal = data;
+  pu_entry_t *en = proposal->en;
+  pu_once_claimed_t claimed = claim_result (proposal, r, e);
   pu_once_result_t result = { .content_type = "" };
 
-  if (what == PU_ONCE_KEPT)
+  if (claimed == PU_ONCE_KEPT)
     {
       result = (pu_once_result_t){ r->claim->status, r->claim->content_type,
                                    r->claim->result.result_val,
                                    r->claim->result.result_len };
     }
-  pu_once_claimed (en->once, asked->handle, what, r != NULL ? r->position : 0,
-                   what == PU_ONCE_KEPT ? &result : NULL, now_of (en));
-  asked_over (asked);
+  pu_once_claimed (en->once, proposal->handle, claimed,
+                   r != NULL ? r->position : 0,
+                   claimed == PU_ONCE_KEPT ? &result : NULL, loop_now (en));
+  proposal_end (proposal);
   pu_claim_pump (en);
   pu_entry_check (en);
 }
@@ -174,13 +181,14 @@
 static void
 on_recorded (void *data, const pu_reply *r, const pu_error_t *e)
 {
-  asked_t *asked = data;
-  pu_entry_t *en = asked->en;
+  proposal_t *proposal = data;
+  pu_entry_t *en = proposal->en;
 
   (void)e;
-  /* Refused or seen: the log will not say anything else later.  */
-  pu_once_recorded (en->once, asked->handle, r != NULL, now_of (en));
-  asked_over (asked);
+  /* Any reply ends the record: a retry of one that was refused or that the log
+     has seen would get the same reply.  */
+  pu_once_recorded (en->once, proposal->handle, r != NULL, loop_now (en));
+  proposal_end (proposal);
   pu_claim_pump (en);
   pu_entry_check (en);
 }
@@ -202,11 +210,11 @@
   claim->wall = wall_now ();
   claim->window_ms = a->window_ms;
   en->o.hooks.propose (en->o.hooks.data, &c, en->o.propose_ms, on_claimed,
-                       asked_new (en, a));
+                       proposal_new (en, a));
 }
 
 static pu_claim_phase
-phase_of (pu_once_outcome_t outcome)
+claim_phase (pu_once_outcome_t outcome)
 {
   switch (outcome)
     {
@@ -229,7 +237,7 @@
   done->service = (char *)a->service;
   done->key = (char *)a->key;
   done->position = a->position;
-  done->phase = phase_of (a->outcome);
+  done->phase = claim_phase (a->outcome);
   done->content_type = "";
   if (a->outcome == PU_ONCE_RAN)
     {
@@ -239,10 +247,11 @@
       done->result.result_len = (u_int)a->result.len;
     }
   en->o.hooks.propose (en->o.hooks.data, &c, en->o.propose_ms, on_recorded,
-                       asked_new (en, a));
+                       proposal_new (en, a));
 }
 
-/* One of the callers that wait for the key stands for the call.  */
+/* Returns one of the exchanges that wait for the key; its request is sent for
+   all of them.  */
 static pu_exchange_t *
 claimant_find (const pu_entry_t *en, const pu_once_action_t *a)
 {
@@ -263,11 +272,11 @@
 {
   pu_exchange_t *x = claimant_find (en, a);
 
-  /* All its callers have gone before it was sent.  */
+  /* All callers have disconnected before the request was sent.  */
   if (x == NULL)
     {
       pu_once_finished (en->once, a->handle, PU_ONCE_NOT_RUN, NULL,
-                        now_of (en));
+                        loop_now (en));
       return;
     }
   x->claim = a->handle;
@@ -276,7 +285,7 @@
 }
 
 static void
-result_answer (pu_exchange_t *x, const pu_once_result_t *result)
+result_send (pu_exchange_t *x, const pu_once_result_t *result)
 {
   pu_http_header_t headers[] = { { "x-request-id", x->q.id },
                                  { "x-outcome", "ran" },
@@ -290,33 +299,34 @@
 }
 
 static void
-once_answer (pu_exchange_t *x, const pu_once_action_t *a)
+answer_send (pu_exchange_t *x, const pu_once_action_t *a)
 {
   static const pu_refusal_t running = { 409, "running", PU_UNKNOWN, 1000 };
-  static const pu_refusal_t other = { 422, "key_reused", PU_NOT_RUN, 0 };
+  static const pu_refusal_t key_reused = { 422, "key_reused", PU_NOT_RUN, 0 };
   static const pu_refusal_t unknown = { 502, "unknown", PU_UNKNOWN, 0 };
   static const pu_refusal_t not_run = { 503, "not_run", PU_NOT_RUN, 1000 };
 
   switch (a->answer)
     {
     case PU_ONCE_ANSWER_RESULT:
-      result_answer (x, &a->result);
+      result_send (x, &a->result);
       break;
     case PU_ONCE_ANSWER_RUNNING:
       pu_answer_error (x->http, x->q.id, &running,
-                       "The request with this key is running.");
+                       "A request with this Idempotency-Key is running.");
       break;
     case PU_ONCE_ANSWER_CONFLICT:
-      pu_answer_error (x->http, x->q.id, &other,
+      pu_answer_error (x->http, x->q.id, &key_reused,
                        "The Idempotency-Key was used for another request.");
       break;
     case PU_ONCE_ANSWER_UNKNOWN:
       pu_answer_error (x->http, x->q.id, &unknown,
-                       "It may have run; it will not run again.");
+                       "The request may have run; it will not be run again.");
       break;
     case PU_ONCE_ANSWER_NOT_RUN:
-      pu_answer_error (x->http, x->q.id, &not_run,
-                       "It did not run; send it again with the same key.");
+      pu_answer_error (
+          x->http, x->q.id, &not_run,
+          "The request did not run; retry it with the same Idempotency-Key.");
       break;
     }
 }
@@ -329,9 +339,9 @@
   if (x == NULL)
     return;
   if (x->http != NULL)
-    once_answer (x, a);
+    answer_send (x, a);
   x->http = NULL;
-  /* The one that was sent runs on, to be recorded.  */
+  /* The request that was sent runs on, so that its outcome can be recorded. */
   if (x->claim == 0)
     pu_exchange_done (x);
 }
@@ -353,7 +363,7 @@
           if (pu_break_active (PU_BREAK_CLAIM_EARLY))
             {
               pu_once_claimed (en->once, a.handle, PU_ONCE_GRANTED, 0, NULL,
-                               now_of (en));
+                               loop_now (en));
             }
           break;
         case PU_ONCE_DISPATCH:
@@ -379,7 +389,7 @@
 
   g_hash_table_remove (en->claims, GUINT_TO_POINTER (handle));
   x->claim = 0;
-  pu_once_finished (en->once, handle, outcome, result, now_of (en));
+  pu_once_finished (en->once, handle, outcome, result, loop_now (en));
   x->phase = PU_X_CLAIMING;
   if (x->http == NULL)
     pu_exchange_done (x);
--- a/libplantainusher/entry/entries.c
+++ b/libplantainusher/entry/entries.c
@@ -5,7 +5,7 @@
 enum
 {
   RATE_PERIOD_MS = 1000,
-  RATE_KEEP_PCT = 70, /* weight of the past in the mean rate */
+  RATE_PAST_WEIGHT_PCT = 70, /* of the previous periods in the mean rate */
 };
 
 void
@@ -18,7 +18,7 @@
 }
 
 static double
-rate_of (const pu_entry_t *en, const char *service)
+mean_rate (const pu_entry_t *en, const char *service)
 {
   const double *rate = g_hash_table_lookup (en->rates, service);
 
@@ -28,14 +28,14 @@
 static void
 rate_set (pu_entry_t *en, const char *service, double rate)
 {
-  double *kept = g_new (double, 1);
+  double *stored = g_new (double, 1);
 
-  *kept = rate;
-  g_hash_table_replace (en->rates, g_strdup (service), kept);
+  *stored = rate;
+  g_hash_table_replace (en->rates, g_strdup (service), stored);
 }
 
-/* Callers spread over the set, so the whole demand is this entry's share
-   times the size of the set.  */
+/* Callers spread evenly over the entries of a service, so the request rate of
+   the service is the rate at this entry times their number.  */
 void
 pu_rates_tick (pu_entry_t *en, guint64 now)
 {
@@ -51,10 +51,12 @@
       const char *service = pu_document_service (en->document, i)->name;
       guint n = GPOINTER_TO_UINT (g_hash_table_lookup (en->counts, service));
       double all = n / seconds * pu_service_size (en, service);
-      double old = rate_of (en, service);
+      double old = mean_rate (en, service);
 
-      rate_set (en, service,
-                (old * RATE_KEEP_PCT + all * (100 - RATE_KEEP_PCT)) / 100);
+      rate_set (
+          en, service,
+          (old * RATE_PAST_WEIGHT_PCT + all * (100 - RATE_PAST_WEIGHT_PCT))
+              / 100);
     }
   g_hash_table_remove_all (en->counts);
   g_hash_table_iter_init (&it, en->rates);
@@ -68,7 +70,7 @@
 guint
 pu_service_size (const pu_entry_t *en, const char *service)
 {
-  return pu_directory_size (en->directory, rate_of (en, service));
+  return pu_directory_size (en->directory, mean_rate (en, service));
 }
 
 static json_t *
@@ -101,19 +103,21 @@
 }
 
 static void
-not_declared (pu_entry_t *en, pu_http_request_t *http, const char *service)
+service_not_found (pu_entry_t *en, pu_http_request_t *http,
+                   const char *service)
 {
   static const pu_refusal_t refusal
       = { 404, "service_not_found", PU_NOT_RUN, 0 };
-  char *near = en->document != NULL
-                   ? pu_document_near_services (en->document, service)
-                   : g_strdup ("");
-  char *message = g_strdup_printf ("No service '%s' is declared%s%s.", service,
-                                   *near != 0 ? "; near: " : "", near);
+  char *similar = en->document != NULL
+                      ? pu_document_near_services (en->document, service)
+                      : g_strdup ("");
+  char *message
+      = g_strdup_printf ("Service '%s' is not declared%s%s.", service,
+                         *similar != 0 ? "; similar names: " : "", similar);
 
   pu_answer_error (http, NULL, &refusal, message);
   g_free (message);
-  g_free (near);
+  g_free (similar);
 }
 
 void
@@ -126,7 +130,7 @@
 
   if (*name != 0 && !is_declared (en, name))
     {
-      not_declared (en, http, name);
+      service_not_found (en, http, name);
     }
   else
     {
--- a/libplantainusher/entry/entry_private.h
+++ b/libplantainusher/entry/entry_private.h
@@ -204,7 +204,7 @@
   GQueue open;             /* of pu_exchange_t */
   GQueue startup;          /* of held_t of startup.c */
   gsize startup_bytes;     /* of their bodies */
-  GHashTable *listeners;   /* peers' address -> listener_t of spread.c */
+  GHashTable *listeners;   /* peers' address -> load_receiver_t of spread.c */
   GHashTable *load_ids;    /* &load_id -> pu_server_t */
   GHashTable *wants;       /* model -> want_t of wants.c */
   uv_timer_t tick;
--- a/libplantainusher/entry/parse.c
+++ b/libplantainusher/entry/parse.c
@@ -7,11 +7,11 @@
 
 enum
 {
-  BLOCK_BYTES = 256, /* of prompt, in one block of the prefix cache */
+  PREFIX_BLOCK_BYTES = 256, /* prompt bytes in one block of the prefix cache */
   BYTES_PER_TOKEN = 4,
   DEFAULT_PRIORITY = 5,
-  DEFAULT_TOKENS = 256,
-  ID_MAX = 128,
+  DEFAULT_MAX_TOKENS = 256,
+  REQUEST_ID_BYTES_MAX = 128,
   TIMEOUT_MAX_MS = 3600 * 1000,
 };
 
@@ -22,6 +22,7 @@
 static bool refuse (pu_exchange_t *x, const pu_refusal_t *r,
                     const char *format, ...) G_GNUC_PRINTF (3, 4);
 
+/* Answers X with the refusal R; returns false, the result of its callers.  */
 static bool
 refuse (pu_exchange_t *x, const pu_refusal_t *r, const char *format, ...)
 {
@@ -40,7 +41,7 @@
 /* --- headers --- */
 
 static bool
-is_plain_text (const char *s, gsize max)
+is_visible_ascii (const char *s, gsize max)
 {
   gsize n = strlen (s);
 
@@ -55,7 +56,7 @@
 }
 
 static char *
-id_make (pu_entry_t *en)
+id_generate (pu_entry_t *en)
 {
   return g_strdup_printf ("%08x%08x%08x%08x", g_rand_int (en->random),
                           g_rand_int (en->random), g_rand_int (en->random),
@@ -73,7 +74,7 @@
     return true;
   if (g_ascii_string_to_unsigned (text, 10, min, max, value, NULL))
     return true;
-  return refuse (x, &bad_request, "%s must be a number of %u to %u.", name,
+  return refuse (x, &bad_request, "%s must be an integer from %u to %u.", name,
                  (guint)min, (guint)max);
 }
 
@@ -82,8 +83,9 @@
 {
   const char *id = pu_http_request_header (x->http, "x-request-id");
 
-  x->q.id = id != NULL && is_plain_text (id, ID_MAX) ? g_strdup (id)
-                                                     : id_make (x->en);
+  x->q.id = id != NULL && is_visible_ascii (id, REQUEST_ID_BYTES_MAX)
+                ? g_strdup (id)
+                : id_generate (x->en);
 }
 
 static bool
@@ -92,7 +94,8 @@
   return g_strcmp0 (pu_http_request_header (x->http, name), "1") == 0;
 }
 
-/* What all requests have; the deadline is 0 when the caller gave none.  */
+/* Reads what all requests have in common.  The deadline is 0 when the caller
+   gave none.  */
 static bool
 common_read (pu_exchange_t *x)
 {
@@ -119,7 +122,7 @@
     return false;
   x->q.priority = (guint)priority;
   x->q.deadline = timeout == 0 ? 0 : x->q.arrived + timeout;
-  if (key != NULL && !is_plain_text (key, PU_ONCE_NAME_MAX))
+  if (key != NULL && !is_visible_ascii (key, PU_ONCE_NAME_MAX))
     {
       return refuse (x, &bad_request,
                      "Idempotency-Key must be 1 to %d visible characters.",
@@ -130,7 +133,7 @@
 }
 
 static void
-service_take (pu_exchange_t *x, const pu_service_t *s)
+service_set (pu_exchange_t *x, const pu_service_t *s)
 {
   x->q.service = g_strdup (s->name);
   x->window_ms = s->claim_window_s * (guint64)1000;
@@ -175,23 +178,25 @@
   return g_string_free (out, FALSE);
 }
 
-/* The chained hashes of the prompt's whole blocks, as engines report them.  */
+/* Computes the chained hashes of the prompt's complete blocks, as engines
+   report them.  */
 static void
 prefix_hash (pu_exchange_t *x, const char *prompt, gsize len)
 {
   guint64 hash = XXH64 (x->q.model, strlen (x->q.model), 0);
-  guint n = (guint)MIN (len / BLOCK_BYTES, PU_ROUTER_PREFIX_MAX);
+  guint n = (guint)MIN (len / PREFIX_BLOCK_BYTES, PU_ROUTER_PREFIX_MAX);
 
   for (guint i = 0; i < n; i++)
     {
-      hash = XXH64 (prompt + (gsize)i * BLOCK_BYTES, BLOCK_BYTES, hash);
+      hash = XXH64 (prompt + (gsize)i * PREFIX_BLOCK_BYTES, PREFIX_BLOCK_BYTES,
+                    hash);
       x->q.prefix[i] = hash;
     }
   x->q.n_prefix = n;
 }
 
 static void
-prompt_take (pu_exchange_t *x, const char *prompt)
+prompt_set (pu_exchange_t *x, const char *prompt)
 {
   gsize len = strlen (prompt);
 
@@ -201,7 +206,7 @@
 }
 
 static void
-tokens_take (pu_exchange_t *x, const json_t *root)
+max_tokens_set (pu_exchange_t *x, const json_t *root)
 {
   const json_t *n = json_object_get (root, "max_completion_tokens");
 
@@ -209,21 +214,21 @@
     n = json_object_get (root, "max_tokens");
   x->q.max_tokens = json_is_integer (n) && json_integer_value (n) > 0
                         ? (guint)MIN (json_integer_value (n), G_MAXINT32)
-                        : DEFAULT_TOKENS;
+                        : DEFAULT_MAX_TOKENS;
 }
 
 static bool
 model_refuse (pu_exchange_t *x)
 {
-  char *near = pu_document_near_models (x->en->document, x->q.model);
+  char *similar = pu_document_near_models (x->en->document, x->q.model);
 
-  refuse (x, &not_found, "No model '%s' is declared%s%s.", x->q.model,
-          *near != 0 ? "; near: " : "", near);
-  g_free (near);
+  refuse (x, &not_found, "Model '%s' is not declared%s%s.", x->q.model,
+          *similar != 0 ? "; similar names: " : "", similar);
+  g_free (similar);
   return false;
 }
 
-/* Finds the service: named by the caller, else the model's default.  */
+/* Finds the service that the caller names, or else the model's default.  */
 static bool
 service_find (pu_exchange_t *x)
 {
@@ -239,15 +244,15 @@
   if (s == PU_HANDLE_NONE || !pu_document_lists (d, s, m))
     {
       return refuse (x, &not_found, "No service%s%s offers model '%s'.",
-                     name != NULL ? " " : "", name != NULL ? name : "",
+                     name != NULL ? " named " : "", name != NULL ? name : "",
                      x->q.model);
     }
-  service_take (x, pu_document_service (d, s));
+  service_set (x, pu_document_service (d, s));
   return true;
 }
 
 static bool
-root_take (pu_exchange_t *x, const json_t *root)
+root_read (pu_exchange_t *x, const json_t *root)
 {
   const char *model = json_string_value (json_object_get (root, "model"));
   const json_t *messages = json_object_get (root, "messages");
@@ -255,28 +260,28 @@
   char *text;
 
   if (model == NULL || *model == 0)
-    return refuse (x, &bad_request, "'model' must be a string.");
+    return refuse (x, &bad_request, "'model' must be a non-empty string.");
   if (x->chat ? !json_is_array (messages) : !json_is_string (prompt))
     {
       return refuse (x, &bad_request, "'%s' must be %s.",
                      x->chat ? "messages" : "prompt",
-                     x->chat ? "a list" : "a string");
+                     x->chat ? "an array" : "a string");
     }
   x->q.model = g_strdup (model);
   x->q.stream = json_is_true (json_object_get (root, "stream"));
-  tokens_take (x, root);
+  max_tokens_set (x, root);
   if (!service_find (x))
     return false;
   text = x->chat ? messages_text (messages)
                  : g_strdup (json_string_value (prompt));
-  prompt_take (x, text);
+  prompt_set (x, text);
   g_free (text);
   return true;
 }
 
-/* Another entry goes on with a stream here: it says what its caller has.  */
+/* Reads what the caller has of a stream that another entry resumes here.  */
 static bool
-resume_take (pu_exchange_t *x, const json_t *root)
+resume_read (pu_exchange_t *x, const json_t *root)
 {
   const char *text = json_string_value (json_object_get (root, "resume_text"));
   guint64 tokens = 0;
@@ -311,10 +316,10 @@
                      &error);
   if (root == NULL)
     {
-      return refuse (x, &bad_request, "Line %d, column %d: %s", error.line,
-                     error.column, error.text);
+      return refuse (x, &bad_request, "Invalid JSON at line %d, column %d: %s",
+                     error.line, error.column, error.text);
     }
-  good = root_take (x, root) && resume_take (x, root);
+  good = root_read (x, root) && resume_read (x, root);
   json_decref (root);
   pu_request_header_keep (&x->q, "content-type", "application/json");
   return good;
@@ -336,9 +341,9 @@
 
 /* --- plain services --- */
 
-/* Headers of the request that are set anew.  */
+/* Whether the entry sets the header NAME itself instead of passing it on.  */
 static bool
-is_set_anew (const char *name)
+is_set_by_entry (const char *name)
 {
   static const char *const names[]
       = { "x-request-id", "x-relay-hop", "x-relay-key" };
@@ -352,19 +357,19 @@
 }
 
 static void
-headers_pass (pu_exchange_t *x)
+headers_copy (pu_exchange_t *x)
 {
   for (gsize i = 0; i < pu_http_request_header_count (x->http); i++)
     {
       pu_http_header_t h = pu_http_request_header_at (x->http, i);
 
-      if (pu_http_header_is_passed (h.name) && !is_set_anew (h.name)
+      if (pu_http_header_is_passed (h.name) && !is_set_by_entry (h.name)
           && g_ascii_strcasecmp (h.name, "host") != 0)
         pu_request_header_keep (&x->q, h.name, h.value);
     }
 }
 
-/* A method that HTTP itself calls idempotent.  */
+/* Whether HTTP defines METHOD as idempotent.  */
 static bool
 is_idempotent (const char *method)
 {
@@ -372,22 +377,22 @@
 }
 
 static bool
-plain_take (pu_exchange_t *x, const char *name, const char *rest)
+plain_read (pu_exchange_t *x, const char *name, const char *rest)
 {
   const pu_document_t *d = x->en->document;
   pu_service_handle_t h = pu_document_find_service (d, name);
   const pu_service_t *s
       = h != PU_HANDLE_NONE ? pu_document_service (d, h) : NULL;
-  bool marked;
+  bool not_repeatable;
 
   if (s == NULL || s->kind != PU_SERVICE_PLAIN)
-    return refuse (x, &not_found, "No plain service '%s' is declared.", name);
-  marked = flag_header (x, "x-not-repeatable")
-           || pu_service_not_repeatable (s, x->q.method, rest);
-  service_take (x, s);
+    return refuse (x, &not_found, "Plain service '%s' is not declared.", name);
+  not_repeatable = flag_header (x, "x-not-repeatable")
+                   || pu_service_not_repeatable (s, x->q.method, rest);
+  service_set (x, s);
   x->q.target = g_strdup (rest);
-  x->q.repeatable = !marked && is_idempotent (x->q.method);
-  x->once = marked && x->key != NULL;
+  x->q.repeatable = !not_repeatable && is_idempotent (x->q.method);
+  x->once = not_repeatable && x->key != NULL;
   return true;
 }
 
@@ -409,9 +414,9 @@
   service = g_strndup (name, (gsize)(end - name));
   x->q.plain = true;
   x->q.model = g_strdup ("");
-  good = plain_take (x, service, *end == '/' ? end : "/");
+  good = plain_read (x, service, *end == '/' ? end : "/");
   g_free (service);
   if (good)
-    headers_pass (x);
+    headers_copy (x);
   return good;
 }
--- a/libplantainusher/entry/spread.c
+++ b/libplantainusher/entry/spread.c
@@ -1,4 +1,4 @@
-/* Loads that go on to the other entries of a backend server's services.  */
+/* Forwards loads of backend servers to the other entries of their services. */
 
 #include "entry/entry_private.h"
 
@@ -7,36 +7,37 @@
 
 enum
 {
-  RECOUNT_MS = 5000,
+  RECOUNT_INTERVAL_MS = 5000,
   INTERVAL_MIN_MS = PU_ENTRY_LOADS_MS,
-  /* An entry that hears N backend servers is told of each every N times this.
-     A load alone in a message is 80 bytes: at most 1.1 KB/s in all.  */
-  INTERVAL_EACH_MS = 72,
-  LIFE_MIN_MS = 5000,
-  LIFE_INTERVALS = 3, /* two messages in a row may be lost */
-  /* An unload waits for the streams under way, and a check-in tells of its
-     end.  */
-  WITHDRAWN_MS = 3000,
+  /* An entry that receives the loads of N backend servers gets each of them
+     every N times this interval.  A message with a single load has 80 bytes,
+     so an entry receives at most 1.1 KB/s in total.  */
+  INTERVAL_PER_BACKEND_MS = 72,
+  LIFETIME_MIN_MS = 5000,
+  LIFETIME_INTERVALS = 3, /* tolerates the loss of two messages in a row */
+  /* Covers an unload, which waits for the streams in progress, until a
+     check-in reports its completion.  */
+  WITHDRAWAL_MS = 3000,
 };
 
-/* Another entry that is told of loads.  */
+/* Another entry that receives loads.  */
 typedef struct
 {
-  guint heard;        /* backend servers that it hears of from all entries */
+  guint n_backends;   /* whose loads it receives, from all entries */
   guint64 next_at;    /* loop time of its next message */
   GHashTable *queued; /* name -> pu_entry_load_t, not yet sent */
-} listener_t;
+} load_receiver_t;
 
 guint
-pu_spread_interval_ms (guint heard)
+pu_spread_interval_ms (guint n_backends)
 {
-  return MAX (heard * INTERVAL_EACH_MS, INTERVAL_MIN_MS);
+  return MAX (n_backends * INTERVAL_PER_BACKEND_MS, INTERVAL_MIN_MS);
 }
 
 guint
 pu_spread_life_ms (guint interval_ms)
 {
-  return MAX (interval_ms * LIFE_INTERVALS, LIFE_MIN_MS);
+  return MAX (interval_ms * LIFETIME_INTERVALS, LIFETIME_MIN_MS);
 }
 
 guint64
@@ -46,37 +47,37 @@
 }
 
 void
-pu_listener_free (gpointer listener)
+pu_listener_free (gpointer receiver)
 {
-  listener_t *l = listener;
+  load_receiver_t *l = receiver;
 
   g_hash_table_destroy (l->queued);
   g_free (l);
 }
 
-static listener_t *
-listener_get (pu_entry_t *en, const char *address)
+static load_receiver_t *
+receiver_get_or_add (pu_entry_t *en, const char *address)
 {
-  listener_t *l = g_hash_table_lookup (en->listeners, address);
+  load_receiver_t *l = g_hash_table_lookup (en->listeners, address);
 
   if (l != NULL)
     return l;
-  l = g_new0 (listener_t, 1);
+  l = g_new0 (load_receiver_t, 1);
   l->queued = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   g_hash_table_insert (en->listeners, g_strdup (address), l);
   return l;
 }
 
-/* --- who hears of a backend server --- */
+/* --- receivers of a backend server's loads --- */
 
 static void
-add_once (GPtrArray *list, const char *s)
+add_unique (GPtrArray *list, const char *s)
 {
   if (!g_ptr_array_find_with_equal_func (list, s, g_str_equal, NULL))
     g_ptr_array_add (list, (char *)s);
 }
 
-/* The services whose requests can come to B.  */
+/* Returns the services whose requests can be sent to B.  */
 static GPtrArray *
 services_of (const pu_entry_t *en, const pu_backend_record *b)
 {
@@ -84,7 +85,7 @@
   GPtrArray *services = g_ptr_array_new ();
 
   if (b->kind == PU_BACKEND_PLAIN)
-    add_once (services, b->service);
+    add_unique (services, b->service);
   for (guint i = 0; i < b->copies.copies_len; i++)
     {
       pu_model_handle_t m
@@ -94,14 +95,14 @@
                                   : PU_HANDLE_NONE;
 
       if (s != PU_HANDLE_NONE)
-        add_once (services, pu_document_service (d, s)->name);
+        add_unique (services, pu_document_service (d, s)->name);
     }
   return services;
 }
 
-/* Adds the peers' addresses of the other entries that serve SERVICE.  */
+/* Adds the peer addresses of the other entries that serve SERVICE.  */
 static void
-add_entries (pu_entry_t *en, const char *service, GPtrArray *addresses)
+add_service_entries (pu_entry_t *en, const char *service, GPtrArray *addresses)
 {
   const pu_state_t *view = en->o.hooks.view (en->o.hooks.data);
   GArray *found = g_array_new (FALSE, FALSE, sizeof (pu_directory_entry_t));
@@ -114,7 +115,7 @@
       const pu_member_record *m = pu_state_member (view, name);
 
       if (m != NULL && strcmp (name, en->name) != 0)
-        add_once (addresses, m->peer_address);
+        add_unique (addresses, m->peer_address);
     }
   g_array_free (found, TRUE);
 }
@@ -122,119 +123,120 @@
 typedef struct
 {
   const pu_entry_t *en;
-  GHashTable *seen; /* set of addresses */
-} others_t;
+  GHashTable *seen; /* set of peer addresses */
+} entry_list_t;
 
 static void
-add_other (const pu_member_record *m, void *data)
+add_other_entry (const pu_member_record *m, void *data)
 {
-  const others_t *o = data;
+  const entry_list_t *o = data;
 
   if (*m->caller_address != '\0' && strcmp (m->name, o->en->name) != 0
       && g_hash_table_add (o->seen, m->peer_address))
     g_ptr_array_add (o->en->others, g_strdup (m->peer_address));
 }
 
-/* All other entries, by their peers' addresses.  With hundreds of entries and
-   thousands of backend servers they are counted when one comes or goes, not
-   for each load.  */
+/* Returns the peer addresses of all other entries.  With hundreds of entries
+   and thousands of backend servers the list is rebuilt when the members
+   change, not for each load.  */
 static const GPtrArray *
 other_entries (pu_entry_t *en)
 {
   const pu_state_t *view = en->o.hooks.view (en->o.hooks.data);
-  others_t o = { .en = en };
+  entry_list_t o = { .en = en };
 
   if (en->others_view == pu_state_view (view))
     return en->others;
   o.seen = g_hash_table_new (g_str_hash, g_str_equal);
   g_ptr_array_set_size (en->others, 0);
-  pu_state_each_member (view, add_other, &o);
+  pu_state_each_member (view, add_other_entry, &o);
   g_hash_table_destroy (o.seen);
   en->others_view = pu_state_view (view);
   return en->others;
 }
 
-/* The other entries that are told of B, by their peers' addresses, which are
-   the view's or this entry's.  */
+/* Returns the peer addresses of the other entries that receive the loads of B.
+   The strings belong to the view or to this entry.  */
 static GPtrArray *
-listeners_of (pu_entry_t *en, const pu_backend_record *b)
+receivers_of (pu_entry_t *en, const pu_backend_record *b)
 {
   GPtrArray *services = services_of (en, b);
   GPtrArray *addresses = g_ptr_array_new ();
 
   for (guint i = 0; i < services->len; i++)
-    add_entries (en, g_ptr_array_index (services, i), addresses);
+    add_service_entries (en, g_ptr_array_index (services, i), addresses);
   g_ptr_array_free (services, TRUE);
   return addresses;
 }
 
-/* --- how many backend servers each hears of --- */
+/* --- number of backend servers per receiver --- */
 
 static void
-heard_clear (gpointer address, gpointer listener, gpointer data)
+receiver_reset (gpointer address, gpointer receiver, gpointer data)
 {
   (void)address;
   (void)data;
-  ((listener_t *)listener)->heard = 0;
+  ((load_receiver_t *)receiver)->n_backends = 0;
 }
 
 static void
-heard_count (const pu_backend_record *b, void *data)
+receivers_count_backend (const pu_backend_record *b, void *data)
 {
   pu_entry_t *en = data;
   GPtrArray *addresses;
 
   if (b->down)
     return;
-  addresses = listeners_of (en, b);
+  addresses = receivers_of (en, b);
   for (guint i = 0; i < addresses->len; i++)
-    listener_get (en, g_ptr_array_index (addresses, i))->heard++;
+    receiver_get_or_add (en, g_ptr_array_index (addresses, i))->n_backends++;
   g_ptr_array_free (addresses, TRUE);
 }
 
 static void
-up_count (const pu_backend_record *b, void *data)
+count_up (const pu_backend_record *b, void *data)
 {
   *(guint *)data += b->down ? 0 : 1;
 }
 
-/* Where all entries are told of all, each hears of as many.  */
+/* With loads_to_all every receiver gets the loads of all backend servers that
+   are up.  */
 static void
-heard_count_all (pu_entry_t *en)
+receivers_count_all (pu_entry_t *en)
 {
   const GPtrArray *others = other_entries (en);
   guint up = 0;
 
-  pu_state_each_backend (en->o.hooks.view (en->o.hooks.data), up_count, &up);
+  pu_state_each_backend (en->o.hooks.view (en->o.hooks.data), count_up, &up);
   for (guint i = 0; i < others->len; i++)
-    listener_get (en, g_ptr_array_index (others, i))->heard = up;
+    receiver_get_or_add (en, g_ptr_array_index (others, i))->n_backends = up;
 }
 
 static gboolean
-is_deaf (gpointer address, gpointer listener, gpointer data)
+has_no_backends (gpointer address, gpointer receiver, gpointer data)
 {
   (void)address;
   (void)data;
-  return ((listener_t *)listener)->heard == 0;
+  return ((load_receiver_t *)receiver)->n_backends == 0;
 }
 
 static void
-recount (pu_entry_t *en)
+receivers_recount (pu_entry_t *en)
 {
-  g_hash_table_foreach (en->listeners, heard_clear, NULL);
+  g_hash_table_foreach (en->listeners, receiver_reset, NULL);
   if (en->o.loads_to_all)
     {
-      heard_count_all (en);
+      receivers_count_all (en);
     }
   else
     {
-      pu_state_each_backend (en->o.hooks.view (en->o.hooks.data), heard_count,
-                             en);
+      pu_state_each_backend (en->o.hooks.view (en->o.hooks.data),
+                             receivers_count_backend, en);
     }
-  g_hash_table_foreach_remove (en->listeners, is_deaf, NULL);
+  g_hash_table_foreach_remove (en->listeners, has_no_backends, NULL);
 }
 
-/* --- to them --- */
+/* --- sending --- */
 
 static void
 load_queue (pu_entry_t *en, const GPtrArray *addresses, const char *name,
@@ -242,7 +244,8 @@
 {
   for (guint i = 0; i < addresses->len; i++)
     {
-      listener_t *l = listener_get (en, g_ptr_array_index (addresses, i));
+      load_receiver_t *l
+          = receiver_get_or_add (en, g_ptr_array_index (addresses, i));
 
       g_hash_table_replace (l->queued, g_strdup (name),
                             g_memdup2 (load, sizeof *load));
@@ -270,16 +273,17 @@
       load_queue (en, other_entries (en), b->name, &load);
       return;
     }
-  addresses = listeners_of (en, b);
+  addresses = receivers_of (en, b);
   load_queue (en, addresses, b->name, &load);
   g_ptr_array_free (addresses, TRUE);
 }
 
 static void
-listener_tell (pu_entry_t *en, const char *address, listener_t *l, guint64 now)
+receiver_send (pu_entry_t *en, const char *address, load_receiver_t *l,
+               guint64 now)
 {
-  guint interval
-      = pu_spread_interval_ms (l->heard) * en->o.loads_ms / INTERVAL_MIN_MS;
+  guint interval = pu_spread_interval_ms (l->n_backends) * en->o.loads_ms
+                   / INTERVAL_MIN_MS;
   GArray *loads = g_array_new (FALSE, FALSE, sizeof (pu_entry_load_t));
   GHashTableIter it;
   gpointer load;
@@ -304,22 +308,22 @@
 {
   GHashTableIter it;
   gpointer address;
-  gpointer listener;
+  gpointer receiver;
 
   if (en->document == NULL || en->o.hooks.loads == NULL)
     return;
-  if (now - en->recounted >= RECOUNT_MS)
+  if (now - en->recounted >= RECOUNT_INTERVAL_MS)
     {
       en->recounted = now;
-      recount (en);
+      receivers_recount (en);
     }
   g_hash_table_iter_init (&it, en->listeners);
-  while (g_hash_table_iter_next (&it, &address, &listener))
+  while (g_hash_table_iter_next (&it, &address, &receiver))
     {
-      listener_t *l = listener;
+      load_receiver_t *l = receiver;
 
       if (g_hash_table_size (l->queued) > 0 && now >= l->next_at)
-        listener_tell (en, address, l, now);
+        receiver_send (en, address, l, now);
     }
 }
 
@@ -345,21 +349,22 @@
 
   if (s == NULL || s->handle == PU_ROUTER_NONE || en->document == NULL)
     return;
-  /* The order is sent again and again while the engine carries another out. */
-  if (pu_server_is_withdrawn (s, model, now + WITHDRAWN_MS / 2 + 1))
+  /* The unload order is sent repeatedly while the engine executes another one.
+     A withdrawal that lasts for more than half of its time is not renewed.  */
+  if (pu_server_is_withdrawn (s, model, now + WITHDRAWAL_MS / 2 + 1))
     return;
-  pu_server_withdraw (s, model, now + WITHDRAWN_MS);
+  pu_server_withdraw (s, model, now + WITHDRAWAL_MS);
   if (en->o.hooks.withdraw == NULL)
     return;
   others = other_entries (en);
   for (guint i = 0; i < others->len; i++)
     {
       en->o.hooks.withdraw (en->o.hooks.data, g_ptr_array_index (others, i),
-                            s->load_id, model, WITHDRAWN_MS);
+                            s->load_id, model, WITHDRAWAL_MS);
     }
 }
 
-/* --- from them --- */
+/* --- receiving --- */
 
 void
 pu_entry_withdrawn (pu_entry_t *en, guint64 id, const char *model,
@@ -370,7 +375,7 @@
   if (s != NULL && s->handle != PU_ROUTER_NONE && en->document != NULL)
     {
       pu_server_withdraw (s, model,
-                          uv_now (en->o.loop) + MIN (life_ms, WITHDRAWN_MS));
+                          uv_now (en->o.loop) + MIN (life_ms, WITHDRAWAL_MS));
     }
 }
 
--- a/libplantainusher/entry/strikes.c
+++ b/libplantainusher/entry/strikes.c
@@ -6,8 +6,8 @@
 
 enum
 {
-  AGAIN_MS = 500, /* pause before a strike is proposed again */
-  GIVE_UP_MS = 30000,
+  PROPOSE_RETRY_MS = 500,
+  STRIKE_TIMEOUT_MS = 30000,
 };
 
 void
@@ -27,7 +27,7 @@
 }
 
 static const char *
-model_of (const pu_entry_t *en, guint64 fingerprint)
+model_by_fingerprint (const pu_entry_t *en, guint64 fingerprint)
 {
   for (GList *l = en->open.head; l != NULL; l = l->next)
     {
@@ -43,26 +43,26 @@
 {
   pu_entry_t *en;
   guint64 fingerprint;
-} asked_t;
+} proposal_t;
 
 static void
-on_answer (void *data, const pu_reply *r, const pu_error_t *e)
+on_proposed (void *data, const pu_reply *r, const pu_error_t *e)
 {
-  asked_t *asked = data;
-  pu_entry_t *en = asked->en;
-  pu_strike_t *k = g_hash_table_lookup (en->strikes, &asked->fingerprint);
+  proposal_t *proposal = data;
+  pu_entry_t *en = proposal->en;
+  pu_strike_t *k = g_hash_table_lookup (en->strikes, &proposal->fingerprint);
   guint64 now = uv_now (en->o.loop);
 
   (void)e;
   en->pending--;
-  g_free (asked);
+  g_free (proposal);
   if (k != NULL && r != NULL)
     {
       k->position = MAX (r->position, 1);
     }
   else if (k != NULL)
     {
-      k->due = now + AGAIN_MS;
+      k->due = now + PROPOSE_RETRY_MS;
     }
   if (!en->freed)
     pu_strikes_tick (en, now);
@@ -75,10 +75,10 @@
   pu_entry_t *en = k->en;
   pu_command c = { .type = PU_COMMAND_STRIKE };
   pu_strike *strike = &c.pu_command_u.strike;
-  asked_t *asked = g_new0 (asked_t, 1);
+  proposal_t *proposal = g_new0 (proposal_t, 1);
 
-  asked->en = en;
-  asked->fingerprint = k->fingerprint;
+  proposal->en = en;
+  proposal->fingerprint = k->fingerprint;
   en->pending++;
   k->due = 0;
   strike->apart = k->apart;
@@ -87,8 +87,8 @@
   strike->backend = k->backend;
   strike->incarnation = k->incarnation;
   strike->wall = (guint64)(g_get_real_time () / G_TIME_SPAN_MILLISECOND);
-  en->o.hooks.propose (en->o.hooks.data, &c, en->o.propose_ms, on_answer,
-                       asked);
+  en->o.hooks.propose (en->o.hooks.data, &c, en->o.propose_ms, on_proposed,
+                       proposal);
 }
 
 void
@@ -98,26 +98,26 @@
   pu_strike_t *k = g_new0 (pu_strike_t, 1);
 
   pu_log_note (PU_ENTRY_PART,
-               "Request %016" G_GINT64_MODIFIER
-               "x ran at %s when it died: a strike.",
+               "Proposing a strike against request %016" G_GINT64_MODIFIER
+               "x for the death of backend server %s.",
                one->fingerprint, s->name);
   k->en = en;
   k->fingerprint = one->fingerprint;
-  k->model = g_strdup (model_of (en, one->fingerprint));
+  k->model = g_strdup (model_by_fingerprint (en, one->fingerprint));
   k->backend = g_strdup (s->name);
   k->incarnation = one->incarnation;
   k->apart = one->apart;
-  k->until = uv_now (en->o.loop) + GIVE_UP_MS;
+  k->until = uv_now (en->o.loop) + STRIKE_TIMEOUT_MS;
   g_hash_table_replace (en->strikes, &k->fingerprint, k);
   strike_propose (k);
 }
 
-/* Whether K is over: the request may be judged by the view alone.  One that
-   is convicted may at once.  Any other waits until all entries know that it is
-   a suspect: else its caller, once it is lost again, could have it run through
-   an entry that does not know of either strike.  */
+/* Whether K is complete, so that the view alone decides about its request.
+   That holds at once for a convicted request.  Any other waits until all
+   entries know that it is a suspect.  Otherwise a caller whose request is lost
+   again could run it through an entry that knows of neither strike.  */
 static bool
-strike_is_over (pu_strike_t *k, const pu_state_t *view, guint64 now)
+strike_is_complete (pu_strike_t *k, const pu_state_t *view, guint64 now)
 {
   const pu_suspect_record *s;
 
@@ -143,7 +143,7 @@
     {
       pu_strike_t *k = value;
 
-      if (strike_is_over (k, view, now))
+      if (strike_is_complete (k, view, now))
         {
           g_hash_table_iter_remove (&it);
         }
