--- a/libplantainusher/entry/attempt.c
+++ b/libplantainusher/entry/attempt.c
@@ -38,7 +38,7 @@
 
   if (at->noted && cut)
     {
-      pu_suspects_cut (suspects, x->number, now_of (x));
+      pu_suspects_aborted (suspects, x->number, now_of (x));
     }
   else if (at->noted)
     {
@@ -110,7 +110,7 @@
     return;
   g_hash_table_remove (x->en->tickets, &x->ticket);
   x->ticket = 0;
-  pu_router_failed (x->en->router, ticket, PU_ROUTER_FAIL_ERROR, now_of (x));
+  pu_router_abandon (x->en->router, ticket, PU_ROUTER_FAIL_ERROR, now_of (x));
   pu_router_due (x->en);
 }
 
@@ -129,7 +129,7 @@
     }
   else
     {
-      router_finished (x, good ? PU_ROUTER_WHOLE : PU_ROUTER_REJECTED);
+      router_finished (x, good ? PU_ROUTER_COMPLETE : PU_ROUTER_REJECTED);
     }
   if (x->claim != 0)
     {
--- a/libplantainusher/entry/entry.c
+++ b/libplantainusher/entry/entry.c
@@ -174,10 +174,10 @@
   guint64 now = uv_now (t->loop);
   guint64 at;
 
-  pu_router_next (en->router, now, decisions);
+  pu_router_schedule (en->router, now, decisions);
   decisions_carry_out (en, decisions);
   g_array_free (decisions, TRUE);
-  at = pu_router_wake_at (en->router);
+  at = pu_router_next_timeout_at (en->router);
   if (at != G_MAXUINT64 && !uv_is_active ((uv_handle_t *)t))
     uv_timer_start (t, on_wake, at > now ? at - now : 1, 0);
 }
@@ -564,7 +564,7 @@
       (int)pu_http_client_open (en->client), "idle_connections",
       (int)pu_http_client_idle (en->client), "claims_at_work",
       (int)pu_once_busy (en->once), "suspects_running",
-      (int)pu_suspects_running (en->suspects), "bad_announcements",
+      (int)pu_suspects_in_flight (en->suspects), "bad_announcements",
       (json_int_t)en->bad_announcements, "document_version",
       (json_int_t)en->document_version, "reporters", reporters_json (en),
       "router", pu_router_dump (en->router));
--- a/libplantainusher/entry/exchange.c
+++ b/libplantainusher/entry/exchange.c
@@ -253,7 +253,7 @@
     return PU_SUSPECTS_RUN;
   if (pu_strike_pending (x->en, x->q.fingerprint))
     return PU_SUSPECTS_WAIT;
-  return pu_suspects_judge (x->en->suspects, x->q.fingerprint,
+  return pu_suspects_check (x->en->suspects, x->q.fingerprint,
                             uv_now (x->en->o.loop));
 }
 
@@ -348,8 +348,8 @@
 stays_away (const pu_exchange_t *x, guint server)
 {
   return is_watched (x)
-         && pu_suspects_stays (x->en->suspects, x->q.fingerprint, server,
-                               x->held_since, uv_now (x->en->o.loop));
+         && pu_suspects_must_avoid (x->en->suspects, x->q.fingerprint, server,
+                                    x->held_since, uv_now (x->en->o.loop));
 }
 
 /* The same for S, which the router chose; from now on X waits.  */
@@ -479,7 +479,7 @@
 
   if (!is_suspect (x))
     return false;
-  if (judge (x) != PU_SUSPECTS_APART)
+  if (judge (x) != PU_SUSPECTS_RUN_ISOLATED)
     return true;
   return !x->once && x->q.repeatable && !x->q.here && suspect_hop (x, &to);
 }
@@ -507,7 +507,7 @@
   pu_ticket_t ticket = x->ticket;
 
   ticket_set (x, 0);
-  pu_router_failed (x->en->router, ticket, failure, uv_now (x->en->o.loop));
+  pu_router_abandon (x->en->router, ticket, failure, uv_now (x->en->o.loop));
   pu_router_due (x->en);
   route_apart (x);
 }
--- a/libplantainusher/entry/servers.c
+++ b/libplantainusher/entry/servers.c
@@ -93,8 +93,8 @@
   pu_entry_t *en = s->en;
   GArray *strikes = g_array_new (FALSE, FALSE, sizeof (pu_suspects_strike_t));
 
-  pu_suspects_died (en->suspects, s->number, incarnation, strikes,
-                    uv_now (en->o.loop));
+  pu_suspects_backend_died (en->suspects, s->number, incarnation, strikes,
+                            uv_now (en->o.loop));
   for (guint i = 0; i < strikes->len; i++)
     {
       const pu_suspects_strike_t *one
@@ -625,7 +625,7 @@
 {
   x->phase = PU_X_HELD;
   if (x->at.noted)
-    pu_suspects_broke (s->en->suspects, x->number);
+    pu_suspects_connection_lost (s->en->suspects, x->number);
   g_ptr_array_add (s->held, x);
   if (s->probe == NULL && s->probe_at == 0)
     probe_start (s);
--- a/libplantainusher/placement/adapters.c
+++ b/libplantainusher/placement/adapters.c
@@ -160,7 +160,7 @@
       if (t == NULL || !t->is_adapter)
         continue;
       o->taken++;
-      leaving += items[i].phase == PU_DISPATCHER_LEAVING;
+      leaving += items[i].phase == PU_DISPATCHER_UNLOADING;
       if (items[i].phase != PU_DISPATCHER_READY || now < t->used + KEEP_MS
           || t->used >= o->idle_since)
         continue;
@@ -200,9 +200,9 @@
   pu_dispatcher_order_t unload = { PU_DISPATCHER_UNLOAD, o->victim, true };
 
   if (o->victim != PU_ADAPTERS_NONE
-      && !pu_dispatcher_want (a->dispatcher, o->engine, &unload, now))
+      && !pu_dispatcher_enqueue (a->dispatcher, o->engine, &unload, now))
     return false;
-  return pu_dispatcher_want (a->dispatcher, o->engine, &load, now);
+  return pu_dispatcher_enqueue (a->dispatcher, o->engine, &load, now);
 }
 
 /* Whether ENGINE may serve ITEM: its base is ready there.  */
@@ -211,7 +211,7 @@
 {
   const engine_t *e = engine_of (a, engine);
 
-  return e->usable && pu_dispatcher_known (a->dispatcher, engine)
+  return e->usable && pu_dispatcher_accepts_orders (a->dispatcher, engine)
          && pu_dispatcher_phase (a->dispatcher, engine,
                                  pu_adapters_base (a, item))
                 == PU_DISPATCHER_READY;
--- a/libplantainusher/placement/orders.c
+++ b/libplantainusher/placement/orders.c
@@ -346,7 +346,7 @@
     }
 }
 
-static const pu_ledger_held_t *
+static const pu_ledger_copy_t *
 find_held (const pu_ledger_report_t *r, guint32 copy)
 {
   for (guint i = 0; i < r->n_held; i++)
@@ -362,7 +362,7 @@
 see (pu_orders_t *o, pu_orders_order_t *r, const pu_ledger_report_t *report,
      guint64 now)
 {
-  const pu_ledger_held_t *h = find_held (report, r->wish.copy);
+  const pu_ledger_copy_t *h = find_held (report, r->wish.copy);
   guint64 key = backoff_key (r->wish.backend, r->wish.copy);
   bool load = r->wish.kind == PU_LEDGER_LOAD;
   bool done = load ? h != NULL && h->phase == PU_LEDGER_READY : h == NULL;
@@ -418,7 +418,7 @@
   for (guint i = 0; i < o->orders->len; i++)
     {
       pu_orders_order_t *r = order_at (o, i);
-      const pu_ledger_held_t *h;
+      const pu_ledger_copy_t *h;
 
       if (r->wish.backend != report->backend)
         continue;
--- a/libplantainusher/placement/placement.c
+++ b/libplantainusher/placement/placement.c
@@ -169,7 +169,7 @@
 }
 
 static pu_plan_phase_t
-plan_phase (const pu_placement_t *pl, const pu_ledger_held_t *h)
+plan_phase (const pu_placement_t *pl, const pu_ledger_copy_t *h)
 {
   if (h->phase == PU_LEDGER_DRAINING || h->phase == PU_LEDGER_UNLOADING
       || may_be_unloaded (pl, h->copy))
@@ -198,7 +198,7 @@
 {
   for (guint i = 0; i < s->held->len; i++)
     {
-      if (g_array_index (s->held, pu_ledger_held_t, i).copy == copy)
+      if (g_array_index (s->held, pu_ledger_copy_t, i).copy == copy)
         return true;
     }
   return false;
@@ -255,8 +255,8 @@
   g_array_set_size (pl->plan_copies, 0);
   for (guint i = 0; i < s->held->len; i++)
     {
-      const pu_ledger_held_t *h
-          = &g_array_index (s->held, pu_ledger_held_t, i);
+      const pu_ledger_copy_t *h
+          = &g_array_index (s->held, pu_ledger_copy_t, i);
 
       add_plan_copy (pl, h->copy, h->memory_mb, plan_phase (pl, h));
     }
@@ -345,8 +345,8 @@
   find_mine (pl, r->backend);
   for (guint i = 0; i < s->held->len; i++)
     {
-      const pu_ledger_held_t *h
-          = &g_array_index (s->held, pu_ledger_held_t, i);
+      const pu_ledger_copy_t *h
+          = &g_array_index (s->held, pu_ledger_copy_t, i);
       name_t n;
 
       if (h->phase == PU_LEDGER_READY && find_name (pl, h->copy, &n)
@@ -368,14 +368,14 @@
     g_array_set_size (pl->servers, r->backend + 1);
   s = &g_array_index (pl->servers, server_t, r->backend);
   if (s->held == NULL)
-    s->held = g_array_new (FALSE, FALSE, sizeof (pu_ledger_held_t));
+    s->held = g_array_new (FALSE, FALSE, sizeof (pu_ledger_copy_t));
   if (!down)
     tell_losses (pl, s, r, now);
   g_array_set_size (s->held, 0);
   if (r->n_held > 0)
     g_array_append_vals (s->held, r->held, r->n_held);
   s->report = *r;
-  s->report.held = (const pu_ledger_held_t *)(void *)s->held->data;
+  s->report.held = (const pu_ledger_copy_t *)(void *)s->held->data;
   s->known = true;
   s->down = down;
   s->zone = zone;
@@ -533,16 +533,17 @@
 want_fence (pu_placement_t *pl, const pu_orders_order_t *r, guint64 now)
 {
   name_t n;
-  bool load = r->wish.kind == PU_LEDGER_UNLOAD
-              || (find_name (pl, r->wish.copy, &n)
-                  && pu_planner_wants (pl->planner, n.item, n.version));
+  bool load
+      = r->wish.kind == PU_LEDGER_UNLOAD
+        || (find_name (pl, r->wish.copy, &n)
+            && pu_planner_needs_version (pl->planner, n.item, n.version));
   guint32 memory_mb = r->wish.memory_mb;
   const server_t *s = find_server (pl, r->wish.backend);
 
   for (guint i = 0; s != NULL && i < s->held->len; i++)
     {
-      const pu_ledger_held_t *h
-          = &g_array_index (s->held, pu_ledger_held_t, i);
+      const pu_ledger_copy_t *h
+          = &g_array_index (s->held, pu_ledger_copy_t, i);
 
       if (h->copy == r->wish.copy)
         memory_mb = MAX (memory_mb, h->memory_mb);
--- a/libplantainusher/placement/planner_test.cc
+++ b/libplantainusher/placement/planner_test.cc
@@ -118,7 +118,7 @@
 
 TEST_F (Planner, LoadsWhatIsUnreachableFirstAndWithinTheStore)
 {
-  o.max_coming = 2;
+  o.max_concurrent_loads = 2;
   Engines (2);
   Item (0, 30);
   Item (1, 40);
@@ -131,13 +131,13 @@
    two a second: the one that most callers wait for goes first.  */
 TEST_F (Planner, WhatMostCallersWaitForIsLoadedFirst)
 {
-  o.max_coming = 1;
+  o.max_concurrent_loads = 1;
   Engines (2);
   Item (0, 30);
   Item (1, 40);
   Item (2, 20);
-  pu_planner_demand (p, 0, 1, 100.0);
-  pu_planner_demand (p, 2, 40, 40 * 1000.0);
+  pu_planner_add_demand (p, 0, 1, 100.0);
+  pu_planner_add_demand (p, 2, 40, 40 * 1000.0);
   EXPECT_EQ ("load 2.1@0 ", Step (false));
 }
 
@@ -145,7 +145,7 @@
    other: what is asked for in the meantime is not behind what isn't.  */
 TEST_F (Planner, NothingQueuesUpAtAnEngineThatLoads)
 {
-  o.one_load = true;
+  o.serial_loads = true;
   Engines (1);
   Item (0, 30);
   Item (1, 20);
@@ -154,7 +154,7 @@
   held[0] = { { 0, 1, 30, PU_PLAN_LOADING } };
   Tell (0);
   EXPECT_EQ ("", Step (false));
-  pu_planner_demand (p, 2, 40, 40 * 1000.0);
+  pu_planner_add_demand (p, 2, 40, 40 * 1000.0);
   EXPECT_EQ ("", Step (false));
   held[0] = { { 0, 1, 30, PU_PLAN_READY } };
   Tell (0);
@@ -165,7 +165,7 @@
    meanwhile takes the place of a second copy elsewhere.  */
 TEST_F (Planner, WhatIsAskedForDoesNotWaitForAnEngineThatLoads)
 {
-  o.one_load = true;
+  o.serial_loads = true;
   Engines (3);
   Item (0, 60);
   Item (1, 30);
@@ -176,7 +176,7 @@
   for (guint32 i = 0; i < 3; i++)
     Tell (i);
   EXPECT_EQ ("", Step (false)) << "nobody asks for it";
-  pu_planner_demand (p, 2, 40, 40 * 1000.0);
+  pu_planner_add_demand (p, 2, 40, 40 * 1000.0);
   EXPECT_EQ ("unload 0.1@0 ", Step ());
   EXPECT_EQ ("load 2.1@0 ", Step ());
 }
@@ -185,8 +185,8 @@
    again when that has ended, not only seconds later.  */
 TEST_F (Planner, SpareCopyWaitsNoLongerThanTheLoadBeforeIt)
 {
-  o.one_load = true;
-  o.max_coming = 4;
+  o.serial_loads = true;
+  o.max_concurrent_loads = 4;
   Engines (2);
   Item (0, 30);
   Item (1, 20);
@@ -267,7 +267,7 @@
   Step (false);
   held[1].push_back ({ 1, 1, 60, PU_PLAN_LOADING });
   Tell (1);
-  pu_planner_demand (p, 0, 400, 200 * 1000.0);
+  pu_planner_add_demand (p, 0, 400, 200 * 1000.0);
   EXPECT_NE ("", Step (false));
 }
 
@@ -284,8 +284,8 @@
     Item (i, 90);
   for (int i = 0; i < 6; i++)
     {
-      pu_planner_set_store (p, 1);
-      pu_planner_demand (p, 0, 400, 200 * 1000.0);
+      pu_planner_set_load_slots (p, 1);
+      pu_planner_add_demand (p, 0, 400, 200 * 1000.0);
       order += Step (true).substr (0, 6) + ";";
     }
   EXPECT_EQ ("load 0;load 1;load 0;load 2;load 0;load 3;", order);
@@ -324,7 +324,7 @@
 TEST (Placement, TheLossOfItsEnginesIsNoFailureOfAModel)
 {
   pu_placement_options_t o = {};
-  pu_ledger_held_t held = { 0, 50, PU_LEDGER_READY };
+  pu_ledger_copy_t held = { 0, 50, PU_LEDGER_READY };
   pu_ledger_report_t r = {};
   pu_plan_item_t i = {};
 
@@ -393,13 +393,13 @@
     ;
   for (int i = 0; i < 30; i++)
     {
-      pu_planner_demand (p, 0, 2, 4000);
+      pu_planner_add_demand (p, 0, 2, 4000);
       EXPECT_EQ ("", Step ());
     }
   std::string grown;
   for (int i = 0; i < 30; i++)
     {
-      pu_planner_demand (p, 0, 30, 60000);
+      pu_planner_add_demand (p, 0, 30, 60000);
       grown += Step ();
     }
   EXPECT_EQ ("load 0.1@2 ", grown);
@@ -419,10 +419,10 @@
     continue;
   for (int i = 0; i < 30; i++)
     {
-      pu_planner_demand (p, 0, 400, 200 * 1000.0);
+      pu_planner_add_demand (p, 0, 400, 200 * 1000.0);
       Step ();
     }
-  EXPECT_EQ (5U, pu_planner_ready (p, 0)) << "all but the other's last";
+  EXPECT_EQ (5U, pu_planner_ready_copies (p, 0)) << "all but the other's last";
 }
 
 /* Two models have too much to do: one a half more than its four copies can,
@@ -441,12 +441,12 @@
   held[6] = { { 2, 1, 60, PU_PLAN_READY } };
   for (guint32 i = 0; i < 7; i++)
     Tell (i);
-  pu_planner_set_store (p, 1);
-  pu_planner_demand (p, 0, 60, 60 * 1000.0);
-  pu_planner_demand (p, 1, 400, 400 * 1000.0);
+  pu_planner_set_load_slots (p, 1);
+  pu_planner_add_demand (p, 0, 60, 60 * 1000.0);
+  pu_planner_add_demand (p, 1, 400, 400 * 1000.0);
   EXPECT_EQ ("unload 2.1@5 ", Step ());
-  pu_planner_set_store (p, 1);
-  pu_planner_demand (p, 1, 400, 400 * 1000.0);
+  pu_planner_set_load_slots (p, 1);
+  pu_planner_add_demand (p, 1, 400, 400 * 1000.0);
   EXPECT_EQ ("load 1.1@5 ", Step ());
 }
 
@@ -464,8 +464,8 @@
   for (guint32 i = 0; i < 3; i++)
     Tell (i);
   for (guint32 i = 1; i < 3; i++)
-    pu_planner_demand (p, i, 40, 40 * 1000.0);
-  pu_planner_demand (p, 0, 1, 20.0);
+    pu_planner_add_demand (p, i, 40, 40 * 1000.0);
+  pu_planner_add_demand (p, 0, 1, 20.0);
   std::string moves = Step (false);
   EXPECT_EQ (std::string::npos, moves.find ("load 0.1")) << moves;
   EXPECT_NE (std::string::npos, moves.find ("load ")) << moves;
@@ -494,8 +494,8 @@
       bool grows = false;
       for (int i = 0; i < 30; i++)
         {
-          pu_planner_demand (p, 1, 40, 40 * 200.0);
-          pu_planner_demand (p, 0, each, each * 60 * 1000.0);
+          pu_planner_add_demand (p, 1, 40, 40 * 200.0);
+          pu_planner_add_demand (p, 0, each, each * 60 * 1000.0);
           Step (false);
           for (guint k = 0; k < moves->len; k++)
             {
@@ -525,14 +525,14 @@
     { 34, "load 0.1@1 load 0.1@2 load 0.1@3 load 0.1@4 " },
   };
 
-  o.max_coming = 8;
+  o.max_concurrent_loads = 8;
   for (auto &row : rows)
     {
       Engines (8);
       Item (0, 60);
       held[0] = { { 0, 1, 60, PU_PLAN_READY } };
       Tell (0);
-      pu_planner_demand (p, 0, row.streams, row.streams * 1000.0);
+      pu_planner_add_demand (p, 0, row.streams, row.streams * 1000.0);
       EXPECT_EQ (row.moves, Step (false)) << row.streams;
       for (guint i = 0; i < moves->len; i++)
         {
@@ -541,7 +541,7 @@
           held[m.engine] = { { 0, 1, 60, PU_PLAN_LOADING } };
           Tell (m.engine);
         }
-      pu_planner_demand (p, 0, row.streams, row.streams * 1000.0);
+      pu_planner_add_demand (p, 0, row.streams, row.streams * 1000.0);
       EXPECT_EQ ("", Step (false)) << row.streams << ", with those that come";
       pu_planner_free (p);
       p = nullptr;
@@ -558,8 +558,8 @@
   Item (1, 30);
   held[0] = { { 0, 1, 60, PU_PLAN_READY }, { 1, 1, 30, PU_PLAN_READY } };
   Tell (0);
-  pu_planner_demand (p, 0, 60, 60 * 1000.0);
-  pu_planner_demand (p, 1, 2, 2 * 1000.0);
+  pu_planner_add_demand (p, 0, 60, 60 * 1000.0);
+  pu_planner_add_demand (p, 1, 2, 2 * 1000.0);
   std::string moves = Step (false);
   EXPECT_EQ (std::string::npos, moves.find ("load 1.1")) << moves;
   EXPECT_NE (std::string::npos, moves.find ("load 0.1")) << moves;
@@ -572,7 +572,7 @@
   Item (0, 90);
   Item (1, 90);
   Step ();
-  pu_planner_demand (p, 0, 400, 200 * 1000.0);
+  pu_planner_add_demand (p, 0, 400, 200 * 1000.0);
   EXPECT_EQ ("load 0.1@3 load 0.1@2 ", Step ());
 }
 
@@ -580,7 +580,7 @@
 {
   Engines (4);
   Item (0, 60);
-  pu_planner_set_quick (p, 2, 0, true);
+  pu_planner_set_cached (p, 2, 0, true);
   EXPECT_EQ ("load 0.1@2 ", Step ());
 }
 
@@ -588,7 +588,7 @@
 TEST_F (Planner, WhatIsAtHandMayBeKnownBeforeTheEngine)
 {
   Engines (1);
-  pu_planner_set_quick (p, 40, 0, true);
+  pu_planner_set_cached (p, 40, 0, true);
   held.resize (41);
   Tell (40);
   Item (0, 60);
@@ -601,11 +601,11 @@
   Engines (4);
   Item (0, 60);
   Item (1, 60);
-  pu_planner_set_store (p, 0);
-  pu_planner_set_quick (p, 3, 1, true);
+  pu_planner_set_load_slots (p, 0);
+  pu_planner_set_cached (p, 3, 1, true);
   EXPECT_EQ ("load 1.1@3 ", Step ());
   EXPECT_EQ ("", Step ());
-  pu_planner_set_store (p, 1);
+  pu_planner_set_load_slots (p, 1);
   EXPECT_EQ ("load 0.1@0 ", Step ());
 }
 
--- a/libplantainusher/placement/world_test.cc
+++ b/libplantainusher/placement/world_test.cc
@@ -19,7 +19,7 @@
 guint64
 Committed (void *data, guint32 backend)
 {
-  return pu_ledger_committed ((pu_ledger_t *)data, backend);
+  return pu_ledger_committed_mb ((pu_ledger_t *)data, backend);
 }
 } // namespace
 
@@ -35,7 +35,7 @@
   options.planner.move_price = 0.1;
   options.planner.min_stay_s = 3;
   options.planner.watch_s = 2;
-  options.planner.max_coming = 3;
+  options.planner.max_concurrent_loads = 3;
   options.planner.test_breaks = b.planner;
   options.orders.lease_ms = 2000;
   options.orders.send_ms = 3000;
@@ -108,7 +108,7 @@
   pu_ledger_report_t r;
   bool down;
 
-  if (pu_ledger_backend (ledger, engine, &r, &down))
+  if (pu_ledger_get_backend (ledger, engine, &r, &down))
     pu_placement_backend (leader.get (), &r, down, engine % 2, 4.0, now);
 }
 
@@ -178,7 +178,7 @@
     {
       Engine &e = engines[i];
       pu_ledger_report_t r = {};
-      std::vector<pu_ledger_held_t> held;
+      std::vector<pu_ledger_copy_t> held;
 
       if (!e.alive)
         continue;
@@ -197,7 +197,7 @@
                             h.second.phase });
         }
       pu_ledger_report_t known;
-      bool same = pu_ledger_backend (ledger, i, &known, nullptr)
+      bool same = pu_ledger_get_backend (ledger, i, &known, nullptr)
                   && known.incarnation == r.incarnation && known.token > 0;
       if (same && Chance (3)) /* contradicts what it said before */
         {
@@ -218,7 +218,7 @@
 
 void
 World::ApplyReport (guint32 engine, pu_ledger_report_t r,
-                    std::vector<pu_ledger_held_t> held, guint64 made)
+                    std::vector<pu_ledger_copy_t> held, guint64 made)
 {
   GArray *closed = g_array_new (FALSE, FALSE, sizeof (guint64));
 
@@ -249,7 +249,7 @@
       pu_ledger_report_t r;
       bool down;
 
-      if (!pu_ledger_backend (ledger, i, &r, &down) || down
+      if (!pu_ledger_get_backend (ledger, i, &r, &down) || down
           || now - applied_at[i] < kReportLag)
         continue;
       Trace ("engine %u down", i);
@@ -427,8 +427,8 @@
       Declare (item);
       break;
     default:
-      pu_planner_demand (pu_placement_planner (leader.get ()), item,
-                         op / 128 % 32, (op / 128 % 32) * 1000.0);
+      pu_planner_add_demand (pu_placement_planner (leader.get ()), item,
+                             op / 128 % 32, (op / 128 % 32) * 1000.0);
     }
   for (unsigned n = 1 + op / 4096 % 8; n > 0; n--)
     Tick ();
@@ -453,7 +453,8 @@
     Tick ();
   for (guint32 i = 0; i < kItems; i++)
     {
-      if (pu_planner_ready (pu_placement_planner (leader.get ()), i) == 0)
+      if (pu_planner_ready_copies (pu_placement_planner (leader.get ()), i)
+          == 0)
         Fault ("item " + std::to_string (i) + " is not reachable");
     }
 }
@@ -481,7 +482,7 @@
       pu_ledger_report_t r;
       bool down;
 
-      if (!pu_ledger_backend (ledger, i, &r, &down) || down)
+      if (!pu_ledger_get_backend (ledger, i, &r, &down) || down)
         continue;
       for (guint k = 0; k < r.n_held; k++)
         {
@@ -516,7 +517,7 @@
   for (guint32 i = 0; i < kEngines; i++)
     {
       pu_ledger_report_t r;
-      bool known = pu_ledger_backend (ledger, i, &r, nullptr);
+      bool known = pu_ledger_get_backend (ledger, i, &r, nullptr);
       for (guint k = 0; known && k < r.n_held; k++)
         if (r.held[k].phase == PU_LEDGER_LOADING)
           under_way.insert ({ i, r.held[k].copy });
@@ -524,7 +525,7 @@
   for (guint32 i = 0; i < kItems; i++)
     {
       if (pu_planner_item_state (p, i, now) == PU_ITEM_STATE_WAIT_STORE
-          && under_way.size () < options.planner.max_coming)
+          && under_way.size () < options.planner.max_concurrent_loads)
         idle[i]++;
       else
         idle[i] = 0;
--- a/libplantainusher/placer/placer.c
+++ b/libplantainusher/placer/placer.c
@@ -322,8 +322,8 @@
 
   if (p->follow == NULL || !pu_names_find (&p->follow->items, model, &item))
     return;
-  pu_planner_demand (pu_placement_planner (p->follow->placement), item,
-                     requests, stream_ms);
+  pu_planner_add_demand (pu_placement_planner (p->follow->placement), item,
+                         requests, stream_ms);
 }
 
 /* --- life --- */
--- a/libplantainusher/placer/sequenced_wants.c
+++ b/libplantainusher/placer/sequenced_wants.c
@@ -50,7 +50,7 @@
       const pu_model_t *m = pu_document_model (l->document, h);
 
       t.store_ms = m->load_ms;
-      t.quick_ms = least_told (m->disk_load_ms, m->host_load_ms);
+      t.cached_load_ms = least_told (m->disk_load_ms, m->host_load_ms);
     }
   for (guint32 i = 0; i < l->engines->len; i++)
     {
@@ -111,7 +111,8 @@
         {
           want_answer (w, true);
         }
-      else if (phase == PU_DISPATCHER_ABSENT || phase == PU_DISPATCHER_LEAVING
+      else if (phase == PU_DISPATCHER_ABSENT
+               || phase == PU_DISPATCHER_UNLOADING
                || pu_sequenced_now (s) >= w->until)
         {
           want_answer (w, false);
--- a/libplantainusher/placer/show.c
+++ b/libplantainusher/placer/show.c
@@ -122,7 +122,7 @@
   if (!pu_names_find (&f->backends, b->name, &backend)
       || !pu_names_find (&f->items, r->model, &item)
       || !pu_names_find (&f->versions, r->model_version, &version))
-    return pu_plan_reason_name (PU_REASON_FOUND);
+    return pu_plan_reason_name (PU_REASON_PREEXISTING);
   return pu_plan_reason_name (
       pu_planner_copy_reason (p, backend, item, version));
 }
@@ -287,7 +287,7 @@
   char *reason = g_strdup (pu_plan_reason_name (m->reason));
   json_t *o;
 
-  if (m->reason == PU_REASON_ROOM)
+  if (m->reason == PU_REASON_MAKE_ROOM)
     {
       g_free (reason);
       reason = g_strdup_printf ("%s (%s)", pu_plan_reason_name (m->reason),
