--- a/libplantainusher/routing/choose.c
+++ b/libplantainusher/routing/choose.c
@@ -40,9 +40,9 @@
 unloaded_first_token_ms (const pu_router_t *r, const request_t *q)
 {
   const model_t *m = model_at (r, q->model);
-  double fitted = linear_fit_predict (&m->first, q->prompt_tokens);
+  double fitted = linear_fit_predict (&m->first_token_fit, q->prompt_tokens);
   double without_load = model_prefill_token_ms (r, m) * q->prompt_tokens
-                        + linear_fit_predict (&m->step, 1);
+                        + linear_fit_predict (&m->decode_step_fit, 1);
 
   return model_prefill_token_ms (r, m) > 0 ? MIN (fitted, without_load)
                                            : fitted;
@@ -55,7 +55,8 @@
 {
   if (m->decode_step_ms > 0)
     return m->decode_step_ms;
-  return r->decode_step_ms > 0 ? r->decode_step_ms : r->options.decode_ms;
+  return r->decode_step_ms > 0 ? r->decode_step_ms
+                               : r->options.decode_token_ms;
 }
 
 double
@@ -69,7 +70,7 @@
     return 0;
   prefill_token_ms = model_prefill_token_ms (r, t) > 0
                          ? model_prefill_token_ms (r, t)
-                         : r->options.prefill_ms;
+                         : r->options.prefill_token_ms;
   return prefill_token_ms * prompt * t->mean_uncached_share
          + output * model_decode_step_ms (r, t)
                / (batch > 0 ? batch : DEFAULT_BATCH_SIZE);
@@ -133,9 +134,9 @@
   return false;
 }
 
-/* Whether S accepts Q: it has a free slot, has not just reported that it is
-   full, is not ejected and, for a retry, has retry budget left.  After an
-   ejection it gets one request at a time, as a probe, until one is
+/* Whether S accepts Q: it has a free slot, has not just refused a request
+   as overloaded, is not ejected and, for a retry, has retry budget left. After
+   an ejection it gets one request at a time, as a probe, until one is
    answered.  */
 static bool
 accepts_request (const pu_router_t *r, const request_t *q, const backend_t *s,
@@ -180,7 +181,8 @@
 
   if (target == 0 || pending == 0)
     return true;
-  return queued_ms * 100 <= s->window * target * r->options.window_pct;
+  return queued_ms * 100
+         <= s->prefill_window * target * r->options.prefill_window_pct;
 }
 
 static double
@@ -247,10 +249,10 @@
 /* Returns how many prompt tokens of Q are expected to be in the prefix cache
    of S.  All entries of a zone send prompts with the same fingerprint to the
    same copy in their zone, so that copy has the shared prefix cached,
-   whichever entry sent it there.  There is one such copy for each zone: with a
-   single one for all zones, two thirds of the prompts go to another zone.
-   One for each zone saves 15 of 100 bytes between zones and serves as many
-   requests.  */
+   whichever entry sent it there.  There is one such copy for each zone,
+   because with a single one for all zones two thirds of the prompts go to
+   another zone.  One for each zone serves as many requests with 15 % fewer
+   bytes sent between zones.  */
 static guint
 expected_cached_tokens (const pu_router_t *r, const request_t *q,
                         const backend_t *s)
@@ -290,10 +292,10 @@
   out->backend = b;
   out->copy = copy;
   out->cached = expected_cached_tokens (r, q, s);
-  out->work = pending + q->prompt_tokens - out->cached;
-  out->first_ms
-      = linear_fit_predict (first, (double)out->work) + s->network_cost_ms;
-  out->score = out->first_ms + version_cost_ms (r, q, c)
+  out->prefill_tokens = pending + q->prompt_tokens - out->cached;
+  out->predicted_ms = linear_fit_predict (first, (double)out->prefill_tokens)
+                      + s->network_cost_ms;
+  out->score = out->predicted_ms + version_cost_ms (r, q, c)
                + load * LOAD_TIEBREAK_MS + backend_step_ms (r, s, m, load + 1);
   /* The errors of the estimate are symmetric: without the margin, half of the
      requests predicted to be just in time would be late.  An idle backend
@@ -301,7 +303,9 @@
   if (serve_late)
     return true;
   margin = MARGIN_DEVIATIONS * first->deviation;
-  return load == 0 || (double)now + out->first_ms + margin <= (double)q->due;
+  return load == 0
+         || (double)now + out->predicted_ms + margin
+                <= (double)q->first_token_due;
 }
 
 /* Whether all copies that Q has not tried are on ejected backend servers.  */
--- a/libplantainusher/routing/dump.c
+++ b/libplantainusher/routing/dump.c
@@ -66,12 +66,13 @@
 static json_t *
 model_dump (const model_t *m)
 {
-  return json_pack (
-      "{s:s, s:s, s:i, s:i, s:i, s:i, s:f, s:f, s:f}", "name", m->name,
-      "preferred", m->preferred ? m->preferred : "", "share", (int)m->share,
-      "ready", (int)m->ready->len, "in_flight", (int)m->in_flight, "waiting",
-      (int)m->waiting, "prefill_ms", linear_fit_slope (&m->first), "step_ms",
-      linear_fit_predict (&m->step, 1), "mean_output", m->mean_output_tokens);
+  return json_pack ("{s:s, s:s, s:i, s:i, s:i, s:i, s:f, s:f, s:f}", "name",
+                    m->name, "preferred", m->preferred ? m->preferred : "",
+                    "share", (int)m->share, "ready", (int)m->ready->len,
+                    "in_flight", (int)m->in_flight, "waiting", (int)m->waiting,
+                    "prefill_ms", linear_fit_slope (&m->first_token_fit),
+                    "step_ms", linear_fit_predict (&m->decode_step_fit, 1),
+                    "mean_output", m->mean_output_tokens);
 }
 
 static json_t *
--- a/libplantainusher/routing/estimate.c
+++ b/libplantainusher/routing/estimate.c
@@ -7,10 +7,10 @@
 #define WEIGHT_MAX 50.0       /* samples; older ones decay */
 
 /* Weight of a sample below the estimate, and growth factor for one above. With
-   these, if one sample in ten is undisturbed, the estimate settles one half
-   above the undisturbed ones.  */
-#define MIN_WEIGHT_BELOW 0.3
-#define MIN_GROWTH_ABOVE 1.01
+   these, if one sample in ten is measured without contention, the estimate
+   settles at one and a half times those samples.  */
+#define MIN_FILTER_WEIGHT_BELOW 0.3
+#define MIN_FILTER_GROWTH_ABOVE 1.01
 
 void
 linear_fit_init (linear_fit_t *l, double at_zero, double slope, double ridge)
@@ -53,11 +53,11 @@
     *least = y;
   if (y < *least)
     {
-      *least += MIN_WEIGHT_BELOW * (y - *least);
+      *least += MIN_FILTER_WEIGHT_BELOW * (y - *least);
     }
   else
     {
-      *least = MIN (y, *least * MIN_GROWTH_ABOVE);
+      *least = MIN (y, *least * MIN_FILTER_GROWTH_ABOVE);
     }
 }
 
--- a/libplantainusher/routing/estimate.h
+++ b/libplantainusher/routing/estimate.h
@@ -15,12 +15,12 @@
 
 typedef struct
 {
-  double weight; /* sum of the samples' weights */
-  double x;      /* weighted means */
-  double y;
+  double weight;    /* sum of the samples' weights */
+  double x;         /* weighted mean of x */
+  double y;         /* weighted mean of y */
   double var;       /* of x */
   double cov;       /* of x and y */
-  double deviation; /* mean absolute residual */
+  double deviation; /* moving average of the absolute residual */
   double prior;     /* prior slope */
   double ridge;     /* variance of x at which samples and prior slope have
                        equal weight */
@@ -42,8 +42,9 @@
 double linear_fit_predict (const linear_fit_t *l, double x);
 
 /*
- * Minimum filter - estimates the value of samples without disturbance, near
- * the lowest of them.  The estimate rises again when all samples grow.
+ * Minimum filter - estimates the lowest value of noisy samples, such as a
+ * duration without contention.  The estimate rises again when all samples
+ * grow.
  */
 
 /* min_filter_add - updates the estimate *LEAST (0: no sample yet) with the
--- a/libplantainusher/routing/feedback.c
+++ b/libplantainusher/routing/feedback.c
@@ -10,7 +10,7 @@
 {
   request_t *q = request_lookup_running (r, t);
 
-  if (q && !q->first_at)
+  if (q && !q->first_token_at)
     q->sent_at = now;
 }
 
@@ -22,9 +22,9 @@
 {
   double ms;
 
-  if (q->work < PREFILL_SAMPLE_TOKENS_MIN)
+  if (q->prefill_tokens < PREFILL_SAMPLE_TOKENS_MIN)
     return;
-  ms = net_ms / (double)q->work;
+  ms = net_ms / (double)q->prefill_tokens;
   min_filter_add (&model_at (r, q->model)->prefill_token_ms, ms);
   min_filter_add (&r->prefill_token_ms, ms);
 }
@@ -42,9 +42,10 @@
       copy_t *c = &g_array_index (b->copies, copy_t, i);
 
       if (c->model == q->model && c->phase == PU_ROUTER_COPY_READY)
-        copy_add_sample (r, c, (double)q->work, net_ms);
+        copy_add_sample (r, c, (double)q->prefill_tokens, net_ms);
     }
-  linear_fit_add (&model_at (r, q->model)->first, (double)q->work, net_ms);
+  linear_fit_add (&model_at (r, q->model)->first_token_fit,
+                  (double)q->prefill_tokens, net_ms);
 }
 
 /* Records that the prompt blocks of Q are now in the prefix cache of its
@@ -67,9 +68,9 @@
   request_t *q = request_lookup_running (r, t);
   guint target;
 
-  if (!q || q->first_at)
+  if (!q || q->first_token_at)
     return;
-  q->first_at = MAX (now, 1);
+  q->first_token_at = MAX (now, 1);
   q->sampled_at = now;
   q->sampled_tokens = 1;
   q->tokens = 1;
@@ -80,7 +81,7 @@
   target = service_at (r, q->service)->first_token_ms;
   if (target > 0)
     prefill_window_update (backend_at (r, q->backend), q->sent_at,
-                           now > q->due, now);
+                           now > q->first_token_due, now);
   if (target > 0 && q->attempt == 1 && !q->late)
     service_record_first_token (r, q->service, now - q->offered_at > target);
   backend_mark_dirty (r, q->backend);
@@ -94,7 +95,7 @@
   double ms;
   double load;
 
-  if (!q || !q->first_at || total <= q->tokens)
+  if (!q || !q->first_token_at || total <= q->tokens)
     return;
   q->tokens = total;
   if (total < q->sampled_tokens + STEP_SAMPLE_TOKENS)
@@ -102,11 +103,11 @@
   b = backend_at (r, q->backend);
   ms = (double)(now - q->sampled_at) / (total - q->sampled_tokens);
   load = backend_load (b, now);
-  linear_fit_add (&b->step, load, ms);
-  linear_fit_add (&model_at (r, q->model)->step, load, ms);
+  linear_fit_add (&b->decode_step_fit, load, ms);
+  linear_fit_add (&model_at (r, q->model)->decode_step_fit, load, ms);
   min_filter_add (&model_at (r, q->model)->decode_step_ms, ms);
   min_filter_add (&r->decode_step_ms, ms);
-  b->step_known = true;
+  b->decode_step_known = true;
   q->sampled_at = now;
   q->sampled_tokens = total;
 }
@@ -152,7 +153,7 @@
     return;
   if (q->state == REQUEST_WAITING)
     {
-      if (q->place)
+      if (q->queue_iter)
         queue_remove (r, q);
     }
   else
@@ -245,18 +246,18 @@
   record_failure (r, q, failure, now);
   request_stop (r, q, now);
   q->late = is_served_late (r, q, now);
-  set_due (r, q);
+  request_set_due (r, q);
   reason = retry_refusal_reason (r, q, now);
   if (reason != PU_ROUTER_REASON_NONE)
     {
-      refuse (r, q, reason, 0, d);
+      request_refuse (r, q, reason, 0, d);
       return;
     }
   service_at (r, q->service)->retry_budget -= 1;
   if (service_may_start (r, service_at (r, q->service))
       && choose_copy (r, q, now, &c))
     {
-      start (r, q, &c, now, d);
+      request_start (r, q, &c, now, d);
     }
   else
     {
--- a/libplantainusher/routing/limit.c
+++ b/libplantainusher/routing/limit.c
@@ -1,21 +1,26 @@
 #include "routing/router_int.h"
 
 /* The adaptive limit of a service.  */
-#define LATE_SAMPLES_MIN 16    /* least first tokens for one adjustment */
-#define LATE_SHRINK_PCT 20     /* above this share of late ones, shrink */
-#define LATE_GROW_PCT 5        /* below it, grow if the limit was saturated */
-#define LIMIT_SATURATED_PCT 90 /* peak load that counts as saturated */
-#define LIMIT_RELEVANT_PCT 50  /* below it, lateness has other causes */
+#define LATE_SAMPLES_MIN 16 /* fewest first tokens for one adjustment */
+#define LATE_SHRINK_PCT 20  /* above this share of late ones, shrink */
+/* Below this share of late ones, grow if the limit was saturated.  */
+#define LATE_GROW_PCT 5
+/* Peak in flight, in percent of the limit, that counts as saturated.  */
+#define LIMIT_SATURATED_PCT 90
+/* With a lower peak in flight, in percent of the limit, lateness is not caused
+   by too many concurrent requests of the service.  */
+#define LIMIT_RELEVANT_PCT 50
 #define SHRINK_FACTOR 0.9
 #define GROW_FACTOR 1.1
 #define LIMIT_GROW_FACTOR_INITIAL 2.0 /* until the limit has shrunk once */
 
 /* The adaptive slots of a backend server.  */
 #define SLOTS_MIN 4
-#define SLOTS_SATURATED_PCT 80
+#define SLOTS_SATURATED_PCT 80 /* of the slots; counts as saturated */
 #define SLOTS_GROW_PERIOD_MS 1000
 #define SLOTS_GROW_STEPS_MAX 8
-#define ENGINE_WAITING_MAX 2          /* waiting requests that are no queue */
+/* Up to this many requests waiting in the engine are not a queue.  */
+#define ENGINE_WAITING_MAX 2
 #define SLOTS_GROW_FACTOR_INITIAL 1.3 /* until the slots have shrunk once */
 #define QUEUEING_REPORTS_MIN 2        /* consecutive; fewer may be a burst */
 
@@ -25,10 +30,10 @@
 #define PREFILL_WINDOW_SHRINK 0.7
 #define PREFILL_WINDOW_MIN 0.1
 
-#define FULL_COOLDOWN_MS 100  /* after a refusal as overloaded */
-#define FAILURE_WEIGHT 0.2    /* of a new outcome in the failure share */
-#define FAILURE_SHARE_MAX 0.5 /* a higher share ejects */
-#define EJECT_DOUBLINGS 10
+#define FULL_COOLDOWN_MS 100    /* after a refusal as overloaded */
+#define FAILURE_WEIGHT 0.2      /* of a new outcome in the failure share */
+#define FAILURE_SHARE_MAX 0.5   /* a higher share ejects */
+#define EJECT_DOUBLINGS 10      /* at most, of the length of an ejection */
 #define RETRY_AFTER_JITTER 0.25 /* highest random addition, as a share */
 
 guint
@@ -125,15 +130,16 @@
 {
   if (!late)
     {
-      b->window = MIN (b->window + PREFILL_WINDOW_GROW, 1);
+      b->prefill_window = MIN (b->prefill_window + PREFILL_WINDOW_GROW, 1);
       return;
     }
   /* Late requests that were sent before the last reduction took effect cause
      no further one.  */
-  if (sent_at < b->window_shrunk_at)
+  if (sent_at < b->prefill_window_shrunk_at)
     return;
-  b->window = MAX (b->window * PREFILL_WINDOW_SHRINK, PREFILL_WINDOW_MIN);
-  b->window_shrunk_at = now;
+  b->prefill_window
+      = MAX (b->prefill_window * PREFILL_WINDOW_SHRINK, PREFILL_WINDOW_MIN);
+  b->prefill_window_shrunk_at = now;
 }
 
 guint
--- a/libplantainusher/routing/queue.c
+++ b/libplantainusher/routing/queue.c
@@ -1,7 +1,7 @@
 #include "routing/router_int.h"
 
-/* A drain rate is computed after a busy period of this length that has had
-   this many starts.  */
+/* A drain rate is computed when requests have waited without a break for
+   at least this long and at least this many of them have been started.  */
 #define DRAIN_RATE_BUSY_MIN_MS 200
 #define DRAIN_RATE_STARTS_MIN 4
 #define FLOW_SCAN_MAX 4 /* requests of one flow tried for one slot */
@@ -19,8 +19,8 @@
     return x->late ? 1 : -1;
   if (x->priority != y->priority)
     return x->priority > y->priority ? -1 : 1;
-  if (x->due != y->due)
-    return x->due < y->due ? -1 : 1;
+  if (x->first_token_due != y->first_token_due)
+    return x->first_token_due < y->first_token_due ? -1 : 1;
   if (x->offered_at != y->offered_at)
     return x->offered_at < y->offered_at ? -1 : 1;
   return x->index < y->index ? -1 : x->index > y->index;
@@ -73,7 +73,8 @@
   flow_t *f = flow_of (r, q);
 
   q->state = REQUEST_WAITING;
-  q->place = g_sequence_insert_sorted (f->queue, q, compare_queue_order, NULL);
+  q->queue_iter
+      = g_sequence_insert_sorted (f->queue, q, compare_queue_order, NULL);
   q->timeout_iter = g_sequence_insert_sorted (r->waiting_by_timeout, q,
                                               compare_timeout, NULL);
   service_at (r, q->service)->waiting++;
@@ -88,9 +89,9 @@
 {
   model_t *m = model_at (r, q->model);
 
-  g_sequence_remove (q->place);
+  g_sequence_remove (q->queue_iter);
   g_sequence_remove (q->timeout_iter);
-  q->place = NULL;
+  q->queue_iter = NULL;
   q->timeout_iter = NULL;
   service_at (r, q->service)->waiting--;
   m->waiting--;
--- a/libplantainusher/routing/router.c
+++ b/libplantainusher/routing/router.c
@@ -25,7 +25,7 @@
     .slots_max = 512,
     .limit_initial = 128,
     .limit_min = 8,
-    .window_pct = 50,
+    .prefill_window_pct = 50,
     .score_tolerance_pct = 5,
     .retry_pct = 10,
     .retry_burst = 5,
@@ -35,8 +35,8 @@
     .eject_max_ms = 30000,
     .retry_after_min_ms = 250,
     .retry_after_max_ms = 30000,
-    .prefill_ms = 0.1,
-    .decode_ms = 20,
+    .prefill_token_ms = 0.1,
+    .decode_token_ms = 20,
   };
 }
 
@@ -135,13 +135,13 @@
    request that is not late is also due at the first-token target of its
    service, which is extended to leave an idle copy the time it needs.  */
 void
-set_due (pu_router_t *r, request_t *q)
+request_set_due (pu_router_t *r, request_t *q)
 {
   const service_t *s = service_at (r, q->service);
   const model_t *m = model_at (r, q->model);
   double unloaded = unloaded_first_token_ms (r, q);
-  double decode
-      = expected_output_tokens (r, q) * linear_fit_predict (&m->step, 1);
+  double decode = expected_output_tokens (r, q)
+                  * linear_fit_predict (&m->decode_step_fit, 1);
   double latest = (double)q->deadline - decode;
   double target = MAX (s->first_token_ms, UNLOADED_FACTOR * unloaded);
   double due;
@@ -151,7 +151,7 @@
   due = latest;
   if (s->first_token_ms > 0 && q->attempt == 0 && !q->late)
     due = MIN (due, (double)q->offered_at + target);
-  q->due = due > 0 ? (guint64)due : 0;
+  q->first_token_due = due > 0 ? (guint64)due : 0;
   q->late_at = latest_start (due, unloaded);
   q->expires_at = latest_start (s->serve_late ? latest : due, unloaded);
   q->expires_at = MIN (q->expires_at, q->deadline);
@@ -162,7 +162,7 @@
 mark_late (pu_router_t *r, request_t *q)
 {
   q->late = true;
-  set_due (r, q);
+  request_set_due (r, q);
 }
 
 static void
@@ -192,14 +192,14 @@
   q->shared_tokens = MIN (in->shared_tokens, in->prompt_tokens);
   q->repeatable = in->repeatable;
   q->wants_preferred = (guint)g_rand_int_range (r->rand, 0, 1000) < m->share;
-  set_due (r, q);
+  request_set_due (r, q);
 }
 
 /* Decisions.  */
 
 void
-refuse (pu_router_t *r, request_t *q, pu_router_reason_t reason,
-        double wait_ms, pu_router_decision_t *d)
+request_refuse (pu_router_t *r, request_t *q, pu_router_reason_t reason,
+                double wait_ms, pu_router_decision_t *d)
 {
   pu_router_ran_t ran = PU_ROUTER_NOT_RUN;
 
@@ -231,8 +231,8 @@
 }
 
 void
-start (pu_router_t *r, request_t *q, const candidate_t *c, guint64 now,
-       pu_router_decision_t *d)
+request_start (pu_router_t *r, request_t *q, const candidate_t *c, guint64 now,
+               pu_router_decision_t *d)
 {
   service_t *s = service_at (r, q->service);
   backend_t *b = backend_at (r, c->backend);
@@ -252,8 +252,8 @@
   q->attempt++;
   q->backend = c->backend;
   q->sent_at = now;
-  q->first_at = 0;
-  q->work = c->work;
+  q->first_token_at = 0;
+  q->prefill_tokens = c->prefill_tokens;
   q->uncached_tokens = q->prompt_tokens - c->cached;
   q->tokens = 0;
   q->sampled_tokens = 0;
@@ -282,7 +282,7 @@
     .ticket = ticket_of (q),
     .backend = c->backend,
     .attempt = q->attempt,
-    .predicted_ms = (guint)c->first_ms,
+    .predicted_ms = (guint)c->predicted_ms,
     .cached_tokens = c->cached,
   };
 }
@@ -302,7 +302,7 @@
 {
   backend_t *b = backend_at (r, q->backend);
 
-  if (!q->first_at)
+  if (!q->first_token_at)
     prefill_done (r, q);
   b->in_flight--;
   backend_record_in_flight (b, now);
@@ -380,11 +380,11 @@
 
   if (q->expires_at < now || (double)now + wait > (double)q->expires_at)
     {
-      refuse (r, q, PU_ROUTER_REASON_DEADLINE, wait, d);
+      request_refuse (r, q, PU_ROUTER_REASON_DEADLINE, wait, d);
     }
   else if (s->waiting >= s->max_queue && !queue_evict (r, q))
     {
-      refuse (r, q, PU_ROUTER_REASON_QUEUE_FULL, wait, d);
+      request_refuse (r, q, PU_ROUTER_REASON_QUEUE_FULL, wait, d);
     }
   else
     {
@@ -399,15 +399,15 @@
 
   if (model_at (r, q->model)->ready->len == 0)
     {
-      refuse (r, q, PU_ROUTER_REASON_COPY, 0, d);
+      request_refuse (r, q, PU_ROUTER_REASON_COPY, 0, d);
     }
   else if (cannot_be_on_time (r, q, now))
     {
-      refuse (r, q, PU_ROUTER_REASON_DEADLINE, 0, d);
+      request_refuse (r, q, PU_ROUTER_REASON_DEADLINE, 0, d);
     }
   else if (can_start_now (r, q, now, &c))
     {
-      start (r, q, &c, now, d);
+      request_start (r, q, &c, now, d);
     }
   else
     {
@@ -451,7 +451,7 @@
   pu_router_decision_t d;
 
   queue_remove (r, q);
-  refuse (r, q, reason, 0, &d);
+  request_refuse (r, q, reason, 0, &d);
   g_array_append_val (out, d);
 }
 
@@ -466,7 +466,7 @@
 
       if (!q)
         continue;
-      refuse (r, q, PU_ROUTER_REASON_QUEUE_FULL, 0, &d);
+      request_refuse (r, q, PU_ROUTER_REASON_QUEUE_FULL, 0, &d);
       g_array_append_val (out, d);
     }
   g_array_set_size (r->evicted, 0);
@@ -584,7 +584,7 @@
 
       queue_remove (r, q);
       queue_count_start (model_at (r, q->model), now);
-      start (r, q, &c, now, &d);
+      request_start (r, q, &c, now, &d);
       g_array_append_val (out, d);
     }
 }
--- a/libplantainusher/routing/router.h
+++ b/libplantainusher/routing/router.h
@@ -53,42 +53,45 @@
   PU_ROUTER_BREAK_DRAINING,      /* routes to draining copies and to
                                     backend servers that leave */
   PU_ROUTER_BREAK_BUDGET,        /* retries without a budget */
-  PU_ROUTER_BREAK_REPEAT,        /* retries unsafe requests */
-  PU_ROUTER_BREAK_EXPIRY,        /* returns each expiry twice */
+  PU_ROUTER_BREAK_REPEAT,        /* retries requests that may have run
+                                    and are not repeatable */
+  PU_ROUTER_BREAK_EXPIRY,        /* returns the refusal of an expired
+                                    request twice */
   PU_ROUTER_BREAK_FAIRNESS,      /* serves one service before all others */
 } pu_router_break_t;
 
 typedef struct
 {
-  guint64 seed;              /* of the random number generator */
-  const char *region;        /* of this entry */
-  const char *zone;          /* of this entry */
-  guint zone_cost_ms;        /* penalty for a backend server in another zone */
-  guint region_cost_ms;      /* penalty for one in another region */
-  guint version_cost_ms;     /* penalty for a version not preferred */
-  guint candidates;          /* copies sampled for one choice, at least 2 */
-  guint block_tokens;        /* tokens of a prefix block */
-  guint prefix_blocks_max;   /* cached blocks tracked per backend server */
-  guint slots_initial;       /* initial concurrency of a backend server */
-  guint slots_max;           /* upper bound of the adaptive slots */
-  guint limit_initial;       /* initial concurrency of a service */
-  guint limit_min;           /* lower bound of the adaptive limit */
-  guint window_pct;          /* percent of the first-token target that prefill
-                                work queued on a backend server may take */
-  guint score_tolerance_pct; /* percent of the first-token target within which
-                      copies count as equal to the best one; the
-                      fingerprint chooses among them */
-  guint retry_pct;           /* retries earned by 100 first attempts */
-  guint retry_burst;         /* initial and maximum retry budget */
-  guint attempts_max;        /* attempts of one request, with the first */
-  guint eject_failures;      /* consecutive failures that eject */
-  guint eject_ms;            /* length of the first ejection; each further
-                                one is twice as long */
+  guint64 seed;            /* of the random number generator */
+  const char *region;      /* of this entry */
+  const char *zone;        /* of this entry */
+  guint zone_cost_ms;      /* penalty for a backend server in another zone */
+  guint region_cost_ms;    /* penalty for one in another region */
+  guint version_cost_ms;   /* penalty for a version not preferred */
+  guint candidates;        /* copies sampled for one choice, at least 2 */
+  guint block_tokens;      /* tokens of a prefix block */
+  guint prefix_blocks_max; /* cached blocks tracked per backend server */
+  guint slots_initial;     /* initial concurrency of a backend server */
+  guint slots_max;         /* upper bound of the adaptive slots */
+  guint limit_initial;     /* initial concurrency of a service */
+  guint limit_min;         /* lower bound of the adaptive limit */
+  /* Percent of the first-token target that prefill work queued on a backend
+     server may take.  */
+  guint prefill_window_pct;
+  /* Percent of the first-token target within which copies count as equal to
+     the best one; the fingerprint chooses among them.  */
+  guint score_tolerance_pct;
+  guint retry_pct;      /* retries earned by 100 first attempts */
+  guint retry_burst;    /* initial and maximum retry budget */
+  guint attempts_max;   /* attempts of one request, with the first */
+  guint eject_failures; /* consecutive failures that eject */
+  guint eject_ms;       /* length of the first ejection; each further
+                           one is twice as long */
   guint eject_max_ms;
   guint retry_after_min_ms;
   guint retry_after_max_ms;
-  double prefill_ms;            /* initial estimate for each prompt token */
-  double decode_ms;             /* initial estimate for each output token */
+  double prefill_token_ms;      /* initial estimate for each prompt token */
+  double decode_token_ms;       /* initial estimate for each output token */
   pu_router_break_t test_break; /* tests only */
 } pu_router_options_t;
 
@@ -205,8 +208,7 @@
 pu_router_backend_t pu_router_find_backend (const pu_router_t *r,
                                             const char *name);
 
-/* pu_router_backend_name - returns the name of B, which comes from a table or
-   a decision, or "" for a void handle.  */
+/* pu_router_backend_name - returns the name of B, or "" for a void handle.  */
 const char *pu_router_backend_name (const pu_router_t *r,
                                     pu_router_backend_t b);
 
@@ -298,7 +300,7 @@
   PU_ROUTER_REASON_SERVICE,    /* not declared */
   PU_ROUTER_REASON_MODEL,      /* not declared */
   PU_ROUTER_REASON_COPY,       /* no ready copy at present */
-  PU_ROUTER_REASON_QUEUE_FULL, /* or evicted by a higher priority */
+  PU_ROUTER_REASON_QUEUE_FULL, /* or evicted for a higher priority */
   PU_ROUTER_REASON_DEADLINE,   /* cannot be answered in time */
   PU_ROUTER_REASON_BUDGET,     /* failed and the retry budget is empty */
   PU_ROUTER_REASON_ATTEMPTS,   /* failed attempts_max times or on every copy */
@@ -404,9 +406,9 @@
 /* pu_router_retry - reports that the current attempt of T failed with FAILURE,
    counts the failure against the backend server and sets D to the decision:
    dispatch to another backend server, wait in the queue, or refuse.  A request
-   that may have run is retried only if it is repeatable.  That holds also for
-   one that produced tokens: to resume an interrupted stream, the I/O layer
-   replays what was already sent.  */
+   that may have run or has produced tokens is retried only if it is
+   repeatable.  When the I/O layer resumes an interrupted stream, the new
+   attempt reproduces or continues what was already sent to the client.  */
 void pu_router_retry (pu_router_t *r, pu_ticket_t t,
                       pu_router_failure_t failure, guint64 now,
                       pu_router_decision_t *d);
--- a/libplantainusher/routing/router_fuzz_test.cc
+++ b/libplantainusher/routing/router_fuzz_test.cc
@@ -1,6 +1,6 @@
-/* Stateful fuzz test of the router.  Random operations act for the shell and
-   the backend servers.  A reference model tracks which request is in flight
-   where and which dispatches are allowed, and checks each decision.  */
+/* Stateful fuzz test of the router.  Random operations act for the I/O layer
+   and the backend servers.  A reference model tracks which request is in
+   flight where and which dispatches are allowed, and checks each decision.  */
 
 #include "routing/router.h"
 
--- a/libplantainusher/routing/router_int.h
+++ b/libplantainusher/routing/router_int.h
@@ -15,14 +15,13 @@
  */
 
 #define TRIED_MAX 4 /* failed backend servers that a request avoids */
-#define MEAN_SAMPLE_WEIGHT                                                    \
-  0.1 /* weight of a new sample in a moving average                           \
-       */
+/* Weight of a new sample in a moving average.  */
+#define MEAN_SAMPLE_WEIGHT 0.1
 /* Ticks for which the own requests in flight are kept, so that a late report
    is compared with the count at the time it describes.  */
 #define HISTORY_MAX 16
 #define HISTORY_TICK_MS 64
-#define REPORT_VALID_MS 5000 /* an older report is ignored */
+#define REPORT_VALID_MS 5000 /* for a report without a life_ms of its own */
 
 typedef struct
 {
@@ -44,7 +43,8 @@
   guint late_samples;    /* of these, later than the target */
   guint peak_in_flight;  /* since the last adjustment */
   double retry_budget;   /* retries available */
-  GArray *models;        /* of pu_router_model_t: models with a flow of it */
+  GArray *models; /* of pu_router_model_t: models that have a flow of the
+                     service */
 } service_t;
 
 /* The waiting requests of one service for one model, in scheduling order.  */
@@ -71,17 +71,21 @@
   GArray *flows;   /* of flow_t */
   guint waiting;
   guint in_flight;
-  linear_fit_t first; /* ms to the first token over prefill tokens */
-  linear_fit_t step;  /* ms for each output token over concurrent requests */
-  double mean_prompt_tokens;  /* tokens */
-  double mean_output_tokens;  /* tokens; 0: not known */
+  /* Milliseconds to the first token over prefill tokens.  */
+  linear_fit_t first_token_fit;
+  /* Milliseconds for each output token over concurrent requests.  */
+  linear_fit_t decode_step_fit;
+  double mean_prompt_tokens;
+  double mean_output_tokens;  /* 0: not known */
   double mean_uncached_share; /* share of the prompt that was not cached */
-  double prefill_token_ms; /* of prefill, without contention; 0: not known */
+  /* For each prompt token, without contention; 0: not known.  */
+  double prefill_token_ms;
   double decode_step_ms; /* between tokens, without contention; 0: not known */
-  guint64 busy_since;  /* start of the period in which requests always wait */
-  double drain_per_ms; /* starts from the queue per ms; 0: not known */
-  guint starts;        /* from the queue since busy_since */
-  guint64 probed_at;   /* see cannot_be_on_time in router.c */
+  guint64 busy_since;    /* since then the queue has not been empty */
+  double drain_per_ms;   /* starts from the queue per ms; 0: not known */
+  guint starts;          /* from the queue since busy_since */
+  /* When a request that the estimate called late was last let through.  */
+  guint64 probed_at;
 } model_t;
 
 typedef struct
@@ -89,8 +93,8 @@
   pu_router_model_t model;
   char *version;
   pu_router_phase_t phase;
-  linear_fit_t first; /* as in model_t, but of this copy alone */
-  bool has_samples;   /* `first` holds a sample */
+  linear_fit_t first_token_fit; /* as in model_t, but of this copy alone */
+  bool has_samples;             /* first_token_fit holds a sample */
 } copy_t;
 
 typedef struct
@@ -116,11 +120,12 @@
   guint in_flight;
   guint prefilling;       /* own requests before their first token */
   guint64 pending_tokens; /* prompt tokens of these that are not cached */
-  double window;          /* adaptive share of window_pct that queued
-                             prefill work may take */
-  guint64 window_shrunk_at;
-  linear_fit_t step;
-  bool step_known;
+  /* Adaptive share of prefill_window_pct that queued prefill work may take. */
+  double prefill_window;
+  guint64 prefill_window_shrunk_at;
+  linear_fit_t
+      decode_step_fit; /* as in model_t, but of this backend server alone */
+  bool decode_step_known;
   guint64 seq;
   guint64 reported_at; /* 0: never */
   pu_router_report_t report;
@@ -157,9 +162,9 @@
   guint priority;
   guint64 offered_at;
   guint64 deadline;
-  guint64 due;        /* latest time for the first token */
-  guint64 late_at;    /* latest start that can meet `due` */
-  guint64 expires_at; /* latest start that is of use; refused after it */
+  guint64 first_token_due; /* latest time for the first token */
+  guint64 late_at;         /* latest start that can meet first_token_due */
+  guint64 expires_at;      /* latest start that is of use; refused after it */
   bool late; /* missed late_at but still served: waits behind those that
                 can meet their target */
   guint prompt_tokens;
@@ -175,16 +180,16 @@
   guint attempt;
   bool may_have_run;
   bool gave_tokens;
-  guint64 tried[TRIED_MAX]; /* serials */
+  guint64 tried[TRIED_MAX]; /* serials of the backend servers that failed it */
   guint n_tried;
-  GSequenceIter *place;        /* in the queue of its flow */
+  GSequenceIter *queue_iter;   /* in the queue of its flow */
   GSequenceIter *timeout_iter; /* in waiting_by_timeout of the router */
   /* Of the running attempt.  */
   pu_router_backend_t backend;
   guint64 sent_at;
-  guint64 first_at;      /* 0: no token yet */
-  guint64 work;          /* prefill tokens queued there, its own included */
-  guint uncached_tokens; /* of these, its own */
+  guint64 first_token_at; /* 0: no token yet */
+  guint64 prefill_tokens; /* queued there, its own included */
+  guint uncached_tokens;  /* own prompt tokens that are not cached */
   guint tokens;
   guint sampled_tokens; /* at the last sample of the decode step */
   guint64 sampled_at;
@@ -204,7 +209,7 @@
   GHashTable *backend_names;
   GPtrArray *requests; /* of request_t, by index */
   GArray *free_requests;
-  GSequence *waiting_by_timeout; /* all waiting request_t */
+  GSequence *waiting_by_timeout; /* of request_t, by queue_timeout_at */
   GArray *dirty;                 /* of pu_router_backend_t */
   GArray *cooldowns; /* of pu_router_backend_t: blocked or ejected */
   GArray *found;     /* of candidate_t: candidates of the current choice */
@@ -213,8 +218,8 @@
   GArray *evicted;         /* of pu_ticket_t: to be refused */
   guint in_flight;
   guint64 serial;       /* of the newest backend server */
-  bool recheck_waiting; /* a service, a model or a last copy is gone: waiting
-                           requests may have to be refused */
+  bool recheck_waiting; /* a service, a model or the last copy of one is gone:
+                           waiting requests may have to be refused */
   pu_router_stats_t stats;
 };
 
@@ -223,10 +228,10 @@
 {
   pu_router_backend_t backend;
   guint copy;
-  double first_ms; /* to the first token, with the network latency */
-  double score;    /* predicted cost; the lowest is best */
-  guint cached;    /* tokens of the prompt assumed cached there */
-  guint64 work;    /* prefill tokens queued there, the request's included */
+  double predicted_ms;    /* to the first token, with the network latency */
+  double score;           /* predicted cost; the lowest is best */
+  guint cached;           /* tokens of the prompt assumed cached there */
+  guint64 prefill_tokens; /* queued there, the request's included */
 } candidate_t;
 
 static inline service_t *
@@ -280,20 +285,21 @@
 guint backend_others_waiting (const backend_t *b, guint64 now);
 
 /* backend_step_ms - returns the expected time between tokens on B with LOAD
-   concurrent requests, by the line of B or, if it has no sample, of M.  */
+   concurrent requests, by the fit of B or, if it has no sample, of M.  */
 double backend_step_ms (const pu_router_t *r, const backend_t *b,
                         const model_t *m, guint load);
 
 /* copy_first_token_fit - returns the estimate of the time to the first token
-   on C.  For a copy without samples this is the current line of its model: a
-   line saved when the copy appeared would never be corrected while the other
+   on C.  For a copy without samples this is the current fit of its model: a
+   fit saved when the copy appeared would never be corrected while the other
    copies get faster.  */
 const linear_fit_t *copy_first_token_fit (const pu_router_t *r,
                                           const copy_t *c);
 
 /* copy_add_sample - adds a sample to C: MS milliseconds to the first token
-   with WORK prefill tokens.  */
-void copy_add_sample (const pu_router_t *r, copy_t *c, double work, double ms);
+   with PREFILL_TOKENS queued.  */
+void copy_add_sample (const pu_router_t *r, copy_t *c, double prefill_tokens,
+                      double ms);
 
 /* backend_record_in_flight - records a change of the own requests in flight on
    B in its history.  */
@@ -385,7 +391,7 @@
                    guint64 now);
 
 /* backend_failed - records FAILURE of an attempt on B, and ejects B or starts
-   a cooldown if need be.  */
+   a cooldown if it has failed too often or refused as overloaded.  */
 void backend_failed (pu_router_t *r, pu_router_backend_t b,
                      pu_router_failure_t failure, guint64 now);
 
@@ -395,7 +401,7 @@
 /* retry_budget_credit - credits a first attempt to a retry budget.  */
 void retry_budget_credit (const pu_router_t *r, double *retry_budget);
 
-/* retry_budget_allows - returns whether BUDGET allows a retry.  */
+/* retry_budget_allows - returns whether RETRY_BUDGET allows a retry.  */
 bool retry_budget_allows (const pu_router_t *r, double retry_budget);
 
 /* retry_after - returns the Retry-After of a refusal in milliseconds, with
@@ -413,24 +419,25 @@
 /* request_end - voids the ticket of Q and frees Q.  */
 void request_end (pu_router_t *r, request_t *q);
 
-/* set_due - computes the due time of Q and the latest times to start it.  */
-void set_due (pu_router_t *r, request_t *q);
+/* request_set_due - computes the due time of Q and the latest times to start
+   it.  */
+void request_set_due (pu_router_t *r, request_t *q);
 
 /* lost_dependency - returns which of the service, the model and a ready copy Q
    has lost, or PU_ROUTER_REASON_NONE.  */
 pu_router_reason_t lost_dependency (const pu_router_t *r, const request_t *q);
 
-/* refuse - sets D to the refusal of Q and ends Q.  */
-void refuse (pu_router_t *r, request_t *q, pu_router_reason_t reason,
-             double wait_ms, pu_router_decision_t *d);
+/* request_refuse - sets D to the refusal of Q and ends Q.  */
+void request_refuse (pu_router_t *r, request_t *q, pu_router_reason_t reason,
+                     double wait_ms, pu_router_decision_t *d);
 
 /* enqueue_or_refuse - decides about Q when it cannot start now.  */
 void enqueue_or_refuse (pu_router_t *r, request_t *q, guint64 now,
                         pu_router_decision_t *d);
 
-/* start - starts an attempt of Q on C.  */
-void start (pu_router_t *r, request_t *q, const candidate_t *c, guint64 now,
-            pu_router_decision_t *d);
+/* request_start - starts an attempt of Q on C.  */
+void request_start (pu_router_t *r, request_t *q, const candidate_t *c,
+                    guint64 now, pu_router_decision_t *d);
 
 /* prefill_done - takes the prompt of Q off the pending prefill work of its
    backend server.  */
--- a/libplantainusher/routing/router_test.cc
+++ b/libplantainusher/routing/router_test.cc
@@ -424,7 +424,7 @@
   EXPECT_EQ (offer (request ()).backend, new_copy);
 }
 
-TEST_F (Router, QueuesByPriorityAndRefusesAtTheWakeTime)
+TEST_F (Router, QueuesByPriorityAndRefusesAtTheTimeout)
 {
   backend ("a", 1);
   pu_router_decision_t running = offer (request ());
@@ -590,7 +590,7 @@
   EXPECT_EQ (PU_ROUTER_DISPATCH, offer (q).verdict);
 }
 
-TEST_F (Router, FullQueueDisplacesALowerPriority)
+TEST_F (Router, FullQueueEvictsALowerPriority)
 {
   service ("chat", 1, 0, 1);
   backend ("a", 1);
--- a/libplantainusher/routing/tables.c
+++ b/libplantainusher/routing/tables.c
@@ -169,9 +169,10 @@
   m->flows = g_array_new (FALSE, FALSE, sizeof (flow_t));
   m->mean_uncached_share = 1;
   g_array_set_clear_func (m->flows, flow_clear);
-  linear_fit_init (&m->first, r->options.decode_ms, r->options.prefill_ms,
-                   TOKEN_RIDGE);
-  linear_fit_init (&m->step, r->options.decode_ms, 0, LOAD_RIDGE);
+  linear_fit_init (&m->first_token_fit, r->options.decode_token_ms,
+                   r->options.prefill_token_ms, TOKEN_RIDGE);
+  linear_fit_init (&m->decode_step_fit, r->options.decode_token_ms, 0,
+                   LOAD_RIDGE);
   g_ptr_array_add (r->models, m);
   g_hash_table_insert (r->model_names, m->name, GUINT_TO_POINTER (h));
   return h;
@@ -253,7 +254,7 @@
 
       if (old)
         {
-          c.first = old->first;
+          c.first_token_fit = old->first_token_fit;
           c.has_samples = old->has_samples;
         }
       g_array_append_val (list, c);
@@ -263,7 +264,7 @@
 }
 
 static guint
-network_cost (const pu_router_t *r, const backend_t *s)
+network_cost_ms (const pu_router_t *r, const backend_t *s)
 {
   if (strcmp (s->region, r->region) != 0)
     return r->options.region_cost_ms;
@@ -297,13 +298,14 @@
     .serial = ++r->serial,
     .in_use = true,
     .slots = r->options.slots_initial,
-    .window = 1,
+    .prefill_window = 1,
     .copies = copies_new (),
     .retry_budget = r->options.retry_burst,
     .finish_tags = g_array_new (FALSE, TRUE, sizeof (double)),
     .blocks = g_hash_table_new (NULL, NULL),
   };
-  linear_fit_init (&s->step, r->options.decode_ms, 0, LOAD_RIDGE);
+  linear_fit_init (&s->decode_step_fit, r->options.decode_token_ms, 0,
+                   LOAD_RIDGE);
   g_hash_table_replace (r->backend_names, g_strdup (o->name),
                         GUINT_TO_POINTER (h));
   return h;
@@ -350,7 +352,7 @@
   s->fixed_slots = o->slots;
   replace_string (&s->region, o->region);
   replace_string (&s->zone, o->zone);
-  s->network_cost_ms = network_cost (r, s);
+  s->network_cost_ms = network_cost_ms (r, s);
   set_copies (r, s, o->copies, o->n_copies);
   ready_list_add_backend (r, h);
   return h;
@@ -530,25 +532,28 @@
                  guint load)
 {
   (void)r;
-  return linear_fit_predict (s->step_known ? &s->step : &m->step, load);
+  return linear_fit_predict (
+      s->decode_step_known ? &s->decode_step_fit : &m->decode_step_fit, load);
 }
 
 const linear_fit_t *
 copy_first_token_fit (const pu_router_t *r, const copy_t *c)
 {
-  return c->has_samples ? &c->first : &model_at (r, c->model)->first;
+  return c->has_samples ? &c->first_token_fit
+                        : &model_at (r, c->model)->first_token_fit;
 }
 
 void
-copy_add_sample (const pu_router_t *r, copy_t *c, double work, double ms)
+copy_add_sample (const pu_router_t *r, copy_t *c, double prefill_tokens,
+                 double ms)
 {
   if (!c->has_samples)
     {
-      c->first = model_at (r, c->model)->first;
-      c->first.weight = MIN (c->first.weight, 1);
+      c->first_token_fit = model_at (r, c->model)->first_token_fit;
+      c->first_token_fit.weight = MIN (c->first_token_fit.weight, 1);
       c->has_samples = true;
     }
-  linear_fit_add (&c->first, work, ms);
+  linear_fit_add (&c->first_token_fit, prefill_tokens, ms);
 }
 
 bool
--- a/libplantainusher/suspects/suspects.h
+++ b/libplantainusher/suspects/suspects.h
@@ -14,11 +14,11 @@
  * entry records which request is in flight on which backend server.  When a
  * backend server dies, each request in flight there gets a strike in the
  * replicated log, which makes it a suspect on every daemon.  A suspect runs
- * isolated: only the entry that its model hashes to dispatches it, one copy at
- * a time, on a backend server that runs no other suspect.  When that backend
- * server dies too, only the suspect gets a strike; the requests that ran
- * beside it are assumed to be harmless.  At the second strike the log convicts
- * the suspect, and a convicted request is refused.
+ * isolated: only the entry that its model hashes to dispatches it, one
+ * duplicate at a time, on a backend server that runs no other suspect.  When
+ * that backend server dies too, only the suspect gets a strike; the requests
+ * that ran beside it are assumed to be harmless.  At the second strike the log
+ * convicts the suspect, and a convicted request is refused.
  *
  * Duplicates are requests with the same fingerprint.  Until they are suspects
  * they are kept on one backend server: while one of them is in flight without
@@ -70,8 +70,8 @@
    5 s, and the cooldown of a suspect is 1 s.  */
 void pu_suspects_options_init (pu_suspects_options_t *o);
 
-/* pu_suspects_new - an empty table.  Copies O.  Free with
-   pu_suspects_free.  */
+/* pu_suspects_new - returns a new, empty table.  Copies O.  The caller
+   frees it with pu_suspects_free.  */
 pu_suspects_t *pu_suspects_new (const pu_suspects_options_t *o);
 void pu_suspects_free (pu_suspects_t *s);
 
@@ -150,12 +150,12 @@
   guint64 fingerprint;
   guint32 backend;
   guint64 incarnation;
-  bool apart; /* the request was isolated: the log counts the death against it
-                 alone */
+  bool apart; /* the request was isolated: the replicated state counts the
+                 death against it alone */
 } pu_suspects_strike_t;
 
 /* pu_suspects_backend_died - INCARNATION of BACKEND has died, and so have
-   older ones. Removes the requests in flight there and those aborted there
+   older ones.  Removes the requests in flight there and those aborted there
    within the retention time, any of which may have caused the death.  Appends
    the strikes to propose to STRIKES (of pu_suspects_strike_t), at most one for
    each fingerprint; they count on this daemon at once.  Returns how many
--- a/libplantainusher/suspects/suspects_test.cc
+++ b/libplantainusher/suspects/suspects_test.cc
@@ -378,8 +378,8 @@
   }
 
   /* At most two backend servers are lost, and no harmless request is
-     convicted. With OneDivergent, two can die at the same time before there is
-     a suspect, which may convict a harmless request that ran on both.  */
+     convicted.  With OneDivergent, two can die at the same time before there
+     is a suspect, which may convict a harmless request that ran on both.  */
   bool
   invariants_hold () const
   {
