--- a/libplantainusher/entry/claim.c
+++ b/libplantainusher/entry/claim.c
@@ -85,7 +85,7 @@
     }
   else
     {
-      pu_claim_pump (en);
+      pu_claim_run_actions (en);
     }
 }
 
@@ -174,7 +174,7 @@
                    r != NULL ? r->position : 0,
                    claimed == PU_ONCE_KEPT ? &result : NULL, loop_now (en));
   proposal_end (proposal);
-  pu_claim_pump (en);
+  pu_claim_run_actions (en);
   pu_entry_check (en);
 }
 
@@ -189,7 +189,7 @@
      has seen would get the same reply.  */
   pu_once_recorded (en->once, proposal->handle, r != NULL, loop_now (en));
   proposal_end (proposal);
-  pu_claim_pump (en);
+  pu_claim_run_actions (en);
   pu_entry_check (en);
 }
 
@@ -347,13 +347,13 @@
 }
 
 void
-pu_claim_pump (pu_entry_t *en)
+pu_claim_run_actions (pu_entry_t *en)
 {
   pu_once_action_t a;
 
-  if (en->pumping)
+  if (en->claim_actions_running)
     return;
-  en->pumping = true;
+  en->claim_actions_running = true;
   while (pu_once_next (en->once, &a))
     {
       switch (a.type)
@@ -377,7 +377,7 @@
           break;
         }
     }
-  en->pumping = false;
+  en->claim_actions_running = false;
 }
 
 void
@@ -393,5 +393,5 @@
   x->phase = PU_X_CLAIMING;
   if (x->http == NULL)
     pu_exchange_done (x);
-  pu_claim_pump (en);
+  pu_claim_run_actions (en);
 }
--- a/libplantainusher/entry/servers.c
+++ b/libplantainusher/entry/servers.c
@@ -19,12 +19,12 @@
   char *version;
   bool present;
   guint64 expires_at; /* loop time; reports show the copy's state by then */
-} extra_t;
+} copy_override_t;
 
 static void
 override_free (gpointer extra)
 {
-  extra_t *x = extra;
+  copy_override_t *x = extra;
 
   g_free (x->version);
   g_free (x);
@@ -43,7 +43,7 @@
 
   pu_http_call_cancel (s->probe);
   g_ptr_array_free (s->held, TRUE);
-  g_hash_table_destroy (s->extras);
+  g_hash_table_destroy (s->copy_overrides);
   g_free (s->name);
   g_free (s->address);
   g_free (s);
@@ -62,7 +62,7 @@
   s->handle = PU_ROUTER_NONE;
   s->number = ++en->last_server;
   s->held = g_ptr_array_new ();
-  s->extras
+  s->copy_overrides
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, override_free);
   g_hash_table_insert (en->servers, s->name, s);
   return s;
@@ -79,8 +79,9 @@
 static bool
 has_timer (const pu_server_t *s)
 {
-  return s->probe_at != 0 || s->cut_apart > 0 || s->dead_until != 0
-         || g_hash_table_size (s->extras) > 0;
+  return s->probe_at != 0 || s->aborted_suspects > 0
+         || s->local_down_until != 0
+         || g_hash_table_size (s->copy_overrides) > 0;
 }
 
 /* --- strikes --- */
@@ -127,7 +128,7 @@
 static bool
 is_marked_absent (const pu_server_t *s, const char *model)
 {
-  const extra_t *x = g_hash_table_lookup (s->extras, model);
+  const copy_override_t *x = g_hash_table_lookup (s->copy_overrides, model);
 
   return x != NULL && !x->present;
 }
@@ -151,10 +152,10 @@
   gpointer model;
   gpointer value;
 
-  g_hash_table_iter_init (&it, s->extras);
+  g_hash_table_iter_init (&it, s->copy_overrides);
   while (g_hash_table_iter_next (&it, &model, &value))
     {
-      const extra_t *x = value;
+      const copy_override_t *x = value;
       pu_router_copy_t one = { model, x->version, PU_ROUTER_COPY_READY };
 
       if (x->present && !is_reported (b, model))
@@ -224,7 +225,7 @@
   s->load_id = pu_entry_load_id (s->name, s->incarnation);
   g_hash_table_insert (s->en->load_ids, &s->load_id, s);
   s->leaving = false;
-  s->dead_until = 0;
+  s->local_down_until = 0;
   s->refused = 0;
 }
 
@@ -266,7 +267,7 @@
   s->address = g_strdup (b->address);
   s->plain = b->kind == PU_BACKEND_PLAIN;
   s->leaving = s->leaving || b->leaving;
-  s->down = b->down || uv_now (en->o.loop) < s->dead_until;
+  s->down = b->down || uv_now (en->o.loop) < s->local_down_until;
   if (s->down)
     {
       router_remove (s);
@@ -319,7 +320,7 @@
 }
 
 void
-pu_server_apart (pu_entry_t *en, pu_server_t *s, bool begins)
+pu_server_count_suspect (pu_entry_t *en, pu_server_t *s, bool begins)
 {
   const pu_backend_record *b;
 
@@ -338,15 +339,15 @@
 }
 
 void
-pu_server_apart_cut (pu_server_t *s)
+pu_server_suspect_aborted (pu_server_t *s)
 {
   server_watch (s);
-  s->cut_apart++;
-  s->apart_until = uv_now (s->en->o.loop) + s->en->o.settle_ms;
+  s->aborted_suspects++;
+  s->aborted_until = uv_now (s->en->o.loop) + s->en->o.settle_ms;
 }
 
 bool
-pu_servers_apart (const pu_entry_t *en, const char *model)
+pu_servers_copy_isolated (const pu_entry_t *en, const char *model)
 {
   const pu_state_t *view = en->o.hooks.view (en->o.hooks.data);
   GHashTableIter it;
@@ -375,16 +376,16 @@
 {
   const pu_document_t *d = s->en->document;
   pu_model_handle_t m = pu_document_find_model (d, model);
-  extra_t *x;
+  copy_override_t *x;
 
   if (m == PU_HANDLE_NONE)
     return;
-  x = g_new0 (extra_t, 1);
+  x = g_new0 (copy_override_t, 1);
   x->version = g_strdup (pu_document_model (d, m)->version);
   x->present = present;
   x->expires_at = until;
   server_watch (s);
-  g_hash_table_replace (s->extras, g_strdup (model), x);
+  g_hash_table_replace (s->copy_overrides, g_strdup (model), x);
 }
 
 /* Returns the view's record of S, or NULL when S is not in the router.  */
@@ -411,13 +412,13 @@
 }
 
 void
-pu_server_extra (pu_server_t *s, const char *model, guint64 until)
+pu_server_mark_present (pu_server_t *s, const char *model, guint64 until)
 {
   override_apply (s, model, true, until);
 }
 
 void
-pu_server_lacks (pu_server_t *s, const char *model, guint64 until)
+pu_server_mark_absent (pu_server_t *s, const char *model, guint64 until)
 {
   override_apply (s, model, false, until);
 }
@@ -437,7 +438,7 @@
 bool
 pu_server_is_withdrawn (const pu_server_t *s, const char *model, guint64 until)
 {
-  const extra_t *x = g_hash_table_lookup (s->extras, model);
+  const copy_override_t *x = g_hash_table_lookup (s->copy_overrides, model);
 
   return x != NULL && !x->present && x->expires_at >= until;
 }
@@ -453,10 +454,10 @@
 
   if (b == NULL)
     return;
-  g_hash_table_iter_init (&it, s->extras);
+  g_hash_table_iter_init (&it, s->copy_overrides);
   while (g_hash_table_iter_next (&it, &overridden, &extra))
     {
-      extra_t *x = extra;
+      copy_override_t *x = extra;
 
       if (!is_base_or_adapter (d, overridden, model))
         continue;
@@ -477,7 +478,7 @@
 override_is_expired (gpointer model, gpointer extra, gpointer now)
 {
   (void)model;
-  return ((extra_t *)extra)->expires_at <= *(guint64 *)now;
+  return ((copy_override_t *)extra)->expires_at <= *(guint64 *)now;
 }
 
 static void
@@ -485,7 +486,9 @@
 {
   const pu_backend_record *b;
 
-  if (g_hash_table_foreach_remove (s->extras, override_is_expired, &now) == 0
+  if (g_hash_table_foreach_remove (s->copy_overrides, override_is_expired,
+                                   &now)
+          == 0
       || s->handle == PU_ROUTER_NONE)
     return;
   b = pu_state_backend (s->en->o.hooks.view (s->en->o.hooks.data), s->name);
@@ -542,7 +545,7 @@
   router_remove (s);
   s->down = true;
   server_watch (s);
-  s->dead_until = uv_now (s->en->o.loop) + LOCAL_DOWN_MS;
+  s->local_down_until = uv_now (s->en->o.loop) + LOCAL_DOWN_MS;
   pu_http_client_close_idle (s->en->client, s->address);
   down_propose (s);
   held_retry (s);
@@ -599,14 +602,14 @@
 }
 
 void
-pu_server_doubt (pu_server_t *s)
+pu_server_probe (pu_server_t *s)
 {
   if (s->probe == NULL && s->probe_at == 0 && !s->down)
     probe_start (s);
 }
 
 void
-pu_server_replaced (pu_server_t *s)
+pu_server_mark_replaced (pu_server_t *s)
 {
   if (s->down)
     return;
@@ -616,7 +619,7 @@
   router_remove (s);
   s->down = true;
   server_watch (s);
-  s->dead_until = uv_now (s->en->o.loop) + LOCAL_DOWN_MS;
+  s->local_down_until = uv_now (s->en->o.loop) + LOCAL_DOWN_MS;
   down_propose (s);
 }
 
@@ -632,7 +635,7 @@
 }
 
 void
-pu_server_unhold (pu_exchange_t *x)
+pu_server_remove_held (pu_exchange_t *x)
 {
   if (x->at.server != NULL)
     g_ptr_array_remove (x->at.server->held, x);
@@ -644,9 +647,9 @@
 {
   const pu_backend_record *b;
 
-  if (s->dead_until == 0 || now < s->dead_until)
+  if (s->local_down_until == 0 || now < s->local_down_until)
     return;
-  s->dead_until = 0;
+  s->local_down_until = 0;
   b = pu_state_backend (s->en->o.hooks.view (s->en->o.hooks.data), s->name);
   if (b != NULL)
     pu_server_apply (s->en, b);
@@ -659,8 +662,9 @@
   local_down_tick (s, now);
   if (s->probe_at != 0 && s->probe_at <= now)
     probe_start (s);
-  for (; s->cut_apart > 0 && s->apart_until <= now; s->cut_apart--)
-    pu_server_apart (s->en, s, false);
+  for (; s->aborted_suspects > 0 && s->aborted_until <= now;
+       s->aborted_suspects--)
+    pu_server_count_suspect (s->en, s, false);
 }
 
 void
--- a/libplantainusher/placement/adapters.c
+++ b/libplantainusher/placement/adapters.c
@@ -71,7 +71,7 @@
 }
 
 void
-pu_adapters_set (pu_adapters_t *a, guint32 item, guint32 base)
+pu_adapters_add (pu_adapters_t *a, guint32 item, guint32 base)
 {
   adapter_t *t;
 
@@ -83,7 +83,7 @@
 }
 
 bool
-pu_adapters_is (const pu_adapters_t *a, guint32 item)
+pu_adapters_contains (const pu_adapters_t *a, guint32 item)
 {
   const adapter_t *t = adapter_at (a, item);
 
@@ -103,8 +103,8 @@
 }
 
 void
-pu_adapters_engine (pu_adapters_t *a, guint32 engine, guint slots, guint load,
-                    bool usable)
+pu_adapters_set_engine (pu_adapters_t *a, guint32 engine, guint slots,
+                        guint load, bool usable)
 {
   engine_t e = { slots, load, usable };
 
@@ -114,7 +114,7 @@
 }
 
 void
-pu_adapters_used (pu_adapters_t *a, guint32 item, guint64 now)
+pu_adapters_mark_used (pu_adapters_t *a, guint32 item, guint64 now)
 {
   adapter_t *t = adapter_at (a, item);
 
@@ -123,7 +123,7 @@
 }
 
 guint
-pu_adapters_active (const pu_adapters_t *a, guint32 base, guint64 now)
+pu_adapters_count_active (const pu_adapters_t *a, guint32 base, guint64 now)
 {
   guint active = 0;
 
@@ -248,14 +248,14 @@
 }
 
 guint32
-pu_adapters_want (pu_adapters_t *a, guint32 item, guint64 now)
+pu_adapters_ensure_loaded (pu_adapters_t *a, guint32 item, guint64 now)
 {
   guint32 holder;
   candidate_t best = { PU_ADAPTERS_NONE, 0, 0, 0 };
 
-  if (!pu_adapters_is (a, item))
+  if (!pu_adapters_contains (a, item))
     return PU_ADAPTERS_NONE;
-  pu_adapters_used (a, item, now);
+  pu_adapters_mark_used (a, item, now);
   holder = find_holder (a, item);
   if (holder != PU_ADAPTERS_NONE)
     return holder;
@@ -314,7 +314,7 @@
 }
 
 void
-pu_adapters_spread (pu_adapters_t *a, guint64 now)
+pu_adapters_replicate (pu_adapters_t *a, guint64 now)
 {
   guint ordered = 0;
 
--- a/libplantainusher/placement/adapters.h
+++ b/libplantainusher/placement/adapters.h
@@ -23,41 +23,43 @@
 pu_adapters_t *pu_adapters_new (pu_dispatcher_t *dispatcher);
 void pu_adapters_free (pu_adapters_t *a);
 
-/* pu_adapters_set - declares ITEM as an adapter of BASE.  */
-void pu_adapters_set (pu_adapters_t *a, guint32 item, guint32 base);
+/* pu_adapters_add - declares ITEM as an adapter of BASE.  */
+void pu_adapters_add (pu_adapters_t *a, guint32 item, guint32 base);
 
-/* pu_adapters_is - whether ITEM was declared as an adapter.  */
-bool pu_adapters_is (const pu_adapters_t *a, guint32 item);
+/* pu_adapters_contains - whether ITEM was declared as an adapter.  */
+bool pu_adapters_contains (const pu_adapters_t *a, guint32 item);
 
 /* pu_adapters_base - the base model of ITEM, which must be an adapter.  */
 guint32 pu_adapters_base (const pu_adapters_t *a, guint32 item);
 
-/* pu_adapters_engine - replaces the state of ENGINE: it has SLOTS for adapters
-   (0: no limit) and LOAD requests; USABLE: it accepts orders and new
+/* pu_adapters_set_engine - replaces the state of ENGINE: it has SLOTS for
+   adapters (0: no limit) and LOAD requests; USABLE: it accepts orders and new
    requests.  */
-void pu_adapters_engine (pu_adapters_t *a, guint32 engine, guint slots,
-                         guint load, bool usable);
+void pu_adapters_set_engine (pu_adapters_t *a, guint32 engine, guint slots,
+                             guint load, bool usable);
 
-/* pu_adapters_used - records that ITEM was requested at NOW.  */
-void pu_adapters_used (pu_adapters_t *a, guint32 item, guint64 now);
+/* pu_adapters_mark_used - records that ITEM was requested at NOW.  */
+void pu_adapters_mark_used (pu_adapters_t *a, guint32 item, guint64 now);
 
-/* pu_adapters_active - the number of adapters of BASE that were requested
-   recently.  */
-guint pu_adapters_active (const pu_adapters_t *a, guint32 base, guint64 now);
+/* pu_adapters_count_active - the number of adapters of BASE that were
+   requested recently.  */
+guint pu_adapters_count_active (const pu_adapters_t *a, guint32 base,
+                                guint64 now);
 
-/* pu_adapters_spread - queues loads of additional copies of adapters in use,
-   on engines that have far fewer requests than every engine that holds the
-   adapter.  Loading a copy takes a few milliseconds; a request that queues
+/* pu_adapters_replicate - queues loads of additional copies of adapters in
+   use, on engines that have far fewer requests than every engine that holds
+   the adapter.  Loading a copy takes a few milliseconds; a request that queues
    behind fifty others takes a second.  */
-void pu_adapters_spread (pu_adapters_t *a, guint64 now);
+void pu_adapters_replicate (pu_adapters_t *a, guint64 now);
 
 #define PU_ADAPTERS_NONE G_MAXUINT32
 
-/* pu_adapters_want - records that ITEM was requested, and returns the engine
-   that holds or is loading it.  When there is none, queues its load at the
-   dispatcher and returns that engine.  Returns PU_ADAPTERS_NONE when ITEM is
-   no adapter or no engine can take it.  */
-guint32 pu_adapters_want (pu_adapters_t *a, guint32 item, guint64 now);
+/* pu_adapters_ensure_loaded - records that ITEM was requested, and returns the
+   engine that holds or is loading it.  When there is none, queues its load at
+   the dispatcher and returns that engine.  Returns PU_ADAPTERS_NONE when ITEM
+   is no adapter or no engine can take it.  */
+guint32 pu_adapters_ensure_loaded (pu_adapters_t *a, guint32 item,
+                                   guint64 now);
 
 G_END_DECLS
 
--- a/libplantainusher/placement/fuzz_test.cc
+++ b/libplantainusher/placement/fuzz_test.cc
@@ -87,7 +87,7 @@
                              { 0, 0, PU_ORDERS_BREAK_RELEASE_ON_LOST_ANSWER },
                              kMemoryExceeded },
                        Case{ "ReleaseOnTimeout",
-                             { 0, 0, PU_ORDERS_BREAK_TIMEOUT },
+                             { 0, 0, PU_ORDERS_BREAK_RELEASE_ON_TIMEOUT },
                              kMemoryExceeded },
                        Case{ "NewLeaderDoesNotWait",
                              { 0, 0, PU_ORDERS_BREAK_NO_TAKEOVER_WAIT },
--- a/libplantainusher/placement/orders.c
+++ b/libplantainusher/placement/orders.c
@@ -60,9 +60,9 @@
   o->queue_timeout_ms = DEFAULT_QUEUE_TIMEOUT_MS;
   o->backoff_ms = DEFAULT_BACKOFF_MS;
   o->backoff_max_ms = DEFAULT_BACKOFF_MAX_MS;
-  o->per_engine = DEFAULT_PER_ENGINE;
+  o->max_orders_per_engine = DEFAULT_PER_ENGINE;
   o->loads_per_s = DEFAULT_LOADS_PER_S;
-  o->loads_at_once = DEFAULT_LOADS_AT_ONCE;
+  o->max_store_loads = DEFAULT_LOADS_AT_ONCE;
   o->test_breaks = PU_ORDERS_BREAK_NONE;
 }
 
@@ -77,7 +77,7 @@
 {
   pu_orders_order_t *r = data;
 
-  g_free ((char *)r->wish.reason);
+  g_free ((char *)r->spec.reason);
   g_free (r);
 }
 
@@ -117,10 +117,11 @@
 }
 
 void
-pu_orders_set_store (pu_orders_t *o, double loads_per_s, guint loads_at_once)
+pu_orders_set_store_limits (pu_orders_t *o, double loads_per_s,
+                            guint max_store_loads)
 {
   o->o.loads_per_s = loads_per_s;
-  o->o.loads_at_once = loads_at_once;
+  o->o.max_store_loads = max_store_loads;
 }
 
 static guint64
@@ -142,7 +143,7 @@
 }
 
 static void
-back_off (pu_orders_t *o, const pu_orders_wish_t *w, guint64 now)
+back_off (pu_orders_t *o, const pu_orders_spec_t *w, guint64 now)
 {
   guint64 key = backoff_key (w->backend, w->copy);
   backoff_t *b = g_hash_table_lookup (o->backoffs, &key);
@@ -201,13 +202,13 @@
 }
 
 static pu_orders_order_t *
-add_order (pu_orders_t *o, const pu_orders_wish_t *w, guint64 now)
+add_order (pu_orders_t *o, const pu_orders_spec_t *w, guint64 now)
 {
   pu_orders_order_t *r = g_new0 (pu_orders_order_t, 1);
 
   r->id = ++o->last_id;
-  r->wish = *w;
-  r->wish.reason = g_strdup (w->reason != NULL ? w->reason : "");
+  r->spec = *w;
+  r->spec.reason = g_strdup (w->reason != NULL ? w->reason : "");
   r->state_since = now;
   g_ptr_array_add (o->orders, r);
   return r;
@@ -217,7 +218,7 @@
 pu_orders_adopt (pu_orders_t *o, const pu_ledger_order_t *open, bool fenced,
                  guint64 now)
 {
-  pu_orders_wish_t w = { 0 };
+  pu_orders_spec_t w = { 0 };
   pu_orders_order_t *r;
 
   if (find_token (o, open->token) != NULL)
@@ -234,7 +235,7 @@
   r->state = PU_ORDERS_SENT;
   r->inherited = true;
   r->ever_sent = true;
-  r->send_until = 0;
+  r->send_deadline = 0;
   r->expires_at = o->inherited_until;
 }
 
@@ -248,14 +249,14 @@
     {
       const pu_orders_order_t *r = order_at (o, i);
 
-      if (r->inherited && r->wish.backend == backend)
+      if (r->inherited && r->spec.backend == backend)
         return false;
     }
   return true;
 }
 
 bool
-pu_orders_quiet (const pu_orders_t *o, guint64 now)
+pu_orders_loads_suspended (const pu_orders_t *o, guint64 now)
 {
   if (now >= o->inherited_until)
     return false;
@@ -263,7 +264,7 @@
     {
       const pu_orders_order_t *r = order_at (o, i);
 
-      if (r->inherited && !r->wish.fenced)
+      if (r->inherited && !r->spec.fenced)
         return true;
     }
   return false;
@@ -272,18 +273,18 @@
 /* Whether the existing order R forbids a new order W.  On an engine that
    ignores tokens, an unload that arrives late could undo a later load.  */
 static bool
-conflicts (const pu_orders_order_t *r, const pu_orders_wish_t *w)
+conflicts (const pu_orders_order_t *r, const pu_orders_spec_t *w)
 {
-  if (r->wish.backend != w->backend || r->wish.copy != w->copy)
+  if (r->spec.backend != w->backend || r->spec.copy != w->copy)
     return false;
   if (r->state <= PU_ORDERS_ACKED)
     return true;
   return !w->fenced && w->kind == PU_LEDGER_LOAD
-         && r->wish.kind == PU_LEDGER_UNLOAD;
+         && r->spec.kind == PU_LEDGER_UNLOAD;
 }
 
 guint32
-pu_orders_want (pu_orders_t *o, const pu_orders_wish_t *w, guint64 now)
+pu_orders_enqueue (pu_orders_t *o, const pu_orders_spec_t *w, guint64 now)
 {
   guint64 until;
 
@@ -302,8 +303,8 @@
 }
 
 void
-pu_orders_reserved (pu_orders_t *o, guint32 id, bool accepted, guint64 token,
-                    guint64 now)
+pu_orders_handle_reserved (pu_orders_t *o, guint32 id, bool accepted,
+                           guint64 token, guint64 now)
 {
   pu_orders_order_t *r = find_id (o, id);
 
@@ -311,7 +312,7 @@
     return;
   if (!accepted)
     {
-      back_off (o, &r->wish, now);
+      back_off (o, &r->spec, now);
       g_ptr_array_remove (o->orders, r);
       return;
     }
@@ -323,12 +324,12 @@
 fail_order (pu_orders_t *o, pu_orders_order_t *r, guint64 now)
 {
   set_state (r, PU_ORDERS_FAILED, now);
-  back_off (o, &r->wish, now);
+  back_off (o, &r->spec, now);
 }
 
 void
-pu_orders_answer (pu_orders_t *o, guint64 token, pu_orders_answer_t a,
-                  guint64 now)
+pu_orders_handle_answer (pu_orders_t *o, guint64 token, pu_orders_answer_t a,
+                         guint64 now)
 {
   pu_orders_order_t *r = find_token (o, token);
 
@@ -363,9 +364,9 @@
 apply_report (pu_orders_t *o, pu_orders_order_t *r,
               const pu_ledger_report_t *report, guint64 now)
 {
-  const pu_ledger_copy_t *h = find_held (report, r->wish.copy);
-  guint64 key = backoff_key (r->wish.backend, r->wish.copy);
-  bool load = r->wish.kind == PU_LEDGER_LOAD;
+  const pu_ledger_copy_t *h = find_held (report, r->spec.copy);
+  guint64 key = backoff_key (r->spec.backend, r->spec.copy);
+  bool load = r->spec.kind == PU_LEDGER_LOAD;
   bool done = load ? h != NULL && h->phase == PU_LEDGER_READY : h == NULL;
 
   if (r->state != PU_ORDERS_SENT && r->state != PU_ORDERS_ACKED)
@@ -408,8 +409,8 @@
 }
 
 void
-pu_orders_report (pu_orders_t *o, const pu_ledger_report_t *report,
-                  guint64 now)
+pu_orders_handle_report (pu_orders_t *o, const pu_ledger_report_t *report,
+                         guint64 now)
 {
   server_t *v = ensure_server (o, report->backend);
 
@@ -422,12 +423,12 @@
       pu_orders_order_t *r = order_at (o, i);
       const pu_ledger_copy_t *h;
 
-      if (r->wish.backend != report->backend)
+      if (r->spec.backend != report->backend)
         continue;
-      h = find_held (report, r->wish.copy);
+      h = find_held (report, r->spec.copy);
       r->copy_reported = h != NULL;
       r->copy_loading = h != NULL && h->phase == PU_LEDGER_LOADING;
-      if (r->wish.incarnation != report->incarnation)
+      if (r->spec.incarnation != report->incarnation)
         {
           stop_sending (r, now);
         }
@@ -446,13 +447,13 @@
     {
       pu_orders_order_t *r = order_at (o, i);
 
-      if (r->wish.backend == backend)
+      if (r->spec.backend == backend)
         stop_sending (r, now);
     }
 }
 
 void
-pu_orders_closed (pu_orders_t *o, guint64 token)
+pu_orders_handle_closed (pu_orders_t *o, guint64 token)
 {
   pu_orders_order_t *r = find_token (o, token);
 
@@ -500,7 +501,7 @@
     {
       const pu_orders_order_t *r = order_at (o, i);
 
-      n += r->wish.backend == backend && in_flight (r);
+      n += r->spec.backend == backend && in_flight (r);
     }
   return n;
 }
@@ -514,7 +515,7 @@
     {
       const pu_orders_order_t *r = order_at (o, i);
 
-      n += r->wish.kind == PU_LEDGER_LOAD && in_flight (r);
+      n += r->spec.kind == PU_LEDGER_LOAD && in_flight (r);
     }
   return n;
 }
@@ -535,27 +536,27 @@
 store_allows_load (pu_orders_t *o)
 {
   return o->load_credit >= 1.0
-         && count_loads_in_flight (o) < o->o.loads_at_once;
+         && count_loads_in_flight (o) < o->o.max_store_loads;
 }
 
 static void
 propose_order (pu_orders_t *o, pu_orders_order_t *r, guint64 now,
                GArray *actions)
 {
-  bool load = r->wish.kind == PU_LEDGER_LOAD;
+  bool load = r->spec.kind == PU_LEDGER_LOAD;
 
-  if (count_in_flight (o, r->wish.backend) >= o->o.per_engine)
+  if (count_in_flight (o, r->spec.backend) >= o->o.max_orders_per_engine)
     return;
   if (load && !store_allows_load (o))
     return;
   o->load_credit -= load;
   r->proposed_at = now;
-  r->send_until = now + o->o.send_ms;
+  r->send_deadline = now + o->o.send_ms;
   r->expires_at = now + pu_orders_life_ms (&o->o);
   set_state (r, PU_ORDERS_PROPOSED, now);
-  add_action (actions, PU_ORDERS_DO_RESERVE, r);
+  add_action (actions, PU_ORDERS_ACTION_RESERVE, r);
   if (break_enabled (o, PU_ORDERS_BREAK_SEND_UNRESERVED))
-    add_action (actions, PU_ORDERS_DO_SEND, r);
+    add_action (actions, PU_ORDERS_ACTION_SEND, r);
 }
 
 /* Whether R must wait for the acknowledgement of an order with an earlier
@@ -564,13 +565,13 @@
 must_wait_for_ack (const pu_orders_t *o, const pu_orders_order_t *r,
                    guint64 now)
 {
-  for (guint i = 0; r->wish.fenced && i < o->orders->len; i++)
+  for (guint i = 0; r->spec.fenced && i < o->orders->len; i++)
     {
       const pu_orders_order_t *q = order_at (o, i);
       bool waits = q->state == PU_ORDERS_RESERVED
                    || (q->state == PU_ORDERS_SENT && !q->inherited);
 
-      if (q->wish.backend != r->wish.backend || q->token >= r->token)
+      if (q->spec.backend != r->spec.backend || q->token >= r->token)
         continue;
       if (waits && now < q->proposed_at + ACK_WAIT_RETRIES * o->o.retry_ms)
         return true;
@@ -581,7 +582,7 @@
 static void
 send_order (pu_orders_t *o, pu_orders_order_t *r, guint64 now, GArray *actions)
 {
-  if (r->inherited || now >= r->send_until)
+  if (r->inherited || now >= r->send_deadline)
     return;
   if (r->ever_sent && now < r->last_sent_at + o->o.retry_ms)
     return;
@@ -592,22 +593,22 @@
   r->tries++;
   if (r->state == PU_ORDERS_RESERVED)
     set_state (r, PU_ORDERS_SENT, now);
-  add_action (actions, PU_ORDERS_DO_SEND, r);
+  add_action (actions, PU_ORDERS_ACTION_SEND, r);
 }
 
 static bool
 checks_tokens (const pu_orders_t *o, const pu_orders_order_t *r)
 {
-  const server_t *v = find_server (o, r->wish.backend);
+  const server_t *v = find_server (o, r->spec.backend);
 
-  return v != NULL ? v->fenced : r->wish.fenced;
+  return v != NULL ? v->fenced : r->spec.fenced;
 }
 
 /* Whether the engine has reported a later token.  */
 static bool
 fenced_off (const pu_orders_t *o, const pu_orders_order_t *r)
 {
-  const server_t *v = find_server (o, r->wish.backend);
+  const server_t *v = find_server (o, r->spec.backend);
 
   return v != NULL && v->fenced && !v->down && r->token != 0
          && r->token < v->token;
@@ -619,12 +620,12 @@
 acked_but_absent (const pu_orders_t *o, const pu_orders_order_t *r,
                   guint64 now)
 {
-  const server_t *v = find_server (o, r->wish.backend);
+  const server_t *v = find_server (o, r->spec.backend);
 
-  if (r->wish.kind != PU_LEDGER_LOAD || r->state != PU_ORDERS_ACKED
+  if (r->spec.kind != PU_LEDGER_LOAD || r->state != PU_ORDERS_ACKED
       || r->copy_reported)
     return false;
-  if (v == NULL || v->down || v->incarnation != r->wish.incarnation)
+  if (v == NULL || v->down || v->incarnation != r->spec.incarnation)
     return false;
   return v->token >= r->token || now >= r->state_since + o->o.report_ms;
 }
@@ -634,7 +635,7 @@
 static bool
 has_failed (const pu_orders_t *o, const pu_orders_order_t *r, guint64 now)
 {
-  guint64 limit = r->wish.kind == PU_LEDGER_LOAD ? o->o.load_timeout_ms
+  guint64 limit = r->spec.kind == PU_LEDGER_LOAD ? o->o.load_timeout_ms
                                                  : o->o.unload_timeout_ms;
 
   if (in_flight (r) && fenced_off (o, r) && !r->copy_reported)
@@ -664,7 +665,7 @@
   if (has_failed (o, r, now))
     {
       fail_order (o, r, now);
-      add_action (actions, PU_ORDERS_DO_FAIL, r);
+      add_action (actions, PU_ORDERS_ACTION_FAIL, r);
       return;
     }
   if (r->state == PU_ORDERS_QUEUED)
@@ -681,7 +682,7 @@
 static bool
 may_release (const pu_orders_t *o, const pu_orders_order_t *r)
 {
-  if (r->wish.kind == PU_LEDGER_UNLOAD)
+  if (r->spec.kind == PU_LEDGER_UNLOAD)
     return !r->ever_sent || !checks_tokens (o, r) || !r->copy_reported;
   return !r->copy_loading && (!checks_tokens (o, r) || fenced_off (o, r));
 }
@@ -693,7 +694,7 @@
 {
   if (r->state != PU_ORDERS_SENT || r->inherited)
     return false;
-  if (break_enabled (o, PU_ORDERS_BREAK_TIMEOUT))
+  if (break_enabled (o, PU_ORDERS_BREAK_RELEASE_ON_TIMEOUT))
     return now >= r->proposed_at + o->o.retry_ms;
   return r->answer_lost
          && break_enabled (o, PU_ORDERS_BREAK_RELEASE_ON_LOST_ANSWER);
@@ -710,7 +711,7 @@
   if (!over && !break_releases (o, r, now))
     return;
   r->next_release_at = now + RELEASE_RETRY_MS;
-  add_action (actions, PU_ORDERS_DO_RELEASE, r);
+  add_action (actions, PU_ORDERS_ACTION_RELEASE, r);
 }
 
 /* Requests a later token where a delayed or duplicate delivery of R could
@@ -719,8 +720,8 @@
 static void
 fence_order (pu_orders_t *o, const pu_orders_order_t *r, GArray *actions)
 {
-  const server_t *v = find_server (o, r->wish.backend);
-  bool load = r->wish.kind == PU_LEDGER_LOAD;
+  const server_t *v = find_server (o, r->spec.backend);
+  bool load = r->spec.kind == PU_LEDGER_LOAD;
   bool over
       = r->state == PU_ORDERS_FAILED || (r->state == PU_ORDERS_DONE && load);
 
@@ -729,8 +730,8 @@
   if (v == NULL || v->down || !v->fenced)
     return;
   if (r->next_release_at != G_MAXUINT64
-      && count_in_flight (o, r->wish.backend) == 0)
-    add_action (actions, PU_ORDERS_DO_FENCE, r);
+      && count_in_flight (o, r->spec.backend) == 0)
+    add_action (actions, PU_ORDERS_ACTION_FENCE, r);
 }
 
 static bool
--- a/libplantainusher/placement/orders.h
+++ b/libplantainusher/placement/orders.h
@@ -71,11 +71,11 @@
 /* The engine's answer to an order, by HTTP status.  */
 typedef enum
 {
-  PU_ORDERS_ACCEPTED,  /* 202 */
-  PU_ORDERS_OLD_TOKEN, /* 409 */
-  PU_ORDERS_NO_MEMORY, /* 507 */
-  PU_ORDERS_REFUSED,   /* any other error */
-  PU_ORDERS_LOST       /* no answer: the order may have arrived or not */
+  PU_ORDERS_ACCEPTED,    /* 202 */
+  PU_ORDERS_STALE_TOKEN, /* 409 */
+  PU_ORDERS_NO_MEMORY,   /* 507 */
+  PU_ORDERS_REFUSED,     /* any other error */
+  PU_ORDERS_LOST         /* no answer: the order may have arrived or not */
 } pu_orders_answer_t;
 
 /* What an order asks of an engine.  */
@@ -88,14 +88,14 @@
   guint32 copy;
   guint32 memory_mb; /* on each accelerator */
   const char *reason;
-} pu_orders_wish_t;
+} pu_orders_spec_t;
 
 /* An order.  Times are monotonic milliseconds.  */
 typedef struct
 {
   guint32 id; /* unique within the pu_orders_t; never 0 */
   pu_orders_state_t state;
-  pu_orders_wish_t wish; /* its reason is owned by the order */
+  pu_orders_spec_t spec; /* its reason is owned by the order */
   guint64 token;         /* 0 until the order is reserved */
   bool inherited;        /* from the previous leader */
   bool ever_sent;
@@ -105,7 +105,7 @@
   guint32 tries;
   guint64 proposed_at;
   guint64 last_sent_at;
-  guint64 send_until;      /* not sent from then on */
+  guint64 send_deadline;   /* not sent from then on */
   guint64 expires_at;      /* cannot take effect after this */
   guint64 state_since;     /* last change of state */
   guint64 next_release_at; /* when RELEASE may be proposed again; G_MAXUINT64
@@ -114,11 +114,13 @@
 
 typedef enum
 {
-  PU_ORDERS_DO_RESERVE, /* propose RESERVE; answer by pu_orders_reserved */
-  PU_ORDERS_DO_SEND,    /* send to the engine; answer by pu_orders_answer */
-  PU_ORDERS_DO_RELEASE, /* propose RELEASE: the lifetime is over */
-  PU_ORDERS_DO_FENCE,   /* queue another order for the same copy */
-  PU_ORDERS_DO_FAIL     /* the order failed; for information only */
+  PU_ORDERS_ACTION_RESERVE, /* propose RESERVE; answer by
+                               pu_orders_handle_reserved */
+  PU_ORDERS_ACTION_SEND,    /* send to the engine; answer by
+                               pu_orders_handle_answer */
+  PU_ORDERS_ACTION_RELEASE, /* propose RELEASE: the lifetime is over */
+  PU_ORDERS_ACTION_FENCE,   /* queue another order for the same copy */
+  PU_ORDERS_ACTION_FAIL     /* the order failed; for information only */
 } pu_orders_action_kind_t;
 
 typedef struct
@@ -132,7 +134,8 @@
 {
   PU_ORDERS_BREAK_NONE = 0,
   PU_ORDERS_BREAK_RELEASE_ON_LOST_ANSWER = 1, /* release on a lost answer */
-  PU_ORDERS_BREAK_TIMEOUT = 2, /* release on a timeout without proof */
+  PU_ORDERS_BREAK_RELEASE_ON_TIMEOUT
+  = 2, /* release on a timeout without proof */
   PU_ORDERS_BREAK_NO_TAKEOVER_WAIT = 4, /* a new leader does not wait */
   PU_ORDERS_BREAK_SEND_UNRESERVED = 8   /* sent before it is reserved */
 } pu_orders_break_t;
@@ -151,11 +154,11 @@
   guint64 queue_timeout_ms;  /* queued but not proposed, then dropped */
   guint64 backoff_ms;        /* after the first failure; doubles with each */
   guint64 backoff_max_ms;
-  guint per_engine;    /* orders in flight to one engine */
-  double loads_per_s;  /* rate limit of the weights store */
-  guint loads_at_once; /* concurrent loads that the store serves at full
+  guint max_orders_per_engine; /* orders in flight to one engine */
+  double loads_per_s;          /* rate limit of the weights store */
+  guint max_store_loads; /* concurrent loads that the store serves at full
                           speed */
-  guint test_breaks;   /* pu_orders_break_t; 0 outside tests */
+  guint test_breaks;     /* pu_orders_break_t; 0 outside tests */
 } pu_orders_options_t;
 
 void pu_orders_options_init (pu_orders_options_t *o);
@@ -168,9 +171,9 @@
 pu_orders_t *pu_orders_new (const pu_orders_options_t *o, guint64 now);
 void pu_orders_free (pu_orders_t *o);
 
-/* pu_orders_set_store - replaces the limits of the weights store.  */
-void pu_orders_set_store (pu_orders_t *o, double loads_per_s,
-                          guint loads_at_once);
+/* pu_orders_set_store_limits - replaces the limits of the weights store.  */
+void pu_orders_set_store_limits (pu_orders_t *o, double loads_per_s,
+                                 guint max_store_loads);
 
 /* pu_orders_adopt - takes over an order that the replicated state has as
    open.  FENCED: its engine checks tokens.  */
@@ -183,39 +186,39 @@
 bool pu_orders_may_load (const pu_orders_t *o, guint32 backend, bool fenced,
                          guint64 now);
 
-/* pu_orders_quiet - whether any backend server takes no loads because of an
-   order of the previous leader.  */
-bool pu_orders_quiet (const pu_orders_t *o, guint64 now);
+/* pu_orders_loads_suspended - whether any backend server takes no loads
+   because of an order of the previous leader.  */
+bool pu_orders_loads_suspended (const pu_orders_t *o, guint64 now);
 
-/* pu_orders_want - queues an order.  Returns its id, or 0 when it is refused:
-   it conflicts with another order for the same copy on the same backend
-   server, the back-off after failures of that copy there is not over, or
-   pu_orders_may_load forbids the load.  */
-guint32 pu_orders_want (pu_orders_t *o, const pu_orders_wish_t *w,
-                        guint64 now);
+/* pu_orders_enqueue - queues an order.  Returns its id, or 0 when it is
+   refused: it conflicts with another order for the same copy on the same
+   backend server, the back-off after failures of that copy there is not over,
+   or pu_orders_may_load forbids the load.  */
+guint32 pu_orders_enqueue (pu_orders_t *o, const pu_orders_spec_t *w,
+                           guint64 now);
 
-/* pu_orders_reserved - handles the result of RESERVE for the order ID: applied
-   with TOKEN, or refused (ACCEPTED false).  */
-void pu_orders_reserved (pu_orders_t *o, guint32 id, bool accepted,
-                         guint64 token, guint64 now);
+/* pu_orders_handle_reserved - handles the result of RESERVE for the order ID:
+   applied with TOKEN, or refused (ACCEPTED false).  */
+void pu_orders_handle_reserved (pu_orders_t *o, guint32 id, bool accepted,
+                                guint64 token, guint64 now);
 
-/* pu_orders_answer - handles the engine's answer to the order TOKEN.  An
+/* pu_orders_handle_answer - handles the engine's answer to the order TOKEN. An
    answer for an unknown order and a duplicate answer are ignored.  */
-void pu_orders_answer (pu_orders_t *o, guint64 token, pu_orders_answer_t a,
-                       guint64 now);
+void pu_orders_handle_answer (pu_orders_t *o, guint64 token,
+                              pu_orders_answer_t a, guint64 now);
 
-/* pu_orders_report - handles a report of a backend server, after the ledger
-   has applied it.  */
-void pu_orders_report (pu_orders_t *o, const pu_ledger_report_t *r,
-                       guint64 now);
+/* pu_orders_handle_report - handles a report of a backend server, after the
+   ledger has applied it.  */
+void pu_orders_handle_report (pu_orders_t *o, const pu_ledger_report_t *r,
+                              guint64 now);
 
 /* pu_orders_backend_down - handles the loss of BACKEND's lease: nothing more
    is sent to it.  */
 void pu_orders_backend_down (pu_orders_t *o, guint32 backend, guint64 now);
 
-/* pu_orders_closed - handles that the ledger no longer counts the order
+/* pu_orders_handle_closed - handles that the ledger no longer counts the order
    TOKEN.  */
-void pu_orders_closed (pu_orders_t *o, guint64 token);
+void pu_orders_handle_closed (pu_orders_t *o, guint64 token);
 
 /* pu_orders_cancel - stops sending the order ID.  */
 void pu_orders_cancel (pu_orders_t *o, guint32 id, guint64 now);
--- a/libplantainusher/placement/placement.h
+++ b/libplantainusher/placement/placement.h
@@ -14,19 +14,17 @@
  * placement - runs the leader's planner and its orders together.
  *
  * Create one at each take-over, when the log is applied up to the new term:
- *   pu_placement_new; pu_placement_name_copy for each pair of model and
+ *   pu_placement_new; pu_placement_map_copy for each pair of model and
  *   version; pu_planner_set_item for each declared item;
- *   pu_placement_backend for each backend record; pu_placement_adopt for each
- *   open order.
- * Then, as log entries are applied:
- *   BACKEND_UP     pu_placement_closed for each order that it closed, then
- *                  pu_placement_backend with the ledger's state
- *   BACKEND_DOWN   pu_placement_backend with DOWN set
- *   RESERVE        pu_placement_reserved, for this leader's own proposals
- *   RELEASE done   pu_placement_closed
- * Call pu_placement_step once a second and after a loss, and carry out the
- * actions that it returns.  The handle of a backend server is also its engine
- * handle in the planner.
+ *   pu_placement_update_backend for each backend record; pu_placement_adopt
+ * for each open order. Then, as log entries are applied: BACKEND_UP
+ * pu_placement_handle_closed for each order that it closed, then
+ *                  pu_placement_update_backend with the ledger's state
+ *   BACKEND_DOWN   pu_placement_update_backend with DOWN set
+ *   RESERVE        pu_placement_handle_reserved, for this leader's own
+ * proposals RELEASE done   pu_placement_handle_closed Call pu_placement_step
+ * once a second and after a loss, and carry out the actions that it returns.
+ * The handle of a backend server is also its engine handle in the planner.
  */
 
 typedef struct pu_placement pu_placement_t;
@@ -53,31 +51,33 @@
 pu_planner_t *pu_placement_planner (pu_placement_t *pl);
 pu_orders_t *pu_placement_orders (pu_placement_t *pl);
 
-/* pu_placement_name_copy - maps the ledger's handle COPY to VERSION of ITEM.
+/* pu_placement_map_copy - maps the ledger's handle COPY to VERSION of ITEM.
    A copy without a mapping counts as memory only.  */
-void pu_placement_name_copy (pu_placement_t *pl, guint32 copy, guint32 item,
-                             guint32 version);
+void pu_placement_map_copy (pu_placement_t *pl, guint32 copy, guint32 item,
+                            guint32 version);
 
-/* pu_placement_backend - replaces the state of a backend server: R, the
+/* pu_placement_update_backend - replaces the state of a backend server: R, the
    ledger's state of it; ZONE, its availability zone; STREAMS, the number of
    concurrent requests that it runs at full speed.  */
-void pu_placement_backend (pu_placement_t *pl, const pu_ledger_report_t *r,
-                           bool down, guint32 zone, double streams,
-                           guint64 now);
+void pu_placement_update_backend (pu_placement_t *pl,
+                                  const pu_ledger_report_t *r, bool down,
+                                  guint32 zone, double streams, guint64 now);
 
 /* pu_placement_adopt - takes over an order that the replicated state has as
    open.  */
 void pu_placement_adopt (pu_placement_t *pl, const pu_ledger_order_t *open,
                          guint64 now);
 
-/* pu_placement_reserved, pu_placement_answer, pu_placement_closed - see
-   pu_orders_reserved, pu_orders_answer and pu_orders_closed.  The planner's
-   state of the engine is updated too.  */
-void pu_placement_reserved (pu_placement_t *pl, guint32 id, bool accepted,
-                            guint64 token, guint64 now);
-void pu_placement_answer (pu_placement_t *pl, guint64 token,
-                          pu_orders_answer_t a, guint64 now);
-void pu_placement_closed (pu_placement_t *pl, guint64 token, guint64 now);
+/* pu_placement_handle_reserved, pu_placement_handle_answer,
+   pu_placement_handle_closed - see pu_orders_handle_reserved,
+   pu_orders_handle_answer and pu_orders_handle_closed.  The planner's state of
+   the engine is updated too.  */
+void pu_placement_handle_reserved (pu_placement_t *pl, guint32 id,
+                                   bool accepted, guint64 token, guint64 now);
+void pu_placement_handle_answer (pu_placement_t *pl, guint64 token,
+                                 pu_orders_answer_t a, guint64 now);
+void pu_placement_handle_closed (pu_placement_t *pl, guint64 token,
+                                 guint64 now);
 
 /* pu_placement_step - plans, and appends the actions that are due
    (pu_orders_action_t) to ACTIONS: propose RESERVE, send, propose RELEASE.
--- a/libplantainusher/placement/simulation_test.cc
+++ b/libplantainusher/placement/simulation_test.cc
@@ -113,7 +113,8 @@
   bool down;
 
   if (pu_ledger_get_backend (ledger, engine, &r, &down))
-    pu_placement_backend (leader.get (), &r, down, engine % 2, 4.0, now);
+    pu_placement_update_backend (leader.get (), &r, down, engine % 2, 4.0,
+                                 now);
 }
 
 /* Replaces the leader.  The previous one may send until its lease ends.  */
@@ -129,7 +130,7 @@
   for (guint32 i = 0; i < kItems; i++)
     {
       for (guint32 v = 0; v < kVersions; v++)
-        pu_placement_name_copy (leader.get (), Copy (i, v), i, v);
+        pu_placement_map_copy (leader.get (), Copy (i, v), i, v);
       Declare (i);
     }
   for (guint32 i = 0; i < kEngines; i++)
@@ -239,7 +240,7 @@
       guint64 token = g_array_index (closed, guint64, i);
 
       Trace ("closed %lu", (unsigned long)token);
-      pu_placement_closed (leader.get (), token, now);
+      pu_placement_handle_closed (leader.get (), token, now);
     }
   UpdateLeader (engine);
   g_array_unref (closed);
@@ -266,18 +267,18 @@
 pu_orders_answer_t
 Simulation::Deliver (const pu_orders_order_t &o)
 {
-  Engine &e = engines[o.wish.backend];
-  auto h = e.held.find (o.wish.copy);
+  Engine &e = engines[o.spec.backend];
+  auto h = e.held.find (o.spec.copy);
 
   if (!e.alive)
     return PU_ORDERS_LOST;
   Trace ("delivered %lu %s copy %u at engine %u (token %lu)",
-         (unsigned long)o.token, o.wish.kind == 0 ? "load" : "unload",
-         o.wish.copy, o.wish.backend, (unsigned long)e.token);
+         (unsigned long)o.token, o.spec.kind == 0 ? "load" : "unload",
+         o.spec.copy, o.spec.backend, (unsigned long)e.token);
   if (e.fenced && o.token < e.token)
-    return PU_ORDERS_OLD_TOKEN;
+    return PU_ORDERS_STALE_TOKEN;
   e.token = std::max (e.token, o.token);
-  if (o.wish.kind == PU_LEDGER_UNLOAD)
+  if (o.spec.kind == PU_LEDGER_UNLOAD)
     {
       if (h != e.held.end ())
         h->second = { h->second.memory_mb, PU_LEDGER_DRAINING,
@@ -289,32 +290,32 @@
                                                  : PU_ORDERS_ACCEPTED;
   /* The engine does not check its free memory: the ledger alone must keep
      the memory from being exceeded.  */
-  e.held[o.wish.copy]
-      = { o.wish.memory_mb, PU_LEDGER_LOADING, now + 1000 + Random (3000) };
+  e.held[o.spec.copy]
+      = { o.spec.memory_mb, PU_LEDGER_LOADING, now + 1000 + Random (3000) };
   return PU_ORDERS_ACCEPTED;
 }
 
 void
 Simulation::Send (const Leader &who, const pu_orders_order_t &o)
 {
-  guint64 incarnation = engines[o.wish.backend].incarnation;
+  guint64 incarnation = engines[o.spec.backend].incarnation;
   unsigned deliveries = Chance (15) ? 0 : Chance (15) ? 2 : 1;
   auto answered = std::make_shared<bool> (false);
 
   faults += deliveries != 1;
   if (deliveries == 0)
     Schedule (500, [=] {
-      pu_placement_answer (who.get (), o.token, PU_ORDERS_LOST, now);
+      pu_placement_handle_answer (who.get (), o.token, PU_ORDERS_LOST, now);
     });
   for (unsigned i = 0; i < deliveries; i++)
     {
       /* An order that has reached a process that checks tokens may wait there
          for any time, and is lost when the process ends.  */
-      bool delayed = o.wish.fenced && Random (10) == 0;
+      bool delayed = o.spec.fenced && Random (10) == 0;
 
       Schedule (settling ? 10 : Random (delayed ? 60000 : kMaxTransitMs), [=] {
         bool process_ended
-            = delayed && incarnation != engines[o.wish.backend].incarnation;
+            = delayed && incarnation != engines[o.spec.backend].incarnation;
         pu_orders_answer_t a = process_ended ? PU_ORDERS_LOST : Deliver (o);
 
         if (Chance (20))
@@ -323,7 +324,7 @@
             a = PU_ORDERS_LOST;
           }
         if (!*answered)
-          pu_placement_answer (who.get (), o.token, a, now);
+          pu_placement_handle_answer (who.get (), o.token, a, now);
         *answered = true;
       });
     }
@@ -336,33 +337,34 @@
 
   Trace ("%s: %s %lu %s copy %u engine %u: %s",
          who == leader ? "leader" : "deposed leader",
-         a.what == PU_ORDERS_DO_RESERVE   ? "reserve"
-         : a.what == PU_ORDERS_DO_SEND    ? "send"
-         : a.what == PU_ORDERS_DO_RELEASE ? "release"
-                                          : "fail",
-         (unsigned long)o.token, o.wish.kind == 0 ? "load" : "unload",
-         o.wish.copy, o.wish.backend, o.wish.reason);
-  if (a.what == PU_ORDERS_DO_SEND)
+         a.what == PU_ORDERS_ACTION_RESERVE   ? "reserve"
+         : a.what == PU_ORDERS_ACTION_SEND    ? "send"
+         : a.what == PU_ORDERS_ACTION_RELEASE ? "release"
+                                              : "fail",
+         (unsigned long)o.token, o.spec.kind == 0 ? "load" : "unload",
+         o.spec.copy, o.spec.backend, o.spec.reason);
+  if (a.what == PU_ORDERS_ACTION_SEND)
     {
-      loads += o.wish.kind == PU_LEDGER_LOAD;
-      unloads += o.wish.kind == PU_LEDGER_UNLOAD;
-      if (o.wish.kind == PU_LEDGER_UNLOAD && who == leader && o.tries == 1)
+      loads += o.spec.kind == PU_LEDGER_LOAD;
+      unloads += o.spec.kind == PU_LEDGER_UNLOAD;
+      if (o.spec.kind == PU_LEDGER_UNLOAD && who == leader && o.tries == 1)
         CheckUnload (o);
       Send (who, o);
     }
   if (who != leader)
     return; /* a deposed leader cannot reach a quorum */
-  if (a.what == PU_ORDERS_DO_RESERVE)
+  if (a.what == PU_ORDERS_ACTION_RESERVE)
     {
       pu_ledger_order_t l
-          = { ++log_position,     o.wish.kind, o.wish.backend,
-              o.wish.incarnation, o.wish.copy, o.wish.memory_mb };
+          = { ++log_position,     o.spec.kind, o.spec.backend,
+              o.spec.incarnation, o.spec.copy, o.spec.memory_mb };
       bool accepted = pu_ledger_reserve (ledger, &l, nullptr);
 
-      pu_placement_reserved (who.get (), o.id, accepted, l.token, now);
+      pu_placement_handle_reserved (who.get (), o.id, accepted, l.token, now);
     }
-  if (a.what == PU_ORDERS_DO_RELEASE && pu_ledger_release (ledger, o.token))
-    pu_placement_closed (who.get (), o.token, now);
+  if (a.what == PU_ORDERS_ACTION_RELEASE
+      && pu_ledger_release (ledger, o.token))
+    pu_placement_handle_closed (who.get (), o.token, now);
 }
 
 void
@@ -481,7 +483,7 @@
 void
 Simulation::CheckUnload (const pu_orders_order_t &o)
 {
-  guint32 item = o.wish.copy / kVersions;
+  guint32 item = o.spec.copy / kVersions;
   unsigned others = 0;
   bool here = false;
 
@@ -497,7 +499,7 @@
           bool ready = r.held[k].copy / kVersions == item
                        && r.held[k].phase == PU_LEDGER_READY;
 
-          if (i == o.wish.backend && r.held[k].copy == o.wish.copy)
+          if (i == o.spec.backend && r.held[k].copy == o.spec.copy)
             here = ready;
           else
             others += ready;
@@ -519,8 +521,8 @@
   for (guint i = 0; i < pu_orders_count (o); i++)
     {
       const pu_orders_order_t *r = pu_orders_get (o, i);
-      if (r->wish.kind == PU_LEDGER_LOAD && r->state <= PU_ORDERS_ACKED)
-        in_flight.insert ({ r->wish.backend, r->wish.copy });
+      if (r->spec.kind == PU_LEDGER_LOAD && r->state <= PU_ORDERS_ACKED)
+        in_flight.insert ({ r->spec.backend, r->spec.copy });
     }
   for (guint32 i = 0; i < kEngines; i++)
     {
--- a/libplantainusher/placer/follow.c
+++ b/libplantainusher/placer/follow.c
@@ -27,7 +27,7 @@
       c.item = pu_names_get (&f->items, model);
       c.version = pu_names_get (&f->versions, version);
       g_array_append_val (f->copy_items, c);
-      pu_placement_name_copy (f->placement, handle, c.item, c.version);
+      pu_placement_map_copy (f->placement, handle, c.item, c.version);
     }
   return handle;
 }
@@ -173,7 +173,7 @@
   o->planner.watch_s = v->watch_s;
   o->planner.max_failures = v->max_failures;
   o->orders.loads_per_s = s->store_loads_per_s;
-  o->orders.loads_at_once = s->store_full_speed;
+  o->orders.max_store_loads = s->store_full_speed;
 }
 
 /* Makes the settings of the document in force those of the placement.  */
@@ -183,9 +183,9 @@
   pu_follow_options (f->document, &f->options);
   pu_planner_set_options (pu_placement_planner (f->placement),
                           &f->options.planner);
-  pu_orders_set_store (pu_placement_orders (f->placement),
-                       f->options.orders.loads_per_s,
-                       f->options.orders.loads_at_once);
+  pu_orders_set_store_limits (pu_placement_orders (f->placement),
+                              f->options.orders.loads_per_s,
+                              f->options.orders.max_store_loads);
 }
 
 static bool
@@ -291,8 +291,8 @@
   pu_ledger_report_t r = report_of (f, handle, b);
   bool down = b->down || b->kind != PU_BACKEND_ENGINE;
 
-  pu_placement_backend (f->placement, &r, down, zone_of (f, b),
-                        f->streams * MAX (b->accelerators, 1), now);
+  pu_placement_update_backend (f->placement, &r, down, zone_of (f, b),
+                               f->streams * MAX (b->accelerators, 1), now);
 }
 
 static pu_followed_backend_t *
@@ -372,7 +372,7 @@
     {
       if (GPOINTER_TO_UINT (stamp) == f->stamp)
         continue;
-      pu_placement_closed (f->placement, *(guint64 *)key, now);
+      pu_placement_handle_closed (f->placement, *(guint64 *)key, now);
       g_hash_table_iter_remove (&i);
     }
 }
