--- a/libplantainusher/entry/piece.c
+++ b/libplantainusher/entry/piece.c
@@ -5,15 +5,15 @@
 
 struct pu_piece_reader
 {
-  json_t *root;    /* the last event that was parsed; PIECE points into it */
-  GString *before; /* what stands before the text, with its quote */
-  GString *after;  /* what stands after it, with its quote */
-  GString *text;   /* of an event that was not parsed */
-  GString *frame_text; /* of the event that was learnt from */
-  pu_piece_t frame; /* all but the text, of the event that was learnt from */
-  bool learnt;
-  bool proved; /* another text in the frame was read as by parsing */
-  guint parsed;
+  json_t *root;    /* the last parsed chunk; the result points into it */
+  GString *prefix; /* bytes before the text, with the opening quote */
+  GString *suffix; /* bytes after the text, with the closing quote */
+  GString *text;   /* of a chunk that was not parsed */
+  GString *template_text;    /* of the chunk that the template was made of */
+  pu_piece_t template_piece; /* all but the text, of the same chunk */
+  bool has_template;
+  bool verified; /* for another text, parsing gave the same result */
+  guint parsed_count;
 };
 
 pu_piece_reader_t *
@@ -21,10 +21,10 @@
 {
   pu_piece_reader_t *r = g_new0 (pu_piece_reader_t, 1);
 
-  r->before = g_string_new (NULL);
-  r->after = g_string_new (NULL);
+  r->prefix = g_string_new (NULL);
+  r->suffix = g_string_new (NULL);
   r->text = g_string_new (NULL);
-  r->frame_text = g_string_new (NULL);
+  r->template_text = g_string_new (NULL);
   return r;
 }
 
@@ -34,22 +34,22 @@
   if (r == NULL)
     return;
   json_decref (r->root);
-  g_string_free (r->before, TRUE);
-  g_string_free (r->after, TRUE);
+  g_string_free (r->prefix, TRUE);
+  g_string_free (r->suffix, TRUE);
   g_string_free (r->text, TRUE);
-  g_string_free (r->frame_text, TRUE);
+  g_string_free (r->template_text, TRUE);
   g_free (r);
 }
 
 guint
 pu_piece_reader_parsed (const pu_piece_reader_t *r)
 {
-  return r->parsed;
+  return r->parsed_count;
 }
 
-/* Whether the string S stands in JSON as it is.  */
+/* Whether the string S needs no escapes in JSON.  */
 static bool
-is_plain (const char *s, gsize len)
+needs_no_escapes (const char *s, gsize len)
 {
   for (gsize i = 0; i < len; i++)
     {
@@ -59,11 +59,13 @@
   return g_utf8_validate_len (s, len, NULL);
 }
 
-/* --- the frame --- */
+/* --- template --- */
 
-/* The only place in DATA where TEXT stands in quotes, or NULL.  */
+/* Finds the only place in DATA where TEXT stands in quotes, or NULL when there
+   is none or several.  */
 static const char *
-only_place (const char *data, gsize len, const char *text, gsize text_len)
+find_unique_quoted (const char *data, gsize len, const char *text,
+                    gsize text_len)
 {
   const char *found = NULL;
   const char *p = data;
@@ -82,58 +84,64 @@
   return found;
 }
 
+/* Whether PREFIX ends with the key of a member that holds the text.  */
 static bool
-ends_in_member (const GString *before)
+ends_with_text_key (const GString *prefix)
 {
   static const char *const ends[]
       = { "\"content\":\"", "\"content\": \"", "\"text\":\"", "\"text\": \"" };
 
   for (gsize i = 0; i < G_N_ELEMENTS (ends); i++)
     {
-      if (g_str_has_suffix (before->str, ends[i]))
+      if (g_str_has_suffix (prefix->str, ends[i]))
         return true;
     }
   return false;
 }
 
+/* Makes a template of a parsed chunk whose text stands in it once, without
+   escapes.  */
 static void
-frame_learn (pu_piece_reader_t *r, const char *data, gsize len,
-             const pu_piece_t *piece)
+template_make (pu_piece_reader_t *r, const char *data, gsize len,
+               const pu_piece_t *piece)
 {
   gsize n = strlen (piece->text);
   const char *place;
 
-  r->learnt = false;
-  r->proved = false;
-  if (n == 0 || !is_plain (piece->text, n) || memchr (data, 0, len) != NULL)
+  r->has_template = false;
+  r->verified = false;
+  if (n == 0 || !needs_no_escapes (piece->text, n)
+      || memchr (data, 0, len) != NULL)
     return;
-  place = only_place (data, len, piece->text, n);
+  place = find_unique_quoted (data, len, piece->text, n);
   if (place == NULL)
     return;
-  g_string_truncate (r->before, 0);
-  g_string_append_len (r->before, data, place - data);
-  g_string_truncate (r->after, 0);
-  g_string_append_len (r->after, place + n, data + len - place - (gssize)n);
-  g_string_assign (r->frame_text, piece->text);
-  r->frame = *piece;
-  r->learnt = ends_in_member (r->before);
+  g_string_truncate (r->prefix, 0);
+  g_string_append_len (r->prefix, data, place - data);
+  g_string_truncate (r->suffix, 0);
+  g_string_append_len (r->suffix, place + n, data + len - place - (gssize)n);
+  g_string_assign (r->template_text, piece->text);
+  r->template_piece = *piece;
+  r->has_template = ends_with_text_key (r->prefix);
 }
 
+/* Reads a chunk that matches the template, without parsing.  */
 static bool
-frame_fits (pu_piece_reader_t *r, const char *data, gsize len,
-            pu_piece_t *piece)
+template_match (pu_piece_reader_t *r, const char *data, gsize len,
+                pu_piece_t *piece)
 {
-  gsize frame = r->before->len + r->after->len;
-  const char *text = data + r->before->len;
-
-  if (!r->learnt || len < frame
-      || memcmp (data, r->before->str, r->before->len) != 0
-      || memcmp (data + len - r->after->len, r->after->str, r->after->len) != 0
-      || !is_plain (text, len - frame))
+  gsize fixed = r->prefix->len + r->suffix->len;
+  const char *text = data + r->prefix->len;
+
+  if (!r->has_template || len < fixed
+      || memcmp (data, r->prefix->str, r->prefix->len) != 0
+      || memcmp (data + len - r->suffix->len, r->suffix->str, r->suffix->len)
+             != 0
+      || !needs_no_escapes (text, len - fixed))
     return false;
   g_string_truncate (r->text, 0);
-  g_string_append_len (r->text, text, (gssize)(len - frame));
-  *piece = r->frame;
+  g_string_append_len (r->text, text, (gssize)(len - fixed));
+  *piece = r->template_piece;
   piece->text = r->text->str;
   return true;
 }
@@ -141,7 +149,7 @@
 /* --- parsing --- */
 
 static const char *
-text_of (const json_t *choice)
+choice_text (const json_t *choice)
 {
   const json_t *delta = json_object_get (choice, "delta");
   const json_t *text = delta != NULL ? json_object_get (delta, "content")
@@ -158,7 +166,7 @@
   const json_t *tokens
       = json_object_get (json_object_get (root, "usage"), "completion_tokens");
 
-  p->text = text_of (choice);
+  p->text = choice_text (choice);
   p->id = json_string_value (json_object_get (root, "id"));
   p->finish = json_is_string (json_object_get (choice, "finish_reason"));
   p->is_error = json_object_get (root, "error") != NULL;
@@ -171,7 +179,7 @@
              pu_piece_t *piece)
 {
   json_decref (r->root);
-  r->parsed++;
+  r->parsed_count++;
   r->root = json_loadb (data, len, 0, NULL);
   if (!json_is_object (r->root))
     return false;
@@ -179,24 +187,26 @@
   return true;
 }
 
-/* Reads an event that fits the frame both ways.  */
+/* Parses a chunk that matches the template, and drops the template unless both
+   ways to read the chunk gave the same result.  */
 static bool
-frame_prove (pu_piece_reader_t *r, const char *data, gsize len,
-             pu_piece_t *piece)
+template_verify (pu_piece_reader_t *r, const char *data, gsize len,
+                 pu_piece_t *piece)
 {
-  char *learnt_id = g_strdup (r->frame.id);
+  char *template_id = g_strdup (r->template_piece.id);
   bool good = piece_parse (r, data, len, piece);
 
-  r->proved = good && strcmp (piece->text, r->text->str) == 0
-              && g_strcmp0 (piece->id, learnt_id) == 0
-              && piece->finish == r->frame.finish
-              && piece->is_error == r->frame.is_error
-              && piece->completion_tokens == r->frame.completion_tokens;
-  r->learnt = r->proved;
-  /* The frame's id belonged to the event before.  */
+  r->verified
+      = good && strcmp (piece->text, r->text->str) == 0
+        && g_strcmp0 (piece->id, template_id) == 0
+        && piece->finish == r->template_piece.finish
+        && piece->is_error == r->template_piece.is_error
+        && piece->completion_tokens == r->template_piece.completion_tokens;
+  r->has_template = r->verified;
+  /* The template's id pointed into the chunk parsed before.  */
   if (good)
-    r->frame.id = piece->id;
-  g_free (learnt_id);
+    r->template_piece.id = piece->id;
+  g_free (template_id);
   return good;
 }
 
@@ -204,17 +214,17 @@
 pu_piece_read (pu_piece_reader_t *r, const char *data, gsize len,
                pu_piece_t *piece)
 {
-  bool fits = frame_fits (r, data, len, piece);
+  bool fits = template_match (r, data, len, piece);
 
-  if (fits && r->proved)
+  if (fits && r->verified)
     return true;
-  if (fits && strcmp (r->text->str, r->frame_text->str) != 0)
-    return frame_prove (r, data, len, piece);
+  if (fits && strcmp (r->text->str, r->template_text->str) != 0)
+    return template_verify (r, data, len, piece);
   if (!piece_parse (r, data, len, piece))
     {
-      r->learnt = false;
+      r->has_template = false;
       return false;
     }
-  frame_learn (r, data, len, piece);
+  template_make (r, data, len, piece);
   return true;
 }
--- a/libplantainusher/entry/piece.h
+++ b/libplantainusher/entry/piece.h
@@ -7,21 +7,23 @@
 G_BEGIN_DECLS
 
 /*
- * piece - what one event of a completion's stream carries.
+ * piece - reads the chunks of a completion's stream, each the data of one
+ * event.
  *
- * The events of a stream differ in their token's text alone.  The reader
- * learns from an event that it has parsed what stands before and after the
- * text, and checks that on the next one; from then on an event with the same
- * frame around a plain string needs no parsing.
+ * The chunks of a stream differ only in the text of their token.  The reader
+ * takes the bytes before and after the text of a parsed chunk as a template,
+ * and verifies the template on the next chunk that fits it with another text.
+ * From then on a chunk that has the same bytes around a string without escapes
+ * needs no JSON parsing.
  */
 
 typedef struct
 {
-  const char *text; /* the token's; "" when it has none */
-  const char *id;   /* of the answer; NULL when the event has none */
-  bool finish;      /* it has a finish reason */
+  const char *text; /* of the token; "" when there is none */
+  const char *id;   /* of the completion; NULL when there is none */
+  bool finish;      /* the chunk has a finish reason */
   bool is_error;
-  gint64 completion_tokens; /* of the answer, by its usage; -1: not told */
+  gint64 completion_tokens; /* by the usage in the chunk; -1: not given */
 } pu_piece_t;
 
 typedef struct pu_piece_reader pu_piece_reader_t;
@@ -29,12 +31,13 @@
 pu_piece_reader_t *pu_piece_reader_new (void);
 void pu_piece_reader_free (pu_piece_reader_t *r);
 
-/* pu_piece_read - reads the event's data of LEN bytes.  False when it is no
-   JSON object.  PIECE holds until the next call.  */
+/* pu_piece_read - reads a chunk of LEN bytes.  Returns false when it is not a
+   JSON object.  PIECE is valid until the next call.  */
 bool pu_piece_read (pu_piece_reader_t *r, const char *data, gsize len,
                     pu_piece_t *piece);
 
-/* pu_piece_reader_parsed - how many events were parsed; tests.  */
+/* pu_piece_reader_parsed - number of chunks that were parsed as JSON; for
+   tests.  */
 guint pu_piece_reader_parsed (const pu_piece_reader_t *r);
 
 G_END_DECLS
--- a/libplantainusher/entry/stream.c
+++ b/libplantainusher/entry/stream.c
@@ -5,8 +5,8 @@
 #include "entry/piece.h"
 #include "http/sse.h"
 
-/* Bytes of one event; a token and what describes it.  */
-#define EVENT_MAX ((gsize)256 * 1024)
+/* Limit of one event, which holds a token and its metadata.  */
+#define EVENT_MAX_BYTES ((gsize)256 * 1024)
 
 struct pu_stream
 {
@@ -15,12 +15,13 @@
   pu_piece_reader_t *reader;
   pu_stream_cb cb;
   void *cb_data;
-  bool first;    /* nothing had been sent before this attempt */
-  guint replay;  /* tokens of the replay that are still to come */
-  gsize matched; /* bytes of the caller's text that the replay had */
+  bool is_from_start;         /* the client had no token before this attempt */
+  guint replay_tokens_left;   /* tokens of the replay that are still to come */
+  gsize replay_matched_bytes; /* bytes of the client's text that the replay has
+                                 repeated */
   guint tokens;
   guint events;
-  char *id; /* `id` inside the events; NULL: none yet */
+  char *id; /* of the completion, by its chunks; NULL: none yet */
   pu_stream_result_t result;
 };
 
@@ -39,8 +40,10 @@
   s->text = NULL;
 }
 
+/* Forwards an event, with the chunk P in it or NULL, and records what the
+   client has received.  */
 static void
-pass (pu_stream_t *s, const pu_sse_event_t *ev, const pu_piece_t *p)
+event_forward (pu_stream_t *s, const pu_sse_event_t *ev, const pu_piece_t *p)
 {
   bool token = p != NULL && *p->text != 0;
 
@@ -55,46 +58,46 @@
   s->cb (s->cb_data, ev->raw, ev->raw_len, token ? 1 : 0);
 }
 
-/* A token of the replay: it must be what the caller has.  */
+/* Checks a token of the replay against the text that the client has.  */
 static bool
-replay_take (pu_stream_t *s, const char *text)
+replay_check (pu_stream_t *s, const char *text)
 {
   gsize n = strlen (text);
   const GString *had = s->sent->text;
 
-  if (n > had->len - s->matched
-      || memcmp (had->str + s->matched, text, n) != 0)
+  if (n > had->len - s->replay_matched_bytes
+      || memcmp (had->str + s->replay_matched_bytes, text, n) != 0)
     return false;
-  s->matched += n;
-  s->replay--;
-  return s->replay > 0 || s->matched == had->len;
+  s->replay_matched_bytes += n;
+  s->replay_tokens_left--;
+  return s->replay_tokens_left > 0 || s->replay_matched_bytes == had->len;
 }
 
 static pu_stream_result_t
-token_take (pu_stream_t *s, const pu_sse_event_t *ev, const pu_piece_t *p)
+token_handle (pu_stream_t *s, const pu_sse_event_t *ev, const pu_piece_t *p)
 {
   guint64 index = 0;
 
   if (g_ascii_string_to_unsigned (ev->id, 10, 0, G_MAXUINT32, &index, NULL))
     {
-      /* The indexes say what is new.  */
-      s->replay = 0;
+      /* The index alone tells whether the token is new.  */
+      s->replay_tokens_left = 0;
       if (index > s->sent->tokens)
         return PU_STREAM_BROKEN;
       if (index == s->sent->tokens)
-        pass (s, ev, p);
+        event_forward (s, ev, p);
       return PU_STREAM_MORE;
     }
-  if (s->replay == 0)
+  if (s->replay_tokens_left == 0)
     {
-      pass (s, ev, p);
+      event_forward (s, ev, p);
       return PU_STREAM_MORE;
     }
-  return replay_take (s, p->text) ? PU_STREAM_MORE : PU_STREAM_FOREIGN;
+  return replay_check (s, p->text) ? PU_STREAM_MORE : PU_STREAM_FOREIGN;
 }
 
 static bool
-same_answer (pu_stream_t *s, const char *id)
+is_same_completion (pu_stream_t *s, const char *id)
 {
   if (id == NULL)
     return true;
@@ -103,52 +106,53 @@
   return strcmp (s->id, id) == 0;
 }
 
-/* Whether the usage at the end tells of fewer tokens than were passed on, each
-   in an event of its own.  After a resume it may count the rest alone.  */
+/* Whether the usage at the end reports fewer tokens than were forwarded, each
+   in an event of its own.  Not checked after a resume, where the usage may
+   count only the remaining tokens.  */
 static bool
-is_doubled (const pu_stream_t *s, const pu_piece_t *p)
+has_duplicates (const pu_stream_t *s, const pu_piece_t *p)
 {
-  return s->first && p->completion_tokens > 0
+  return s->is_from_start && p->completion_tokens > 0
          && s->sent->tokens > p->completion_tokens;
 }
 
 static pu_stream_result_t
-piece_take (pu_stream_t *s, const pu_sse_event_t *ev, const pu_piece_t *p)
+chunk_handle (pu_stream_t *s, const pu_sse_event_t *ev, const pu_piece_t *p)
 {
   if (p->is_error)
     return PU_STREAM_BROKEN;
-  if (!same_answer (s, p->id))
+  if (!is_same_completion (s, p->id))
     return PU_STREAM_FOREIGN;
   if (*p->text != 0)
-    return token_take (s, ev, p);
-  /* An event without text: the role at the start, or the end.  */
-  if (p->finish ? !s->sent->finished : s->first)
-    pass (s, ev, p);
-  return is_doubled (s, p) ? PU_STREAM_DOUBLED : PU_STREAM_MORE;
+    return token_handle (s, ev, p);
+  /* A chunk without text holds the role at the start, or the end.  */
+  if (p->finish ? !s->sent->finished : s->is_from_start)
+    event_forward (s, ev, p);
+  return has_duplicates (s, p) ? PU_STREAM_DOUBLED : PU_STREAM_MORE;
 }
 
 static pu_stream_result_t
-event_take (pu_stream_t *s, const pu_sse_event_t *ev)
+event_handle (pu_stream_t *s, const pu_sse_event_t *ev)
 {
   pu_piece_t p;
 
   if (!ev->has_data)
     {
-      pass (s, ev, NULL);
+      event_forward (s, ev, NULL);
       return PU_STREAM_MORE;
     }
   if (pu_sse_is_done (ev))
     {
-      if (s->replay > 0)
+      if (s->replay_tokens_left > 0)
         return PU_STREAM_FOREIGN;
-      pass (s, ev, NULL);
+      event_forward (s, ev, NULL);
       return PU_STREAM_DONE;
     }
   if (strcmp (ev->name, "error") == 0)
     return PU_STREAM_BROKEN;
   if (!pu_piece_read (s->reader, ev->data, ev->data_len, &p))
     return PU_STREAM_BROKEN;
-  return piece_take (s, ev, &p);
+  return chunk_handle (s, ev, &p);
 }
 
 static bool
@@ -157,7 +161,7 @@
   pu_stream_t *s = data;
 
   s->events++;
-  s->result = event_take (s, ev);
+  s->result = event_handle (s, ev);
   return s->result == PU_STREAM_MORE;
 }
 
@@ -167,12 +171,12 @@
   pu_stream_t *s = g_new0 (pu_stream_t, 1);
 
   s->sent = sent;
-  s->sse = pu_sse_new (EVENT_MAX, on_event, s);
+  s->sse = pu_sse_new (EVENT_MAX_BYTES, on_event, s);
   s->reader = pu_piece_reader_new ();
   s->cb = cb;
   s->cb_data = data;
-  s->first = sent->tokens == 0;
-  s->replay = confirmed ? 0 : sent->tokens;
+  s->is_from_start = sent->tokens == 0;
+  s->replay_tokens_left = confirmed ? 0 : sent->tokens;
   return s;
 }
 
