--- a/libplantainusher/entry/attempt.c
+++ b/libplantainusher/entry/attempt.c
@@ -1,3 +1,5 @@
+/* One attempt of a request at a backend server or another entry.  */
+
 #include "entry/entry_private.h"
 #include "entry/trace.h"
 
@@ -7,10 +9,13 @@
 
 enum
 {
-  EVENT_MAX = 1024 * 1024, /* bytes of one numbered event */
-  PREDICTED_FACTOR = 4,    /* the head may take so many times the estimate */
-  LOAD_LIFE_MS = 2000,     /* an older report says nothing of places */
-  LACKS_MS = 1500,         /* until a report must say what is there */
+  EVENT_MAX_BYTES = 1024 * 1024, /* of one event with an id */
+  /* Timeout for the response head, as a multiple of the predicted time.  */
+  HEAD_TIMEOUT_FACTOR = 4,
+  LOAD_REPORT_MAX_AGE_MS = 2000, /* free slots aren't known from older ones */
+  /* How long a copy counts as absent after a refusal: by then a new report
+     lists the copies that exist.  */
+  ABSENT_COPY_MS = 1500,
   RETRY_AFTER_MAX_S = 3600,
   STATUS_CLIENT_ERROR = 400,
   STATUS_REQUEST_TIMEOUT = 408,
@@ -26,11 +31,11 @@
   return uv_now (x->en->o.loop);
 }
 
-/* The suspects' table is told that the attempt of X is over.  One that was
-   cancelled, or broke while its backend server listened on, may be killing
-   that.  */
+/* Records in the suspects table that the attempt of X is over.  A request that
+   was cancelled, or broke while its backend server kept listening, may still
+   crash that backend server.  */
 static void
-suspects_forget (const pu_exchange_t *x)
+suspects_note_end (const pu_exchange_t *x)
 {
   pu_suspects_t *suspects = x->en->suspects;
   const pu_attempt_t *at = &x->at;
@@ -69,7 +74,7 @@
 {
   pu_attempt_t *at = &x->at;
 
-  suspects_forget (x);
+  suspects_note_end (x);
   if (x->phase == PU_X_HELD)
     pu_server_unhold (x);
   if (at->call != NULL)
@@ -100,7 +105,8 @@
   pu_router_due (x->en);
 }
 
-/* The answer is whole, and a failure: it counts against the backend server. */
+/* Reports a complete response that is a failure; it counts against the backend
+   server.  */
 static void
 router_failed (pu_exchange_t *x)
 {
@@ -114,9 +120,9 @@
   pu_router_due (x->en);
 }
 
-/* The answer is whole.  */
+/* Ends X with the complete response of its attempt.  */
 static void
-attempt_succeed (pu_exchange_t *x)
+attempt_finish (pu_exchange_t *x)
 {
   bool good = x->at.status < STATUS_CLIENT_ERROR;
 
@@ -147,16 +153,17 @@
   pu_exchange_done (x);
 }
 
-/* --- from the backend server or the other entry --- */
+/* --- responses --- */
 
-/* A broken attempt: the backend server is looked at before the next one.  */
+/* Handles an attempt that broke after the request was sent.  With the entry's
+   own front, the backend server is probed before the next attempt.  */
 static void
-attempt_broke (pu_exchange_t *x, pu_router_failure_t failure)
+attempt_break (pu_exchange_t *x, pu_router_failure_t failure)
 {
   if (x->at.streaming && x->http != NULL && x->head_sent
       && pu_entry_breaks (x->en, PU_ENTRY_BREAK_WHOLE))
     {
-      attempt_succeed (x);
+      attempt_finish (x);
       return;
     }
   x->at.failure = failure;
@@ -171,10 +178,11 @@
     }
 }
 
-/* An answer that is no stream, such as another entry's refusal, can't follow
-   the beginning of one.  */
+/* Handles a response that is not a stream, such as another entry's refusal,
+   after the client has received the beginning of one: the two can't be
+   joined.  */
 static void
-rest_refused (pu_exchange_t *x)
+resume_refused (pu_exchange_t *x)
 {
   if (x->at.server == NULL
       && g_strcmp0 (x->at.outcome, pu_outcome_word (PU_NOT_RUN)) == 0)
@@ -183,7 +191,7 @@
     }
   else
     {
-      attempt_broke (x, PU_ROUTER_FAIL_TRUNCATED);
+      attempt_break (x, PU_ROUTER_FAIL_TRUNCATED);
     }
 }
 
@@ -198,9 +206,9 @@
          && n == x->sent.tokens;
 }
 
-/* The reader of a stream of events.  */
+/* Creates the parser for a response that is a stream of events.  */
 static void
-reader_make (pu_exchange_t *x, const pu_http_response_t *r)
+stream_parser_create (pu_exchange_t *x, const pu_http_response_t *r)
 {
   pu_attempt_t *at = &x->at;
 
@@ -214,8 +222,8 @@
           pu_deliver_tokens, x);
       break;
     case PU_ANSWER_EVENTS:
-      at->events
-          = pu_events_new (x->last_event, EVENT_MAX, pu_deliver_events, x);
+      at->events = pu_events_new (x->last_event, EVENT_MAX_BYTES,
+                                  pu_deliver_events, x);
       break;
     case PU_ANSWER_WHOLE:
       at->streaming = false;
@@ -223,9 +231,10 @@
     }
 }
 
-/* The headers of the answer that the caller gets too.  */
+/* Copies the response headers that are forwarded to the client: names and
+   values in turn.  */
 static GPtrArray *
-headers_pass (const pu_http_response_t *r)
+forwarded_headers (const pu_http_response_t *r)
 {
   GPtrArray *passed = g_ptr_array_new_with_free_func (g_free);
 
@@ -244,7 +253,7 @@
 }
 
 static void
-answer_read (pu_exchange_t *x, const pu_http_response_t *r)
+response_head_read (pu_exchange_t *x, const pu_http_response_t *r)
 {
   pu_front_t *front = &x->en->front;
 
@@ -254,7 +263,7 @@
       return;
     }
   front->answer (front->data, &x->q, x->at.server->name, r, &x->at.answer);
-  x->at.passed = headers_pass (r);
+  x->at.passed = forwarded_headers (r);
 }
 
 static void
@@ -266,18 +275,18 @@
   (void)call;
   at->answered = true;
   at->status = r->status;
-  answer_read (x, r);
+  response_head_read (x, r);
   at->streaming = at->answer.stream;
   at->whole = g_byte_array_new ();
   if (at->streaming)
-    reader_make (x, r);
+    stream_parser_create (x, r);
   if (!at->streaming && !at->answer.foreign && x->ticket != 0
       && r->status < STATUS_CLIENT_ERROR)
     pu_router_first_token (x->en->router, x->ticket, now_of (x));
 }
 
 static void
-whole_take (pu_exchange_t *x, const char *bytes, gsize len)
+body_append (pu_exchange_t *x, const char *bytes, gsize len)
 {
   pu_attempt_t *at = &x->at;
 
@@ -292,18 +301,20 @@
 }
 
 static void
-fail_doubled (pu_exchange_t *x)
+fail_duplicate (pu_exchange_t *x)
 {
-  static const pu_refusal_t doubled
+  static const pu_refusal_t duplicate
       = { STATUS_BAD_GATEWAY, "doubled", PU_RAN, 0 };
 
-  pu_log_note (PU_ENTRY_PART, "The answer to request %s had tokens twice.",
-               x->q.id);
-  pu_exchange_fail (x, &doubled,
-                    "The backend server sent more tokens than it counts.");
+  pu_log_note (PU_ENTRY_PART,
+               "The response to request %s had duplicate tokens.", x->q.id);
+  pu_exchange_fail (x, &duplicate,
+                    "The backend server sent more tokens than its usage "
+                    "reports.");
 }
 
-/* Feeds a stream's reader.  False: its tokens came twice.  */
+/* Feeds the parser of the stream.  Returns false when the client has received
+   duplicate tokens.  */
 static bool
 stream_feed (pu_exchange_t *x, const char *bytes, gsize len)
 {
@@ -327,35 +338,36 @@
 {
   pu_exchange_t *x = data;
   pu_attempt_t *at = &x->at;
-  bool doubled = false;
+  bool duplicate = false;
 
   if (!at->streaming && !at->answer.foreign)
     {
-      whole_take (x, bytes, len);
+      body_append (x, bytes, len);
     }
   else if (!at->answer.foreign && !at->done)
     {
-      doubled = !stream_feed (x, bytes, len);
+      duplicate = !stream_feed (x, bytes, len);
     }
-  if (!at->answer.foreign && !at->broken && !at->overflow && !doubled)
+  if (!at->answer.foreign && !at->broken && !at->overflow && !duplicate)
     return;
   at->call = NULL;
   pu_http_call_cancel (call);
-  if (doubled)
+  if (duplicate)
     {
-      fail_doubled (x);
+      fail_duplicate (x);
       return;
     }
   if (at->answer.foreign)
     {
-      pu_log_note (PU_ENTRY_PART, "Dropped a foreign answer to request %s.",
+      pu_log_note (PU_ENTRY_PART,
+                   "Dropped a response that does not match request %s.",
                    x->q.id);
     }
-  attempt_broke (x, PU_ROUTER_FAIL_TRUNCATED);
+  attempt_break (x, PU_ROUTER_FAIL_TRUNCATED);
 }
 
-/* Whether another entry says that it did not run X, which may have run
-   before, here or on its way.  */
+/* Whether another entry reports that X did not run there, although X may have
+   run before, here or on its way.  */
 static bool
 denies_earlier_run (const pu_exchange_t *x)
 {
@@ -363,16 +375,16 @@
          && g_strcmp0 (x->at.outcome, pu_outcome_word (PU_NOT_RUN)) == 0;
 }
 
-/* The other entry's refusal of X goes to the caller with the outcome over all
-   attempts.  */
+/* Forwards another entry's refusal of X to the client, with the outcome over
+   all attempts.  */
 static void
-refusal_pass (pu_exchange_t *x)
+refusal_forward (pu_exchange_t *x)
 {
   const pu_attempt_t *at = &x->at;
   json_t *root
       = json_loadb ((const char *)at->whole->data, at->whole->len, 0, NULL);
   const char *type = "refused";
-  const char *message = "Another entry refused it.";
+  const char *message = "Another entry refused the request.";
   pu_refusal_t r = { .status = at->status, .outcome = PU_UNKNOWN };
 
   json_unpack (root, "{s:{s:s, s:s}}", "error", "type", &type, "message",
@@ -388,11 +400,12 @@
   json_decref (root);
 }
 
+/* Handles a complete response, with the entry's own front.  */
 static void
 own_complete (pu_exchange_t *x)
 {
   const pu_attempt_t *at = &x->at;
-  bool stray = x->head_sent && !at->streaming;
+  bool not_stream = x->head_sent && !at->streaming;
   bool broken = at->answer.foreign || (at->streaming && !at->done)
                 || at->answer.failed;
 
@@ -400,43 +413,44 @@
     {
       pu_exchange_again (x, PU_ROUTER_FAIL_NOT_RUN);
     }
-  else if (stray && !at->answer.foreign)
+  else if (not_stream && !at->answer.foreign)
     {
-      rest_refused (x);
+      resume_refused (x);
     }
   else if (broken)
     {
-      attempt_broke (x, PU_ROUTER_FAIL_TRUNCATED);
+      attempt_break (x, PU_ROUTER_FAIL_TRUNCATED);
     }
   else if (denies_earlier_run (x))
     {
-      refusal_pass (x);
+      refusal_forward (x);
     }
   else
     {
-      attempt_succeed (x);
+      attempt_finish (x);
     }
 }
 
-/* Whether STATUS tells a caller that its request has not run.  */
+/* Whether STATUS tells a client that its request has not run.  */
 static bool
-promises_not_run (int status)
+status_means_not_run (int status)
 {
   return status == STATUS_REQUEST_TIMEOUT || status == STATUS_MISDIRECTED
          || status == STATUS_TOO_MANY || status == STATUS_UNAVAILABLE;
 }
 
-/* A failure of a backend server that ran the request, to be passed on as it
-   is, unless its status would tell the caller that it has not run.  */
+/* Forwards the failure response of a backend server that ran the request
+   unchanged, unless its status would tell the client that the request has not
+   run.  */
 static void
-failure_pass (pu_exchange_t *x)
+failure_forward (pu_exchange_t *x)
 {
   static const pu_refusal_t failed
       = { STATUS_BAD_GATEWAY, "failed", PU_UNKNOWN, 0 };
 
-  if (!promises_not_run (x->at.status))
+  if (!status_means_not_run (x->at.status))
     {
-      attempt_succeed (x);
+      attempt_finish (x);
       return;
     }
   x->may_have_run = true;
@@ -444,12 +458,12 @@
   pu_exchange_fail (x, &failed, "The backend server failed.");
 }
 
-/* Keeps the failure that was answered, for the caller in case that no other
-   attempt does better.  */
+/* Saves the failure response, which the client gets when no later attempt has
+   a better result.  */
 static void
-failure_keep (pu_exchange_t *x)
+failure_save (pu_exchange_t *x)
 {
-  if (promises_not_run (x->at.status) || x->at.whole == NULL)
+  if (status_means_not_run (x->at.status) || x->at.whole == NULL)
     return;
   pu_kept_clear (&x->kept);
   x->kept.status = x->at.status;
@@ -457,48 +471,49 @@
   x->kept.whole = g_steal_pointer (&x->at.whole);
 }
 
-/* What a stream left behind its last whole event goes along: the answer is
-   whole by its length.  */
+/* Forwards the bytes after the last complete event of a stream: the response
+   is complete by its length.  */
 static void
-rest_pass (pu_exchange_t *x)
+partial_event_flush (pu_exchange_t *x)
 {
   if (x->at.events != NULL)
     pu_events_flush (x->at.events);
 }
 
-/* What the whole answer of a backend server means for its request.  */
+/* What the complete response of a backend server means for its request.  */
 typedef enum
 {
-  END_BROKEN,    /* not this request's, or not to be joined to what was sent */
-  END_ELSEWHERE, /* another backend server is at that address */
-  END_ABSENT,    /* the model is not there */
-  END_NOT_RUN,
-  END_ERROR, /* and it may be tried again */
-  END_FAILED,
-  END_GOOD
-} end_t;
+  RESPONSE_BROKEN,   /* of another request, or can't continue the stream */
+  RESPONSE_REPLACED, /* another backend server has the address now */
+  RESPONSE_ABSENT,   /* not run: the backend server lacks the model */
+  RESPONSE_NOT_RUN,
+  RESPONSE_RETRY,  /* failed; the request may be repeated */
+  RESPONSE_FAILED, /* failed; the request may not be repeated */
+  RESPONSE_GOOD
+} response_class_t;
 
-static end_t
-front_end (const pu_exchange_t *x)
+static response_class_t
+response_classify (const pu_exchange_t *x)
 {
   const pu_answer_t *a = &x->at.answer;
 
   if (a->foreign)
-    return END_BROKEN;
+    return RESPONSE_BROKEN;
   if (a->elsewhere)
-    return END_ELSEWHERE;
+    return RESPONSE_REPLACED;
   if (a->absent)
-    return END_ABSENT;
+    return RESPONSE_ABSENT;
   if (a->not_run)
-    return END_NOT_RUN;
+    return RESPONSE_NOT_RUN;
   if (a->failed && x->q.repeatable)
-    return END_ERROR;
+    return RESPONSE_RETRY;
   if (x->head_sent && !x->at.streaming)
-    return END_BROKEN;
-  return a->failed ? END_FAILED : END_GOOD;
+    return RESPONSE_BROKEN;
+  return a->failed ? RESPONSE_FAILED : RESPONSE_GOOD;
 }
 
-/* Whether S has no place for another request, as far as its report says.  */
+/* Whether S has no free slot for another request, by the requests sent from
+   here and its last load report.  True when the number of slots is unknown. */
 static bool
 is_full (const pu_exchange_t *x, const pu_server_t *s)
 {
@@ -510,16 +525,16 @@
     return true;
   pu_router_backend_load (x->en->router, s->handle, now_of (x), &load);
   return c->slots == 0 || load.own >= c->slots
-         || (load.age_ms < LOAD_LIFE_MS
+         || (load.age_ms < LOAD_REPORT_MAX_AGE_MS
              && load.running + load.waiting >= c->slots);
 }
 
-/* Whether a refusal means that the model is on its way out there: an engine
-   that unloads it waits for what runs, and refuses it until then, for seconds
-   in which its check-ins list it.  Where no other copy is ready, it is tried
-   on as before.  */
+/* Whether a refusal means that the backend server is unloading the model.  An
+   engine that unloads a model first waits for its running requests; for
+   seconds it refuses new ones while its reports still list the model.  False
+   where no other copy is ready: the copy is then tried as before.  */
 static bool
-is_closing_copy (const pu_exchange_t *x)
+is_unloading_copy (const pu_exchange_t *x)
 {
   pu_router_model_t m = pu_router_find_model (x->en->router, x->q.model);
 
@@ -531,44 +546,44 @@
 static void
 front_complete (pu_exchange_t *x)
 {
-  switch (front_end (x))
+  switch (response_classify (x))
     {
-    case END_BROKEN:
-      attempt_broke (x, PU_ROUTER_FAIL_TRUNCATED);
+    case RESPONSE_BROKEN:
+      attempt_break (x, PU_ROUTER_FAIL_TRUNCATED);
       return;
-    case END_ELSEWHERE:
+    case RESPONSE_REPLACED:
       pu_server_replaced (x->at.server);
       pu_exchange_again (x, PU_ROUTER_FAIL_NOT_RUN);
       return;
-    case END_ABSENT:
-      pu_server_lacks (x->at.server, x->q.model, now_of (x) + LACKS_MS);
+    case RESPONSE_ABSENT:
+      pu_server_lacks (x->at.server, x->q.model, now_of (x) + ABSENT_COPY_MS);
       pu_exchange_again (x, PU_ROUTER_FAIL_ABSENT);
       return;
-    case END_NOT_RUN:
-      if (!is_closing_copy (x))
+    case RESPONSE_NOT_RUN:
+      if (!is_unloading_copy (x))
         {
           pu_exchange_again (x, PU_ROUTER_FAIL_NOT_RUN);
           return;
         }
-      pu_server_lacks (x->at.server, x->q.model, now_of (x) + LACKS_MS);
+      pu_server_lacks (x->at.server, x->q.model, now_of (x) + ABSENT_COPY_MS);
       pu_exchange_again (x, PU_ROUTER_FAIL_ABSENT);
       return;
-    case END_ERROR:
-      failure_keep (x);
+    case RESPONSE_RETRY:
+      failure_save (x);
       pu_exchange_again (x, PU_ROUTER_FAIL_ERROR);
       return;
-    case END_FAILED:
-      failure_pass (x);
+    case RESPONSE_FAILED:
+      failure_forward (x);
       return;
-    case END_GOOD:
-      rest_pass (x);
-      attempt_succeed (x);
+    case RESPONSE_GOOD:
+      partial_event_flush (x);
+      attempt_finish (x);
       return;
     }
 }
 
 static void
-answer_complete (pu_exchange_t *x)
+response_complete (pu_exchange_t *x)
 {
   if (pu_entry_has_own_front (x->en))
     {
@@ -580,24 +595,25 @@
     }
 }
 
-/* An answer that ended with its connection.  Where it gave no length, that is
-   its end.  */
+/* Handles a response without a length, which ended with its connection.  It
+   counts as truncated with the entry's own front, or when the last event of a
+   stream is incomplete.  */
 static void
-answer_closed (pu_exchange_t *x)
+response_closed (pu_exchange_t *x)
 {
   if (!pu_entry_has_own_front (x->en)
-      && (x->at.events == NULL || !pu_events_unfinished (x->at.events)))
+      && (x->at.events == NULL || !pu_events_has_partial (x->at.events)))
     {
       front_complete (x);
     }
   else
     {
-      attempt_broke (x, PU_ROUTER_FAIL_TRUNCATED);
+      attempt_break (x, PU_ROUTER_FAIL_TRUNCATED);
     }
 }
 
 static void
-not_connected (pu_exchange_t *x)
+connect_failed (pu_exchange_t *x)
 {
   if (x->at.server != NULL && pu_entry_has_own_front (x->en))
     pu_server_doubt (x->at.server);
@@ -611,36 +627,36 @@
 
   (void)call;
   x->at.call = NULL;
-  /* After its end mark a stream is whole, however the connection ends.  */
+  /* A stream is complete after its end mark, however the connection ends.  */
   if (x->at.done)
     {
-      attempt_succeed (x);
+      attempt_finish (x);
       return;
     }
   switch (result->kind)
     {
     case PU_HTTP_END_COMPLETE:
-      answer_complete (x);
+      response_complete (x);
       break;
     case PU_HTTP_END_CONNECT_FAILED:
     case PU_HTTP_END_CONNECT_TIMEOUT:
-      not_connected (x);
+      connect_failed (x);
       break;
     case PU_HTTP_END_FIRST_BYTE_TIMEOUT:
     case PU_HTTP_END_PROGRESS_TIMEOUT:
-      attempt_broke (x, PU_ROUTER_FAIL_SILENT);
+      attempt_break (x, PU_ROUTER_FAIL_SILENT);
       break;
     case PU_HTTP_END_STALE:
     case PU_HTTP_END_CLOSED:
-      attempt_broke (x, PU_ROUTER_FAIL_DIED);
+      attempt_break (x, PU_ROUTER_FAIL_DIED);
       break;
     case PU_HTTP_END_UNTIL_CLOSE:
-      answer_closed (x);
+      response_closed (x);
       break;
     case PU_HTTP_END_TRUNCATED:
     case PU_HTTP_END_MALFORMED:
     case PU_HTTP_END_TOO_LARGE:
-      attempt_broke (x, PU_ROUTER_FAIL_TRUNCATED);
+      attempt_break (x, PU_ROUTER_FAIL_TRUNCATED);
       break;
     }
 }
@@ -675,14 +691,14 @@
 }
 
 static guint
-first_byte_timeout (const pu_exchange_t *x)
+first_byte_timeout_ms (const pu_exchange_t *x)
 {
   guint64 now = now_of (x);
   guint64 left = x->q.deadline > now ? x->q.deadline - now : 1;
   guint64 limit = MAX (x->en->o.progress_ms,
-                       (guint64)x->predicted_ms * PREDICTED_FACTOR);
+                       (guint64)x->predicted_ms * HEAD_TIMEOUT_FACTOR);
 
-  /* Where it can't be tried again, there is nothing to gain by doubt.  */
+  /* Where the request can't be retried, an earlier timeout gains nothing.  */
   if (!x->q.repeatable || x->q.plain || x->q.here)
     limit = left;
   return (guint)MIN (limit, left);
@@ -703,10 +719,11 @@
           .header_count = h->headers->len,
           .body = has_body ? body : NULL,
           .has_body = strcmp (x->q.method, "POST") == 0,
-          /* One that died while it was idle costs a retry, which what may run
-             once does not get; here it is the front's word that counts.  */
+          /* A reused connection that died while it was idle costs a retry,
+             which a request that may run only once does not get; here it is
+             the front's word that counts.  */
           .fresh = !x->q.repeatable && !x->q.here,
-          .first_byte_timeout_ms = first_byte_timeout (x),
+          .first_byte_timeout_ms = first_byte_timeout_ms (x),
           .progress_timeout_ms = x->en->o.progress_ms,
           .events = { on_head, on_body, on_end },
           .data = x };
@@ -721,8 +738,9 @@
   return true;
 }
 
+/* Records in the suspects table that X runs at S.  */
 static void
-suspects_note (pu_exchange_t *x, pu_server_t *s)
+suspects_note_start (pu_exchange_t *x, pu_server_t *s)
 {
   pu_suspects_t *suspects = x->en->suspects;
 
@@ -751,7 +769,7 @@
   pu_head_clear (&h);
   if (!good)
     return false;
-  suspects_note (x, s);
+  suspects_note_start (x, s);
   pu_trace_sent (x, s);
   pu_router_sent (x->en->router, x->ticket, now_of (x));
   return true;
--- a/libplantainusher/entry/deliver.c
+++ b/libplantainusher/entry/deliver.c
@@ -1,4 +1,4 @@
-/* An attempt's answer on its way to the caller.  */
+/* Forwards the response of an attempt to the client.  */
 
 #include "entry/entry_private.h"
 #include "entry/trace.h"
@@ -7,7 +7,9 @@
 
 enum
 {
-  CALLER_BUFFER_MAX = 256 * 1024, /* unsent to the caller: reading pauses */
+  /* Reading from the backend server pauses while more is unsent to the
+     client.  */
+  CLIENT_BUFFER_MAX_BYTES = 256 * 1024,
   STATUS_OK = 200,
   STATUS_CLIENT_ERROR = 400,
   STATUS_BAD_GATEWAY = 502,
@@ -19,9 +21,9 @@
   return uv_now (x->en->o.loop);
 }
 
-/* --- heads --- */
+/* --- response heads --- */
 
-/* Names and values in turn, as headers of an answer.  */
+/* Makes response headers of PASSED, names and values in turn.  */
 static GArray *
 headers_of (const GPtrArray *passed)
 {
@@ -37,7 +39,7 @@
 }
 
 static void
-passed_head (pu_exchange_t *x)
+forwarded_head_send (pu_exchange_t *x)
 {
   GArray *headers = headers_of (x->at.passed);
 
@@ -49,7 +51,7 @@
 }
 
 static void
-tokens_head (pu_exchange_t *x)
+completion_head_send (pu_exchange_t *x)
 {
   char tokens[16];
   pu_http_header_t headers[4] = { { "content-type", "text/event-stream" },
@@ -67,33 +69,33 @@
 }
 
 static void
-stream_head (pu_exchange_t *x)
+stream_head_send (pu_exchange_t *x)
 {
   if (x->head_sent)
     return;
   if (x->at.passed != NULL)
     {
-      passed_head (x);
+      forwarded_head_send (x);
     }
   else
     {
-      tokens_head (x);
+      completion_head_send (x);
     }
 }
 
-/* --- events --- */
+/* --- streams --- */
 
 static void
 stream_write (pu_exchange_t *x, const char *bytes, gsize len)
 {
   if (x->http == NULL)
     return;
-  stream_head (x);
-  if (pu_http_respond_write (x->http, bytes, len) > CALLER_BUFFER_MAX)
+  stream_head_send (x);
+  if (pu_http_respond_write (x->http, bytes, len) > CLIENT_BUFFER_MAX_BYTES)
     pu_http_call_pause (x->at.call);
 }
 
-/* TOTAL tokens or events have come in this attempt.  */
+/* Reports that TOTAL tokens or events have come in this attempt.  */
 static void
 progress_report (pu_exchange_t *x, guint total)
 {
@@ -127,9 +129,10 @@
   stream_write (x, bytes, len);
 }
 
-/* Notes how the caller of X has to wait for its events.  */
+/* Records the time to the first event and the longest pause between events, as
+   the client of X sees them.  */
 static void
-note_pace (pu_exchange_t *x)
+pacing_record (pu_exchange_t *x)
 {
   guint64 now = now_of (x);
 
@@ -150,10 +153,10 @@
 {
   pu_exchange_t *x = data;
 
-  x->last_event = pu_events_last (x->at.events);
+  x->last_event = pu_events_last_id (x->at.events);
   if (n > 0)
     {
-      note_pace (x);
+      pacing_record (x);
       x->events += n;
       progress_report (x, pu_events_count (x->at.events));
     }
@@ -165,16 +168,16 @@
 {
   if (x->http == NULL)
     return;
-  stream_head (x);
+  stream_head_send (x);
   pu_http_respond_finish (x->http);
   x->http = NULL;
 }
 
-/* --- whole answers --- */
+/* --- complete responses --- */
 
-/* The headers of a whole answer of the completions interface.  */
+/* The headers of a complete response of the completions interface.  */
 static GArray *
-own_headers (const pu_exchange_t *x)
+completion_headers (const pu_exchange_t *x)
 {
   const pu_attempt_t *at = &x->at;
   GArray *headers = g_array_new (FALSE, FALSE, sizeof (pu_http_header_t));
@@ -202,7 +205,8 @@
 
   if (x->http == NULL)
     return;
-  headers = at->passed != NULL ? headers_of (at->passed) : own_headers (x);
+  headers
+      = at->passed != NULL ? headers_of (at->passed) : completion_headers (x);
   pu_http_respond (
       x->http, at->status, (const pu_http_header_t *)(void *)headers->data,
       headers->len, (const char *)at->whole->data, at->whole->len);
@@ -238,8 +242,8 @@
     result.content_type = "";
   if (at->whole->len > PU_RESULT_MAX)
     {
-      text
-          = pu_error_text (&large, "It ran; its answer is too large to keep.");
+      text = pu_error_text (
+          &large, "The request ran; its response is too large to store.");
       result = (pu_once_result_t){ STATUS_BAD_GATEWAY, "application/json",
                                    text, strlen (text) };
     }
--- a/libplantainusher/entry/events.c
+++ b/libplantainusher/entry/events.c
@@ -6,28 +6,28 @@
 {
   pu_events_cb cb;
   void *data;
-  gsize max;
-  guint64 last;
+  gsize max_bytes;
+  guint64 last_id; /* id of the last event forwarded */
   guint count;
-  GString *held; /* the beginning of an event */
-  gsize line;    /* where the current line of it begins */
-  GString *out;  /* whole events of the feed in progress */
-  guint out_events;
-  guint64 number; /* of the event in progress */
-  bool has_number;
+  GString *partial; /* bytes of the incomplete event */
+  gsize line;       /* offset of its current line */
+  GString *ready;   /* complete events of the current call of feed */
+  guint ready_events;
+  guint64 id; /* of the incomplete event */
+  bool has_id;
 };
 
 pu_events_t *
-pu_events_new (guint64 after, gsize max, pu_events_cb cb, void *data)
+pu_events_new (guint64 after, gsize max_bytes, pu_events_cb cb, void *data)
 {
   pu_events_t *s = g_new0 (pu_events_t, 1);
 
   s->cb = cb;
   s->data = data;
-  s->max = max;
-  s->last = after;
-  s->held = g_string_new (NULL);
-  s->out = g_string_new (NULL);
+  s->max_bytes = max_bytes;
+  s->last_id = after;
+  s->partial = g_string_new (NULL);
+  s->ready = g_string_new (NULL);
   return s;
 }
 
@@ -36,13 +36,13 @@
 {
   if (s == NULL)
     return;
-  g_string_free (s->held, TRUE);
-  g_string_free (s->out, TRUE);
+  g_string_free (s->partial, TRUE);
+  g_string_free (s->ready, TRUE);
   g_free (s);
 }
 
 static bool
-digits_read (const char *text, gsize len, guint64 *value)
+id_parse (const char *text, gsize len, guint64 *value)
 {
   *value = 0;
   if (len == 0)
@@ -56,9 +56,9 @@
   return true;
 }
 
-/* Takes the number from a line such as "id: 12".  */
+/* Reads the id from a line such as "id: 12".  */
 static void
-line_read (pu_events_t *s, const char *line, gsize len)
+line_parse (pu_events_t *s, const char *line, gsize len)
 {
   static const char field[] = "id:";
   gsize skip = sizeof field - 1;
@@ -67,43 +67,44 @@
     return;
   if (len > skip && line[skip] == ' ')
     skip++;
-  s->has_number = digits_read (line + skip, len - skip, &s->number);
+  s->has_id = id_parse (line + skip, len - skip, &s->id);
 }
 
-/* The event in progress is whole.  */
+/* Handles the end of an event: queues it for the client unless its id was seen
+   before.  */
 static void
-event_end (pu_events_t *s)
+event_complete (pu_events_t *s)
 {
-  bool seen = s->has_number && s->number <= s->last;
+  bool seen = s->has_id && s->id <= s->last_id;
 
   if (!seen)
     {
-      g_string_append_len (s->out, s->held->str, (gssize)s->held->len);
-      s->out_events += s->has_number ? 1 : 0;
-      if (s->has_number)
-        s->last = s->number;
+      g_string_append_len (s->ready, s->partial->str, (gssize)s->partial->len);
+      s->ready_events += s->has_id ? 1 : 0;
+      if (s->has_id)
+        s->last_id = s->id;
     }
-  g_string_truncate (s->held, 0);
+  g_string_truncate (s->partial, 0);
   s->line = 0;
-  s->has_number = false;
+  s->has_id = false;
 }
 
-/* A line feed has come: the line from s->line to the end is whole.  */
+/* Handles a line feed, which completes the line that starts at s->line.  */
 static void
-line_end (pu_events_t *s)
+line_complete (pu_events_t *s)
 {
-  const char *line = s->held->str + s->line;
-  gsize len = s->held->len - s->line - 1;
+  const char *line = s->partial->str + s->line;
+  gsize len = s->partial->len - s->line - 1;
 
   if (len > 0 && line[len - 1] == '\r')
     len--;
   if (len == 0)
     {
-      event_end (s);
+      event_complete (s);
       return;
     }
-  line_read (s, line, len);
-  s->line = s->held->len;
+  line_parse (s, line, len);
+  s->line = s->partial->len;
 }
 
 bool
@@ -113,22 +114,22 @@
 
   while (bytes < end)
     {
-      const char *feed = memchr (bytes, '\n', (gsize)(end - bytes));
-      gsize n = (gsize)((feed != NULL ? feed + 1 : end) - bytes);
+      const char *newline = memchr (bytes, '\n', (gsize)(end - bytes));
+      gsize n = (gsize)((newline != NULL ? newline + 1 : end) - bytes);
 
-      if (s->held->len + n > s->max)
+      if (s->partial->len + n > s->max_bytes)
         return false;
-      g_string_append_len (s->held, bytes, (gssize)n);
+      g_string_append_len (s->partial, bytes, (gssize)n);
       bytes += n;
-      if (feed != NULL)
-        line_end (s);
+      if (newline != NULL)
+        line_complete (s);
     }
-  if (s->out->len > 0)
+  if (s->ready->len > 0)
     {
-      s->count += s->out_events;
-      s->cb (s->data, s->out->str, s->out->len, s->out_events);
-      g_string_truncate (s->out, 0);
-      s->out_events = 0;
+      s->count += s->ready_events;
+      s->cb (s->data, s->ready->str, s->ready->len, s->ready_events);
+      g_string_truncate (s->ready, 0);
+      s->ready_events = 0;
     }
   return true;
 }
@@ -136,16 +137,16 @@
 void
 pu_events_flush (pu_events_t *s)
 {
-  if (s->held->len == 0)
+  if (s->partial->len == 0)
     return;
-  s->cb (s->data, s->held->str, s->held->len, 0);
-  g_string_truncate (s->held, 0);
+  s->cb (s->data, s->partial->str, s->partial->len, 0);
+  g_string_truncate (s->partial, 0);
 }
 
 guint64
-pu_events_last (const pu_events_t *s)
+pu_events_last_id (const pu_events_t *s)
 {
-  return s->last;
+  return s->last_id;
 }
 
 guint
@@ -155,7 +156,7 @@
 }
 
 bool
-pu_events_unfinished (const pu_events_t *s)
+pu_events_has_partial (const pu_events_t *s)
 {
-  return s->held->len > 0;
+  return s->partial->len > 0;
 }
--- a/libplantainusher/entry/events.h
+++ b/libplantainusher/entry/events.h
@@ -7,42 +7,43 @@
 G_BEGIN_DECLS
 
 /*
- * events - a stream of numbered server-sent events, passed on byte by byte as
- * it came, whole events only.  No I/O.
+ * events - forwards a stream of server-sent events with numeric ids byte for
+ * byte, complete events only.  No I/O.
  *
- * An event that the stream leaves unfinished is not given out, so that another
- * backend server can go on behind the last whole one.  Events whose number the
- * caller has already had are dropped.
+ * An event that the stream leaves incomplete is not forwarded, so that another
+ * backend server can resume the stream after the last complete event.  Events
+ * whose id the client has already received are dropped.
  */
 
 typedef struct pu_events pu_events_t;
 
-/* pu_events_cb - BYTES, N whole events, are to go to the caller.  */
+/* pu_events_cb - BYTES are to be forwarded to the client; they hold N events
+   with an id.  */
 typedef void (*pu_events_cb) (void *data, const char *bytes, gsize len,
                               guint n);
 
-/* pu_events_new - events numbered AFTER or lower are dropped; an event longer
-   than MAX bytes breaks the stream.  */
-pu_events_t *pu_events_new (guint64 after, gsize max, pu_events_cb cb,
+/* pu_events_new - a filter that drops events with the id AFTER or a lower one.
+   An event longer than MAX_BYTES breaks the stream.  */
+pu_events_t *pu_events_new (guint64 after, gsize max_bytes, pu_events_cb cb,
                             void *data);
 void pu_events_free (pu_events_t *s);
 
-/* pu_events_feed - takes bytes; the events that become whole come in one call
-   of the callback.  False: an event is too long.  */
+/* pu_events_feed - takes LEN BYTES; the events that they complete are given to
+   the callback in one call.  Returns false when an event is too long.  */
 bool pu_events_feed (pu_events_t *s, const char *bytes, gsize len);
 
-/* pu_events_flush - gives out what is held of an unfinished event: the stream
-   is whole by its length.  */
+/* pu_events_flush - forwards the buffered part of an incomplete event, when
+   the stream is complete by its length.  */
 void pu_events_flush (pu_events_t *s);
 
-/* pu_events_last - number of the last event given out, or AFTER.  */
-guint64 pu_events_last (const pu_events_t *s);
+/* pu_events_last_id - id of the last event forwarded, or AFTER.  */
+guint64 pu_events_last_id (const pu_events_t *s);
 
-/* pu_events_count - events given out.  */
+/* pu_events_count - number of events with an id that were forwarded.  */
 guint pu_events_count (const pu_events_t *s);
 
-/* pu_events_unfinished - whether bytes of an unfinished event are held.  */
-bool pu_events_unfinished (const pu_events_t *s);
+/* pu_events_has_partial - whether an incomplete event is buffered.  */
+bool pu_events_has_partial (const pu_events_t *s);
 
 G_END_DECLS
 
--- a/libplantainusher/entry/exchange.c
+++ b/libplantainusher/entry/exchange.c
@@ -1,3 +1,5 @@
+/* One request from its admission to its final response.  */
+
 #include "entry/entry_private.h"
 
 #include "entry/trace.h"
@@ -5,10 +7,10 @@
 enum
 {
   ATTEMPTS_MAX = 6,
-  STATUS_CONVICTED = 422,
+  STATUS_UNPROCESSABLE = 422,
 };
 
-/* --- life --- */
+/* --- lifetime --- */
 
 void
 pu_exchange_free (pu_exchange_t *x)
@@ -62,9 +64,9 @@
 
 /* --- failures --- */
 
-/* What the caller is told must hold over all attempts.  */
+/* The outcome over all attempts of X, of which the last had the outcome O.  */
 static pu_outcome_word_t
-outcome_over_all (const pu_exchange_t *x, pu_outcome_word_t o)
+overall_outcome (const pu_exchange_t *x, pu_outcome_word_t o)
 {
   if (x->sent.tokens > 0 || x->events > 0)
     return PU_RAN;
@@ -73,8 +75,9 @@
   return o;
 }
 
+/* Ends a streamed response with an error event.  */
 static void
-failure_stream (pu_exchange_t *x, const pu_refusal_t *r, const char *message)
+error_event_send (pu_exchange_t *x, const pu_refusal_t *r, const char *message)
 {
   char *text = pu_error_text (r, message);
   char *event = g_strdup_printf ("event: error\ndata: %s\n\n", text);
@@ -88,35 +91,35 @@
 void
 pu_exchange_fail (pu_exchange_t *x, const pu_refusal_t *r, const char *message)
 {
-  pu_refusal_t told = *r;
+  pu_refusal_t final = *r;
 
-  told.outcome = outcome_over_all (x, r->outcome);
+  final.outcome = overall_outcome (x, r->outcome);
   if (pu_entry_breaks (x->en, PU_ENTRY_BREAK_OUTCOME))
-    told.outcome = PU_NOT_RUN;
-  pu_trace_failed (x, &told, message);
+    final.outcome = PU_NOT_RUN;
+  pu_trace_request_failed (x, &final, message);
   if (x->claim != 0)
     {
       pu_claim_finished (
-          x, told.outcome == PU_NOT_RUN ? PU_ONCE_NOT_RUN : PU_ONCE_UNKNOWN,
+          x, final.outcome == PU_NOT_RUN ? PU_ONCE_NOT_RUN : PU_ONCE_UNKNOWN,
           NULL);
       return;
     }
   if (x->http != NULL && x->head_sent && pu_entry_has_own_front (x->en))
     {
-      failure_stream (x, &told, message);
+      error_event_send (x, &final, message);
     }
   else if (x->http != NULL && x->head_sent)
     {
       pu_http_respond_abort (x->http);
     }
   else if (x->http != NULL && x->kept.status != 0
-           && told.outcome != PU_NOT_RUN)
+           && final.outcome != PU_NOT_RUN)
     {
       pu_deliver_kept (x);
     }
   else if (x->http != NULL)
     {
-      x->en->front.refuse (x->en->front.data, x->http, x->q.id, &told,
+      x->en->front.refuse (x->en->front.data, x->http, x->q.id, &final,
                            message);
     }
   x->http = NULL;
@@ -124,7 +127,7 @@
 }
 
 static int
-refused_status (pu_router_reason_t reason)
+refusal_status (pu_router_reason_t reason)
 {
   switch (reason)
     {
@@ -141,7 +144,7 @@
 }
 
 static const char *
-refused_message (pu_router_reason_t reason)
+refusal_message (pu_router_reason_t reason)
 {
   switch (reason)
     {
@@ -151,17 +154,17 @@
     case PU_ROUTER_REASON_MODEL:
       return "The model is not declared.";
     case PU_ROUTER_REASON_COPY:
-      return "No backend server is ready for it now.";
+      return "No backend server is ready to run this request.";
     case PU_ROUTER_REASON_QUEUE_FULL:
       return "The queue is full.";
     case PU_ROUTER_REASON_DEADLINE:
-      return "It can't be answered in time.";
+      return "The request can't be answered before its deadline.";
     case PU_ROUTER_REASON_BUDGET:
-      return "It failed, and too many requests are being tried again.";
+      return "The request failed, and the retry budget is spent.";
     case PU_ROUTER_REASON_ATTEMPTS:
-      return "It failed on every backend server that was tried.";
+      return "The request failed on every backend server that was tried.";
     case PU_ROUTER_REASON_REPEAT:
-      return "The backend server was lost; it may have run.";
+      return "The backend server was lost; the request may have run.";
     }
   return "";
 }
@@ -170,7 +173,7 @@
 pu_exchange_refused (pu_exchange_t *x, const pu_router_decision_t *d)
 {
   pu_refusal_t r
-      = { refused_status (d->reason), pu_router_reason_name (d->reason),
+      = { refusal_status (d->reason), pu_router_reason_name (d->reason),
           PU_NOT_RUN, d->retry_after_ms };
 
   if (d->ran == PU_ROUTER_UNKNOWN)
@@ -183,16 +186,16 @@
     }
   if (r.retry_after_ms == 0 && (r.status == 429 || r.status == 503))
     r.retry_after_ms = PU_BUSY_RETRY_MS;
-  /* The router forgets a ticket that it refuses.  */
+  /* A refusal voids the ticket in the router.  */
   ticket_set (x, 0);
-  pu_exchange_fail (x, &r, refused_message (d->reason));
+  pu_exchange_fail (x, &r, refusal_message (d->reason));
 }
 
 static void
 fail_convicted (pu_exchange_t *x)
 {
   static const pu_refusal_t convicted
-      = { STATUS_CONVICTED, "convicted", PU_NOT_RUN, 0 };
+      = { STATUS_UNPROCESSABLE, "convicted", PU_NOT_RUN, 0 };
 
   pu_exchange_fail (x, &convicted,
                     "This request has crashed backend servers. An operator "
@@ -209,7 +212,7 @@
   pu_exchange_fail (x, &late, "The request was not answered in time.");
 }
 
-/* --- where it goes --- */
+/* --- routing --- */
 
 static bool
 next_hop (pu_exchange_t *x, const char *key, guint size, guint hops_max,
@@ -220,20 +223,21 @@
       (const char *const *)x->avoid->pdata, x->avoid->len, to);
 }
 
-/* A suspect runs at one entry alone, which its model hashes to.  */
+/* The suspects of a model run through one entry only, which the model hashes
+   to.  Returns false when X is to be served by this entry.  */
 static bool
-suspect_hop (pu_exchange_t *x, pu_directory_entry_t *to)
+suspect_next_hop (pu_exchange_t *x, pu_directory_entry_t *to)
 {
   char *key = g_strconcat ("suspects/", x->q.model, NULL);
-  bool away = next_hop (x, key, 1, PU_RELAY_HOPS_MAX, to);
+  bool relay = next_hop (x, key, 1, PU_RELAY_HOPS_MAX, to);
 
   g_free (key);
-  return away;
+  return relay;
 }
 
-/* Whether X is watched for crashing what runs it.  */
+/* Whether crashes of backend servers are attributed to X.  */
 static bool
-is_watched (const pu_exchange_t *x)
+is_crash_tracked (const pu_exchange_t *x)
 {
   return !x->q.plain && !x->q.here;
 }
@@ -241,15 +245,17 @@
 static bool
 is_suspect (const pu_exchange_t *x)
 {
-  return is_watched (x)
+  return is_crash_tracked (x)
          && pu_suspects_is_suspect (x->en->suspects, x->q.fingerprint,
                                     uv_now (x->en->o.loop));
 }
 
+/* Whether X may run, by the crashes attributed to requests like it.  A strike
+   that the log has not decided on yet makes it wait.  */
 static pu_suspects_verdict_t
-judge (const pu_exchange_t *x)
+crash_verdict (const pu_exchange_t *x)
 {
-  if (!is_watched (x))
+  if (!is_crash_tracked (x))
     return PU_SUSPECTS_RUN;
   if (pu_strike_pending (x->en, x->q.fingerprint))
     return PU_SUSPECTS_WAIT;
@@ -260,9 +266,9 @@
 void
 pu_exchange_route (pu_exchange_t *x)
 {
-  pu_suspects_verdict_t verdict = judge (x);
+  pu_suspects_verdict_t verdict = crash_verdict (x);
   pu_directory_entry_t to;
-  bool away;
+  bool relay;
 
   if (verdict == PU_SUSPECTS_REFUSE)
     {
@@ -274,27 +280,27 @@
       fail_deadline (x);
       return;
     }
-  /* What may run once only is not relayed: a hop more is one more place
-     where its outcome can be lost.  */
+  /* A request that may run only once is not relayed: each further hop is
+     another place where its outcome can be lost.  */
   if (x->once || !x->q.repeatable || x->q.here)
     {
-      away = false;
+      relay = false;
     }
   else if (is_suspect (x))
     {
-      away = suspect_hop (x, &to);
+      relay = suspect_next_hop (x, &to);
     }
   else
     {
-      away = next_hop (x, x->q.service, pu_service_size (x->en, x->q.service),
-                       1, &to);
+      relay = next_hop (x, x->q.service, pu_service_size (x->en, x->q.service),
+                        1, &to);
     }
   if (verdict == PU_SUSPECTS_WAIT
-      && (!away || pu_strike_pending (x->en, x->q.fingerprint)))
+      && (!relay || pu_strike_pending (x->en, x->q.fingerprint)))
     {
       x->phase = PU_X_WAITING;
     }
-  else if (away && pu_attempt_relay (x, &to))
+  else if (relay && pu_attempt_relay (x, &to))
     {
       return;
     }
@@ -342,21 +348,23 @@
   pu_exchange_decide (x, &d);
 }
 
-/* Whether X has to stay away from the backend server of that number because
-   its like runs elsewhere without an answer.  */
+/* Whether X must not be sent to the backend server numbered SERVER, because a
+   request with the same fingerprint runs on another one and has not been
+   answered yet.  */
 static bool
-stays_away (const pu_exchange_t *x, guint server)
+must_avoid (const pu_exchange_t *x, guint server)
 {
-  return is_watched (x)
+  return is_crash_tracked (x)
          && pu_suspects_stays (x->en->suspects, x->q.fingerprint, server,
                                x->held_since, uv_now (x->en->o.loop));
 }
 
-/* The same for S, which the router chose; from now on X waits.  */
+/* Like must_avoid, for S, which the router chose.  When true, records since
+   when and because of which backend server X waits.  */
 static bool
-hold_back (pu_exchange_t *x, const pu_server_t *s)
+defer_from (pu_exchange_t *x, const pu_server_t *s)
 {
-  if (!stays_away (x, s->number))
+  if (!must_avoid (x, s->number))
     return false;
   if (x->held_since == 0)
     x->held_since = uv_now (x->en->o.loop);
@@ -364,11 +372,13 @@
   return true;
 }
 
-/* Whether X may be sent to S now, by what is held against either.  */
+/* Checks whether X is convicted or must wait, and whether S already runs a
+   suspect, before X is sent to S.  On false X was refused and freed, or waits
+   without a ticket.  */
 static bool
-may_send (pu_exchange_t *x, const pu_server_t *s)
+dispatch_permit (pu_exchange_t *x, const pu_server_t *s)
 {
-  pu_suspects_verdict_t verdict = judge (x);
+  pu_suspects_verdict_t verdict = crash_verdict (x);
 
   if (verdict == PU_SUSPECTS_REFUSE)
     {
@@ -377,7 +387,7 @@
       return false;
     }
   if (verdict != PU_SUSPECTS_WAIT && (!is_suspect (x) || s->suspects == 0)
-      && !hold_back (x, s))
+      && !defer_from (x, s))
     return true;
   ticket_cancel (x);
   x->phase = PU_X_WAITING;
@@ -391,19 +401,20 @@
   pu_server_t *s = pu_server_find (x->en, name);
 
   x->predicted_ms = d->predicted_ms;
-  if (s != NULL && !may_send (x, s))
+  if (s != NULL && !dispatch_permit (x, s))
     return;
   if (s == NULL || !pu_attempt_start (x, s))
     pu_exchange_again (x, PU_ROUTER_FAIL_CONNECT);
 }
 
-/* Whether X has no copy just because suspects run at all of them.  */
+/* Whether the model of X has no ready copy while a backend server that holds
+   one accepts nothing because it runs a suspect.  */
 static bool
-waits_for_copy (const pu_exchange_t *x)
+is_blocked_by_suspect (const pu_exchange_t *x)
 {
   pu_router_t *router = x->en->router;
 
-  return is_watched (x)
+  return is_crash_tracked (x)
          && pu_router_ready_copies (router,
                                     pu_router_find_model (router, x->q.model))
                 == 0
@@ -433,7 +444,8 @@
           pu_want_begin (x);
           break;
         }
-      x->no_copy = d->reason == PU_ROUTER_REASON_COPY && waits_for_copy (x);
+      x->no_copy
+          = d->reason == PU_ROUTER_REASON_COPY && is_blocked_by_suspect (x);
       if (!x->no_copy)
         {
           pu_exchange_refused (x, d);
@@ -445,25 +457,26 @@
     }
 }
 
-/* --- once more --- */
+/* --- retries --- */
 
 static void
-fail_lost (pu_exchange_t *x)
+fail_exhausted (pu_exchange_t *x)
 {
-  static const pu_refusal_t lost
+  static const pu_refusal_t exhausted
       = { 502, "attempts", PU_NOT_RUN, PU_BUSY_RETRY_MS };
 
-  pu_exchange_fail (x, &lost, "It failed wherever it was tried.");
+  pu_exchange_fail (x, &exhausted, "All attempts at the request failed.");
 }
 
-/* The other entry did not answer.  */
+/* Handles a failed attempt through ENTRY, which X avoids from now on.  Takes
+   ownership of ENTRY.  */
 static void
-relay_again (pu_exchange_t *x, char *entry)
+relay_retry (pu_exchange_t *x, char *entry)
 {
   g_ptr_array_add (x->avoid, entry);
   if (x->attempts >= ATTEMPTS_MAX || (x->may_have_run && !x->q.repeatable))
     {
-      fail_lost (x);
+      fail_exhausted (x);
     }
   else
     {
@@ -471,26 +484,27 @@
     }
 }
 
-/* Whether X, a suspect, must wait, be refused, or go to another entry.  */
+/* Whether X is a suspect that must wait, be refused or go to another entry. */
 static bool
-goes_apart (pu_exchange_t *x)
+needs_suspect_route (pu_exchange_t *x)
 {
   pu_directory_entry_t to;
 
   if (!is_suspect (x))
     return false;
-  if (judge (x) != PU_SUSPECTS_APART)
+  if (crash_verdict (x) != PU_SUSPECTS_APART)
     return true;
-  return !x->once && x->q.repeatable && !x->q.here && suspect_hop (x, &to);
+  return !x->once && x->q.repeatable && !x->q.here
+         && suspect_next_hop (x, &to);
 }
 
-/* Where X goes as a suspect now.  */
+/* Routes the suspect X, unless its attempts are used up.  */
 static void
-route_apart (pu_exchange_t *x)
+suspect_route (pu_exchange_t *x)
 {
   if (x->attempts >= ATTEMPTS_MAX)
     {
-      fail_lost (x);
+      fail_exhausted (x);
     }
   else
     {
@@ -498,18 +512,18 @@
     }
 }
 
-/* The attempt of X failed, and X may be repeated: it goes the suspects' way.
-   What ran at a lost backend server would use up the budget that others need
-   to leave it.  */
+/* Handles a failed attempt of X, a suspect that may be repeated, without the
+   router's retry budget: the suspects of a lost backend server would use up
+   the budget that other requests need to leave it.  */
 static void
-leave_apart (pu_exchange_t *x, pu_router_failure_t failure)
+suspect_retry (pu_exchange_t *x, pu_router_failure_t failure)
 {
   pu_ticket_t ticket = x->ticket;
 
   ticket_set (x, 0);
   pu_router_failed (x->en->router, ticket, failure, uv_now (x->en->o.loop));
   pu_router_due (x->en);
-  route_apart (x);
+  suspect_route (x);
 }
 
 void
@@ -520,11 +534,11 @@
 
   if (pu_router_failure_may_have_run (failure))
     x->may_have_run = true;
-  pu_trace_broke (x, failure);
+  pu_trace_attempt_failed (x, failure);
   pu_attempt_clear (x);
   if (entry != NULL)
     {
-      relay_again (x, entry);
+      relay_retry (x, entry);
       return;
     }
   if (uv_now (x->en->o.loop) >= x->q.deadline)
@@ -532,23 +546,24 @@
       fail_deadline (x);
       return;
     }
-  if (!x->once && x->q.repeatable && goes_apart (x))
+  if (!x->once && x->q.repeatable && needs_suspect_route (x))
     {
-      leave_apart (x, failure);
+      suspect_retry (x, failure);
       return;
     }
   pu_router_retry (x->en->router, x->ticket, failure, uv_now (x->en->o.loop),
                    &d);
-  /* One that became a suspect goes the suspects' way.  One that may run here
-     keeps its ticket, which knows the copies that were tried.  */
-  if (d.verdict != PU_ROUTER_REFUSE && goes_apart (x))
+  /* A request that has become a suspect is routed as one.  A suspect that may
+     run here keeps its ticket, which records the copies that were tried.  */
+  if (d.verdict != PU_ROUTER_REFUSE && needs_suspect_route (x))
     {
       ticket_set (x, d.ticket);
       ticket_cancel (x);
-      route_apart (x);
+      suspect_route (x);
       return;
     }
-  /* The same copies once more: one that was cut may go on.  */
+  /* The router has tried every copy.  The request is offered once more,
+     because a cut stream may be resumed on the same copy.  */
   if (d.verdict == PU_ROUTER_REFUSE && d.reason == PU_ROUTER_REASON_ATTEMPTS
       && x->q.repeatable && x->q.attempts_max == 0 && !x->offered_anew
       && failure != PU_ROUTER_FAIL_NOT_RUN)
@@ -561,15 +576,16 @@
   pu_exchange_decide (x, &d);
 }
 
-/* --- time --- */
+/* --- timers --- */
 
-/* Whether what X waited for is over.  */
+/* Whether the reason for which X waits no longer holds.  */
 static bool
-may_go_on (const pu_exchange_t *x)
+wait_is_over (const pu_exchange_t *x)
 {
-  if (judge (x) == PU_SUSPECTS_WAIT || (x->no_copy && waits_for_copy (x)))
+  if (crash_verdict (x) == PU_SUSPECTS_WAIT
+      || (x->no_copy && is_blocked_by_suspect (x)))
     return false;
-  return x->held_since == 0 || !stays_away (x, x->held_from);
+  return x->held_since == 0 || !must_avoid (x, x->held_from);
 }
 
 static void
@@ -590,13 +606,14 @@
     {
       pu_want_tick (x, now);
     }
-  else if (x->phase == PU_X_WAITING && may_go_on (x))
+  else if (x->phase == PU_X_WAITING && wait_is_over (x))
     {
       pu_exchange_route (x);
     }
 }
 
-/* The numbers of the open exchanges: handling one may end others.  */
+/* Returns a copy of the numbers of the open exchanges, as handling one
+   exchange may end others.  */
 static GArray *
 open_numbers (const pu_entry_t *en)
 {
--- a/libplantainusher/entry/trace.c
+++ b/libplantainusher/entry/trace.c
@@ -4,7 +4,7 @@
 #include "base/log.h"
 
 static void
-count_here (const pu_entry_t *en, const char *name)
+count_at_entry (const pu_entry_t *en, const char *name)
 {
   pu_counters_t *c = en->o.counters;
 
@@ -15,7 +15,7 @@
 static void
 count (const pu_exchange_t *x, const char *name)
 {
-  count_here (x->en, name);
+  count_at_entry (x->en, name);
 }
 
 static void
@@ -38,14 +38,14 @@
 }
 
 static guint64
-since (const pu_exchange_t *x, guint64 then)
+elapsed_ms (const pu_exchange_t *x, guint64 then)
 {
   return uv_now (x->en->o.loop) - then;
 }
 
-/* Who is at work on X, "" for nobody.  */
+/* Name of the backend server or entry that X was sent to, or "".  */
 static const char *
-worker (const pu_exchange_t *x)
+target_name (const pu_exchange_t *x)
 {
   if (x->at.server != NULL)
     return x->at.server->name;
@@ -64,7 +64,7 @@
 }
 
 static guint64
-time_left (const pu_exchange_t *x)
+time_left_ms (const pu_exchange_t *x)
 {
   guint64 now = uv_now (x->en->o.loop);
 
@@ -80,8 +80,8 @@
                 PU_LOG_TEXT ("service", x->q.service),
                 PU_LOG_TEXT ("model", x->q.model),
                 PU_LOG_NUMBER ("ready_copies", ready_copies (x)),
-                PU_LOG_NUMBER ("age_ms", since (x, x->q.arrived)),
-                PU_LOG_NUMBER ("left_ms", time_left (x)),
+                PU_LOG_NUMBER ("age_ms", elapsed_ms (x, x->q.arrived)),
+                PU_LOG_NUMBER ("left_ms", time_left_ms (x)),
                 PU_LOG_NUMBER ("document", x->en->document_version));
 }
 
@@ -92,8 +92,8 @@
   pu_log_event (PU_ENTRY_PART, "Waits for its model to be loaded.",
                 PU_LOG_TEXT ("request", x->q.id),
                 PU_LOG_TEXT ("model", x->q.model),
-                PU_LOG_NUMBER ("age_ms", since (x, x->q.arrived)),
-                PU_LOG_NUMBER ("left_ms", time_left (x)),
+                PU_LOG_NUMBER ("age_ms", elapsed_ms (x, x->q.arrived)),
+                PU_LOG_NUMBER ("left_ms", time_left_ms (x)),
                 PU_LOG_NUMBER ("document", x->en->document_version));
 }
 
@@ -115,8 +115,8 @@
                 PU_LOG_NUMBER ("running", load.running),
                 PU_LOG_NUMBER ("waiting", load.waiting),
                 PU_LOG_NUMBER ("report_age_ms", load.age_ms),
-                PU_LOG_NUMBER ("age_ms", since (x, x->q.arrived)),
-                PU_LOG_NUMBER ("left_ms", time_left (x)),
+                PU_LOG_NUMBER ("age_ms", elapsed_ms (x, x->q.arrived)),
+                PU_LOG_NUMBER ("left_ms", time_left_ms (x)),
                 PU_LOG_NUMBER ("document", x->en->document_version));
 }
 
@@ -127,31 +127,31 @@
                 PU_LOG_TEXT ("service", x->q.service),
                 PU_LOG_TEXT ("model", x->q.model), PU_LOG_TEXT ("to", to),
                 PU_LOG_NUMBER ("hops", x->hops),
-                PU_LOG_NUMBER ("left_ms", time_left (x)));
+                PU_LOG_NUMBER ("left_ms", time_left_ms (x)));
 }
 
 void
-pu_trace_broke (const pu_exchange_t *x, pu_router_failure_t failure)
+pu_trace_attempt_failed (const pu_exchange_t *x, pu_router_failure_t failure)
 {
   count_labelled (x, "attempts_failed_total", "why",
                   pu_router_failure_name (failure));
   pu_log_event (PU_ENTRY_PART, "Attempt failed.",
                 PU_LOG_TEXT ("request", x->q.id),
-                PU_LOG_TEXT ("at", worker (x)),
+                PU_LOG_TEXT ("at", target_name (x)),
                 PU_LOG_TEXT ("why", pu_router_failure_name (failure)),
                 PU_LOG_NUMBER ("status", x->at.status),
                 PU_LOG_NUMBER ("attempt", x->attempts),
-                PU_LOG_NUMBER ("after_ms", since (x, x->at.sent_at)),
+                PU_LOG_NUMBER ("after_ms", elapsed_ms (x, x->at.sent_at)),
                 PU_LOG_NUMBER ("events", x->events),
-                PU_LOG_NUMBER ("left_ms", time_left (x)));
+                PU_LOG_NUMBER ("left_ms", time_left_ms (x)));
 }
 
 void
-pu_trace_failed (const pu_exchange_t *x, const pu_refusal_t *r,
-                 const char *message)
+pu_trace_request_failed (const pu_exchange_t *x, const pu_refusal_t *r,
+                         const char *message)
 {
   count_labelled (x, "requests_failed_total", "reason", r->type);
-  observe (x, "request_failed_ms", since (x, x->q.arrived));
+  observe (x, "request_failed_ms", elapsed_ms (x, x->q.arrived));
   pu_log_event (
       PU_ENTRY_PART, "Refused or failed.", PU_LOG_TEXT ("request", x->q.id),
       PU_LOG_TEXT ("route", x->q.route), PU_LOG_TEXT ("service", x->q.service),
@@ -160,8 +160,8 @@
       PU_LOG_TEXT ("outcome", pu_outcome_word (r->outcome)),
       PU_LOG_NUMBER ("attempts", x->attempts),
       PU_LOG_NUMBER ("ready_copies", ready_copies (x)),
-      PU_LOG_NUMBER ("age_ms", since (x, x->q.arrived)),
-      PU_LOG_NUMBER ("left_ms", time_left (x)),
+      PU_LOG_NUMBER ("age_ms", elapsed_ms (x, x->q.arrived)),
+      PU_LOG_NUMBER ("left_ms", time_left_ms (x)),
       PU_LOG_NUMBER ("retry_after_ms", r->retry_after_ms),
       PU_LOG_NUMBER ("document", x->en->document_version));
 }
@@ -170,7 +170,7 @@
 pu_trace_turned_away (const pu_entry_t *en, const char *id,
                       const pu_refusal_t *r, const char *message)
 {
-  count_here (en, "requests_turned_away_total");
+  count_at_entry (en, "requests_turned_away_total");
   pu_log_event (PU_ENTRY_PART, "Turned away.", PU_LOG_TEXT ("request", id),
                 PU_LOG_TEXT ("reason", r->type), PU_LOG_TEXT ("why", message),
                 PU_LOG_NUMBER ("open", en->open.length),
@@ -182,9 +182,9 @@
 pu_trace_answered (const pu_exchange_t *x)
 {
   count (x, "requests_answered_total");
-  observe (x, "request_answered_ms", since (x, x->q.arrived));
+  observe (x, "request_answered_ms", elapsed_ms (x, x->q.arrived));
   pu_log_event (PU_ENTRY_PART, "Answered.", PU_LOG_TEXT ("request", x->q.id),
-                PU_LOG_TEXT ("by", worker (x)),
+                PU_LOG_TEXT ("by", target_name (x)),
                 PU_LOG_NUMBER ("status", x->at.status),
                 PU_LOG_NUMBER ("attempts", x->attempts),
                 PU_LOG_NUMBER ("events", x->events),
@@ -192,7 +192,7 @@
                 PU_LOG_NUMBER ("target_ms", x->q.target_ms),
                 PU_LOG_NUMBER ("pause_ms", x->pause_ms),
                 PU_LOG_NUMBER ("pause_target_ms", x->q.gap_ms),
-                PU_LOG_NUMBER ("age_ms", since (x, x->q.arrived)));
+                PU_LOG_NUMBER ("age_ms", elapsed_ms (x, x->q.arrived)));
 }
 
 void
@@ -201,13 +201,13 @@
   count (x, "requests_left_total");
   pu_log_event (PU_ENTRY_PART, "The caller has left.",
                 PU_LOG_TEXT ("request", x->q.id),
-                PU_LOG_TEXT ("at", worker (x)),
-                PU_LOG_NUMBER ("age_ms", since (x, x->q.arrived)),
+                PU_LOG_TEXT ("at", target_name (x)),
+                PU_LOG_NUMBER ("age_ms", elapsed_ms (x, x->q.arrived)),
                 PU_LOG_NUMBER ("events", x->events));
 }
 
 void
 pu_trace_first_event (const pu_exchange_t *x)
 {
-  observe (x, "request_first_event_ms", since (x, x->q.arrived));
+  observe (x, "request_first_event_ms", elapsed_ms (x, x->q.arrived));
 }
--- a/libplantainusher/entry/trace.h
+++ b/libplantainusher/entry/trace.h
@@ -6,42 +6,47 @@
 G_BEGIN_DECLS
 
 /*
- * trace - a line of the log for each decision that touches a request, with
- * its id, what decided it and how old that was.  `grep ID` tells its story.
+ * trace - logs and counts the decisions about a request.
+ *
+ * Each decision is one line of the log, with the request's id, the figures
+ * behind the decision and their age, so that `grep ID` shows all that happened
+ * to a request.
  */
 
-/* pu_trace_queued - X waits in the router.  */
+/* pu_trace_queued - X waits in the router's queue.  */
 void pu_trace_queued (const pu_exchange_t *x);
 
-/* pu_trace_wants - X waits for its model to be loaded.  */
+/* pu_trace_wants - X waits until its model is loaded.  */
 void pu_trace_wants (const pu_exchange_t *x);
 
-/* pu_trace_sent - X goes to the backend server S.  */
+/* pu_trace_sent - X was sent to the backend server S.  */
 void pu_trace_sent (const pu_exchange_t *x, const pu_server_t *s);
 
-/* pu_trace_relayed - X goes to the entry TO.  */
+/* pu_trace_relayed - X is relayed to the entry TO.  */
 void pu_trace_relayed (const pu_exchange_t *x, const char *to);
 
-/* pu_trace_broke - an attempt of X has ended with FAILURE.  */
-void pu_trace_broke (const pu_exchange_t *x, pu_router_failure_t failure);
+/* pu_trace_attempt_failed - an attempt of X failed with FAILURE.  */
+void pu_trace_attempt_failed (const pu_exchange_t *x,
+                              pu_router_failure_t failure);
 
-/* pu_trace_failed - X is answered with R.  */
-void pu_trace_failed (const pu_exchange_t *x, const pu_refusal_t *r,
-                      const char *message);
+/* pu_trace_request_failed - X is answered with the refusal or failure R.  */
+void pu_trace_request_failed (const pu_exchange_t *x, const pu_refusal_t *r,
+                              const char *message);
 
-/* pu_trace_turned_away - the request ID (may be NULL) is answered with R
-   before anything of it was read.  */
+/* pu_trace_turned_away - the request ID (may be NULL) is refused with R before
+   any of it is read.  */
 void pu_trace_turned_away (const pu_entry_t *en, const char *id,
                            const pu_refusal_t *r, const char *message);
 
-/* pu_trace_answered - X has its backend server's whole answer.  */
+/* pu_trace_answered - the complete response to X has arrived.  */
 void pu_trace_answered (const pu_exchange_t *x);
 
-/* pu_trace_first_event - X's caller gets the first event of a stream. Counted,
-   not logged.  */
+/* pu_trace_first_event - the first event of a stream is forwarded to X's
+   client.  Counted, not logged.  */
 void pu_trace_first_event (const pu_exchange_t *x);
 
-/* pu_trace_left - X's caller has gone.  */
+/* pu_trace_left - X's client closed its connection before the response was
+   complete.  */
 void pu_trace_left (const pu_exchange_t *x);
 
 G_END_DECLS
