--- a/libplantainusher/entry/exchange.c
+++ b/libplantainusher/entry/exchange.c
@@ -259,7 +259,7 @@
     return PU_SUSPECTS_RUN;
   if (pu_strike_pending (x->en, x->q.fingerprint))
     return PU_SUSPECTS_WAIT;
-  return pu_suspects_judge (x->en->suspects, x->q.fingerprint,
+  return pu_suspects_check (x->en->suspects, x->q.fingerprint,
                             uv_now (x->en->o.loop));
 }
 
@@ -292,8 +292,8 @@
     }
   else
     {
-      relay = next_hop (x, x->q.service, pu_service_size (x->en, x->q.service),
-                        1, &to);
+      relay = next_hop (x, x->q.service,
+                        pu_service_entry_count (x->en, x->q.service), 1, &to);
     }
   if (verdict == PU_SUSPECTS_WAIT
       && (!relay || pu_strike_pending (x->en, x->q.fingerprint)))
@@ -355,8 +355,8 @@
 must_avoid (const pu_exchange_t *x, guint server)
 {
   return is_crash_tracked (x)
-         && pu_suspects_stays (x->en->suspects, x->q.fingerprint, server,
-                               x->held_since, uv_now (x->en->o.loop));
+         && pu_suspects_must_avoid (x->en->suspects, x->q.fingerprint, server,
+                                    x->held_since, uv_now (x->en->o.loop));
 }
 
 /* Like must_avoid, for S, which the router chose.  When true, records since
@@ -418,7 +418,7 @@
          && pu_router_ready_copies (router,
                                     pu_router_find_model (router, x->q.model))
                 == 0
-         && pu_servers_apart (x->en, x->q.model);
+         && pu_servers_copy_isolated (x->en, x->q.model);
 }
 
 void
@@ -492,7 +492,7 @@
 
   if (!is_suspect (x))
     return false;
-  if (crash_verdict (x) != PU_SUSPECTS_APART)
+  if (crash_verdict (x) != PU_SUSPECTS_RUN_ISOLATED)
     return true;
   return !x->once && x->q.repeatable && !x->q.here
          && suspect_next_hop (x, &to);
@@ -521,7 +521,7 @@
   pu_ticket_t ticket = x->ticket;
 
   ticket_set (x, 0);
-  pu_router_failed (x->en->router, ticket, failure, uv_now (x->en->o.loop));
+  pu_router_abandon (x->en->router, ticket, failure, uv_now (x->en->o.loop));
   pu_router_due (x->en);
   suspect_route (x);
 }
@@ -595,7 +595,7 @@
     {
       if (now >= x->q.deadline
           && pu_once_give_up (x->en->once, x->number, now))
-        pu_claim_pump (x->en);
+        pu_claim_run_actions (x->en);
       return;
     }
   if (now >= x->q.deadline && x->phase != PU_X_QUEUED)
