--- a/libplantainusher/entry/announcement_fuzz.cc
+++ b/libplantainusher/entry/announcement_fuzz.cc
@@ -1,12 +1,13 @@
-/* Any text that is JSON gives a report or findings, alone and over the report
-   before it; what is given can be put into the log.  */
+/* Any JSON text yields either an announcement or findings.  An announcement is
+   read again over its own record, as a report that follows one would be, and
+   the resulting record can be encoded for the log.  */
 #include <stdint.h>
 
 #include "entry/entry_private.h"
 #include "state/codec.h"
 
 static void
-check_report (const json_t *root, const pu_backend_record *base)
+check_announcement (const json_t *root, const pu_backend_record *base)
 {
   pu_findings_t *f = pu_findings_new ();
   pu_announcement_t a = {};
@@ -17,7 +18,7 @@
   if (read)
     {
       if (base == nullptr)
-        check_report (root, a.record);
+        check_announcement (root, a.record);
       g_bytes_unref (
           pu_codec_encode ((xdrproc_t)xdr_pu_backend_record, a.record));
     }
@@ -32,7 +33,7 @@
       = json_loadb ((const char *)data, size, JSON_REJECT_DUPLICATES, nullptr);
 
   if (root != nullptr)
-    check_report (root, nullptr);
+    check_announcement (root, nullptr);
   json_decref (root);
   return 0;
 }
--- a/libplantainusher/entry/entry_test.cc
+++ b/libplantainusher/entry/entry_test.cc
@@ -6,10 +6,10 @@
 
 namespace
 {
-const std::string DONE = "data: [DONE]\n\n";
+const std::string DONE_EVENT = "data: [DONE]\n\n";
 
 bool
-has (const std::string &text, const std::string &part)
+contains (const std::string &text, const std::string &part)
 {
   return text.find (part) != std::string::npos;
 }
@@ -22,28 +22,28 @@
   caller c;
 };
 
-using Once = Entry;
+using AtMostOnce = Entry;
 
 /* --- completions --- */
 
-TEST_F (Entry, StreamAndWholeAnswerReachTheCaller)
+TEST_F (Entry, StreamedAndBufferedAnswersReachTheCaller)
 {
   backend &b = r.add_backend ("e1", "", n);
   caller stream;
   caller whole;
 
-  r.ask (stream, n, "hi", true, { { "X-Request-Id", "q1" } });
+  r.call_chat (stream, n, "hi", true, { { "X-Request-Id", "q1" } });
   EXPECT_TRUE (stream.whole ());
   EXPECT_EQ ("q1", stream.headers["x-request-id"]);
-  EXPECT_EQ (text_of (4), stream.text ());
-  EXPECT_TRUE (has (stream.body, DONE));
-  r.ask (whole, n, "hi", false);
-  EXPECT_EQ ("{\"text\":\"" + text_of (4) + "\"}", whole.body);
+  EXPECT_EQ (engine_text (4), stream.text ());
+  EXPECT_TRUE (contains (stream.body, DONE_EVENT));
+  r.call_chat (whole, n, "hi", false);
+  EXPECT_EQ ("{\"text\":\"" + engine_text (4) + "\"}", whole.body);
   EXPECT_FALSE (whole.headers["x-request-id"].empty ());
-  EXPECT_EQ (2u, b.ran.size ());
+  EXPECT_EQ (2u, b.executed_ids.size ());
 }
 
-TEST_F (Entry, BadRequestsAreRefusedAsNotRun)
+TEST_F (Entry, InvalidRequestsAreRejectedAsNotRun)
 {
   backend &b = r.add_backend ("e1", "", n);
   struct
@@ -75,7 +75,7 @@
     { "GET", "/services/none/x", "", {}, 404 },
     { "GET", "/v1/entries?service=none", "", {}, 404 },
     { "POST", "/v1/backends/announce", "{}", {}, 401 },
-    /* What is no UTF-8 is told in the answer, which is.  */
+    /* The answer is valid UTF-8 though it quotes text that is not.  */
     { "GET", "/v1/entries?service=%ff", "", {}, 404 },
     { "GET", "/services/\xff/x", "", {}, 404 },
     { "POST",
@@ -92,42 +92,42 @@
       r.call (c, n, row.method, row.target, row.body, row.headers);
       EXPECT_EQ (row.status, c.status) << row.target << row.body;
       EXPECT_EQ ("not-run", c.headers["x-outcome"]) << row.target;
-      EXPECT_TRUE (has (c.body, "\"outcome\":\"not-run\"")) << c.body;
+      EXPECT_TRUE (contains (c.body, "\"outcome\":\"not-run\"")) << c.body;
     }
-  EXPECT_TRUE (b.ran.empty ());
+  EXPECT_TRUE (b.executed_ids.empty ());
 }
 
-TEST_F (Entry, NoReadyCopyIsRefusedAtOnceWithATime)
+TEST_F (Entry, RequestWithoutReadyCopyIsRejectedWithRetryAfter)
 {
-  r.ask (c, n, "hi", true);
+  r.call_chat (c, n, "hi", true);
   EXPECT_EQ (503, c.status);
   EXPECT_EQ ("not-run", c.headers["x-outcome"]);
   EXPECT_FALSE (c.headers["retry-after"].empty ());
 }
 
-TEST_F (Entry, RefusedByABackendServerIsTriedAtAnother)
+TEST_F (Entry, RejectedRequestIsRetriedOnAnotherBackendServer)
 {
   backend &a = r.add_backend ("e1", "", n);
   backend &b = r.add_backend ("e2", "", n);
 
-  a.refuses = true;
+  a.rejects_requests = true;
   for (int i = 0; i < 4; i++)
     {
       caller c;
 
-      r.ask (c, n, "hi", true);
+      r.call_chat (c, n, "hi", true);
       EXPECT_TRUE (c.whole ());
     }
-  EXPECT_TRUE (a.ran.empty ());
-  EXPECT_EQ (4u, b.ran.size ());
+  EXPECT_TRUE (a.executed_ids.empty ());
+  EXPECT_EQ (4u, b.executed_ids.size ());
 }
 
-class Cut : public testing::TestWithParam<bool>
+class TruncatedStream : public testing::TestWithParam<bool>
 {
 };
 
-/* With and without an engine that confirms the resume.  */
-TEST_P (Cut, StreamIsResumedWithNothingDoubledOrMissing)
+/* The parameter: whether the engine confirms the resume.  */
+TEST_P (TruncatedStream, IsResumedWithoutDuplicatesOrGaps)
 {
   for (guint cut : { 0u, 1u, 3u })
     {
@@ -136,45 +136,45 @@
       backend &b = r.add_backend ("e1", "", n);
       caller c;
 
-      b.cut_after = cut;
-      b.resumes = GetParam ();
-      r.ask (c, n, "hi", true);
+      b.truncate_after_tokens = cut;
+      b.supports_resume = GetParam ();
+      r.call_chat (c, n, "hi", true);
       EXPECT_TRUE (c.whole ());
-      EXPECT_EQ (text_of (4), c.text ());
-      EXPECT_EQ (2u, b.ran.size ());
-      EXPECT_EQ (cut > 0, has (b.bodies[1], "resume_text"));
+      EXPECT_EQ (engine_text (4), c.text ());
+      EXPECT_EQ (2u, b.executed_ids.size ());
+      EXPECT_EQ (cut > 0, contains (b.request_bodies[1], "resume_text"));
     }
 }
 
-INSTANTIATE_TEST_SUITE_P (Resume, Cut, testing::Bool ());
+INSTANTIATE_TEST_SUITE_P (Resume, TruncatedStream, testing::Bool ());
 
-TEST_F (Entry, ResumeThatDiffersNeverReachesTheCallerAsWhole)
+TEST_F (Entry, ResumeWithWrongIdEndsTheStreamWithAnError)
 {
   backend &b = r.add_backend ("e1", "", n);
 
-  b.cut_after = 2;
-  r.chat (c, n, "hi", true);
-  r.until ([this] { return c.text () == text_of (2); });
-  b.foreign = true;
+  b.truncate_after_tokens = 2;
+  r.send_chat (c, n, "hi", true);
+  r.until ([this] { return c.text () == engine_text (2); });
+  b.sends_wrong_id = true;
   r.finish (c);
   EXPECT_FALSE (c.whole ());
-  EXPECT_EQ (text_of (2), c.text ());
-  EXPECT_TRUE (has (c.body, "event: error"));
-  EXPECT_TRUE (has (c.body, "\"outcome\":\"ran\""));
+  EXPECT_EQ (engine_text (2), c.text ());
+  EXPECT_TRUE (contains (c.body, "event: error"));
+  EXPECT_TRUE (contains (c.body, "\"outcome\":\"ran\""));
 }
 
-TEST_F (Entry, CutWholeAnswerIsTriedAgain)
+TEST_F (Entry, TruncatedBufferedAnswerIsRetried)
 {
   backend &b = r.add_backend ("e1", "", n);
 
-  b.cut_after = 0;
-  r.ask (c, n, "hi", false);
+  b.truncate_after_tokens = 0;
+  r.call_chat (c, n, "hi", false);
   EXPECT_EQ (200, c.status);
   EXPECT_TRUE (c.whole ());
-  EXPECT_EQ (2u, b.ran.size ());
+  EXPECT_EQ (2u, b.executed_ids.size ());
 }
 
-TEST_F (Entry, ForeignAnswerIsNotPassedOn)
+TEST_F (Entry, AnswerWithWrongIdIsNotDelivered)
 {
   for (bool stream : { true, false })
     {
@@ -183,44 +183,44 @@
       backend &b = r.add_backend ("e1", "", n);
       caller c;
 
-      b.foreign = true;
-      r.ask (c, n, "hi", stream);
+      b.sends_wrong_id = true;
+      r.call_chat (c, n, "hi", stream);
       EXPECT_NE (200, c.status);
       EXPECT_EQ ("unknown", c.headers["x-outcome"]);
-      EXPECT_FALSE (has (c.body, "t0"));
+      EXPECT_FALSE (contains (c.body, "t0"));
     }
 }
 
-TEST_F (Entry, NotRepeatableIsNotTriedAgain)
+TEST_F (Entry, NotRepeatableRequestIsNotRetried)
 {
   backend &b = r.add_backend ("e1", "", n);
 
-  b.cut_after = 0;
-  r.ask (c, n, "hi", true, { { "X-Not-Repeatable", "1" } });
+  b.truncate_after_tokens = 0;
+  r.call_chat (c, n, "hi", true, { { "X-Not-Repeatable", "1" } });
   EXPECT_EQ (502, c.status);
   EXPECT_EQ ("unknown", c.headers["x-outcome"]);
-  EXPECT_EQ (1u, b.ran.size ());
+  EXPECT_EQ (1u, b.executed_ids.size ());
 }
 
-TEST_F (Entry, SilentBackendServerIsLeftForAnother)
+TEST_F (Entry, StalledStreamIsRetriedAfterTheProgressTimeout)
 {
   backend &a = r.add_backend ("e1", "", n);
 
-  a.silent = true;
-  r.chat (c, n, "hi", true);
-  r.until ([this] { return c.text () == text_of (4); });
-  a.silent = false;
+  a.stalls = true;
+  r.send_chat (c, n, "hi", true);
+  r.until ([this] { return c.text () == engine_text (4); });
+  a.stalls = false;
   r.finish (c);
   EXPECT_TRUE (c.whole ());
-  EXPECT_EQ (text_of (4), c.text ());
+  EXPECT_EQ (engine_text (4), c.text ());
 }
 
-TEST_F (Entry, CallerThatGoesCancelsItsRequest)
+TEST_F (Entry, CallerDisconnectCancelsItsRequest)
 {
   backend &b = r.add_backend ("e1", "", n);
 
-  b.silent = true;
-  r.chat (c, n, "hi", true);
+  b.stalls = true;
+  r.send_chat (c, n, "hi", true);
   r.until ([this] { return !c.body.empty (); });
   EXPECT_EQ (1u, pu_entry_open (n.entry));
   pu_http_call_cancel (c.call);
@@ -230,69 +230,69 @@
   });
 }
 
-TEST_F (Entry, DeadlineEndsTheRequestWithAnUnknownOutcome)
+TEST_F (Entry, ExpiredDeadlineGivesAnUnknownOutcome)
 {
   backend &b = r.add_backend ("e1", "", n);
 
-  b.silent = true;
-  b.tokens = 0;
-  r.ask (c, n, "hi", false, { { "X-Timeout-Ms", "200" } });
+  b.stalls = true;
+  b.token_count = 0;
+  r.call_chat (c, n, "hi", false, { { "X-Timeout-Ms", "200" } });
   EXPECT_GE (c.status, 500);
   EXPECT_EQ ("unknown", c.headers["x-outcome"]);
 }
 
 /* --- backend servers --- */
 
-TEST_F (Entry, DeadBackendServerIsProposedDownAndItsRequestsRunElsewhere)
+TEST_F (Entry, DeadBackendServerIsMarkedDownAndItsRequestsAreRetried)
 {
   backend &a = r.add_backend ("e1", "", n);
 
-  a.silent = true;
-  r.chat (c, n, "hi", true);
+  a.stalls = true;
+  r.send_chat (c, n, "hi", true);
   r.until ([this] { return !c.body.empty (); });
   r.add_backend ("e2", "", n);
   r.kill (a);
   r.finish (c);
   EXPECT_TRUE (c.whole ());
-  EXPECT_EQ (text_of (4), c.text ());
-  r.until ([&] { return !r.knows (a); });
+  EXPECT_EQ (engine_text (4), c.text ());
+  r.until ([&] { return !r.backend_is_up (a); });
 }
 
-TEST_F (Entry, PoisonTakesTwoBackendServersAtMost)
+TEST_F (Entry, PoisonRequestKillsAtMostTwoBackendServers)
 {
   std::vector<backend *> all;
   int dead = 0;
-  int convicted = 0;
+  int rejected = 0;
 
   for (int i = 0; i < 6; i++)
     {
       all.push_back (&r.add_backend ("e" + std::to_string (i), "", n));
-      all.back ()->crash_on = "poison";
+      all.back ()->crash_marker = "poison";
     }
   for (int i = 0; i < 8; i++)
     {
       caller poison;
       caller good;
 
-      r.chat (poison, n, "poison", true);
-      r.chat (good, n, "good" + std::to_string (i), true);
+      r.send_chat (poison, n, "poison", true);
+      r.send_chat (good, n, "good" + std::to_string (i), true);
       r.finish (poison);
       r.finish (good);
       EXPECT_TRUE (good.whole ()) << good.body;
-      convicted += poison.status == 422 ? 1 : 0;
+      rejected += poison.status == 422 ? 1 : 0;
     }
   for (const auto *b : all)
     dead += b->server == nullptr ? 1 : 0;
   EXPECT_LE (dead, 2);
-  EXPECT_GE (convicted, 6);
+  EXPECT_GE (rejected, 6);
 }
 
-TEST_F (Entry, FirstCopiesSentTogetherTakeTwoBackendServersAtMost)
+TEST_F (Entry, ConcurrentPoisonRequestsKillAtMostTwoBackendServers)
 {
   rig r;
   std::vector<node *> nodes;
   std::vector<backend *> all;
-  std::list<caller> copies;
+  std::list<caller> poisons;
   int dead = 0;
 
   for (int i = 0; i < 3; i++)
@@ -300,11 +300,11 @@
   for (int i = 0; i < 6; i++)
     {
       all.push_back (&r.add_backend ("e" + std::to_string (i), "", *nodes[0]));
-      all.back ()->crash_on = "poison";
+      all.back ()->crash_marker = "poison";
     }
   for (int i = 0; i < 12; i++)
-    r.chat (copies.emplace_back (), *nodes[i % 3], "poison", true);
-  for (caller &c : copies)
+    r.send_chat (poisons.emplace_back (), *nodes[i % 3], "poison", true);
+  for (caller &c : poisons)
     {
       r.finish (c);
       EXPECT_FALSE (c.whole () && c.status == 200);
@@ -312,11 +312,12 @@
   for (const auto *b : all)
     {
       dead += b->server == nullptr ? 1 : 0;
-      for (caller &c : copies)
+      for (caller &c : poisons)
         {
           if (c.headers["x-outcome"] != "not-run")
             continue;
-          EXPECT_EQ (0, std::count (b->ran.begin (), b->ran.end (),
+          EXPECT_EQ (0, std::count (b->executed_ids.begin (),
+                                    b->executed_ids.end (),
                                     c.headers["x-request-id"]))
               << c.body;
         }
@@ -324,54 +325,57 @@
   EXPECT_LE (dead, 2);
 }
 
-/* It is not refused: the only copy serves it after the suspect.  */
-TEST_F (Entry, WhatMeetsASuspectAtTheLastCopyWaits)
+/* A request that arrives while a suspect (a request whose backend server died
+   while it ran) occupies the only copy is queued until the suspect ends, not
+   rejected.  */
+TEST_F (Entry, RequestWaitsForASuspectOnTheOnlyCopy)
 {
   backend &a = r.add_backend ("e1", "", n);
   caller suspect;
 
-  a.silent = true;
-  r.chat (suspect, n, "slow", true);
+  a.stalls = true;
+  r.send_chat (suspect, n, "slow", true);
   r.until ([&] { return !suspect.body.empty (); });
   backend &b = r.add_backend ("e2", "", n);
-  b.silent = true;
+  b.stalls = true;
   r.kill (a);
-  r.until ([&] { return b.ran.size () == 1; });
-  b.silent = false;
-  r.ask (c, n, "hi", true);
+  r.until ([&] { return b.executed_ids.size () == 1; });
+  b.stalls = false;
+  r.call_chat (c, n, "hi", true);
   EXPECT_EQ (200, c.status) << c.body;
   EXPECT_TRUE (c.whole ());
   r.finish (suspect);
   EXPECT_TRUE (suspect.whole ()) << suspect.body;
 }
 
-/* A dying process takes the probe's connection and closes it.  */
-TEST_F (Entry, ProbeThatIsTakenAndClosedIsNoSignOfLife)
+/* A process that is exiting may still accept the probe's connection and close
+   it without an answer; that does not count as alive.  */
+TEST_F (Entry, ProbeClosedWithoutAnAnswerIsAFailure)
 {
   backend &a = r.add_backend ("e1", "", n);
 
-  a.closes = true;
-  a.cut_after = 0;
-  r.ask (c, n, "hi", true);
+  a.closes_on_probe = true;
+  a.truncate_after_tokens = 0;
+  r.call_chat (c, n, "hi", true);
   EXPECT_EQ (503, c.status);
-  r.until ([&] { return !r.knows (a); });
-  EXPECT_EQ (1u, a.ran.size ());
+  r.until ([&] { return !r.backend_is_up (a); });
+  EXPECT_EQ (1u, a.executed_ids.size ());
 }
 
-TEST_F (Entry, ReportsAreNotAcknowledgedWithoutAVoter)
+TEST_F (Entry, AnnouncementsAreNotAcknowledgedWithoutAVoter)
 {
   backend &a = r.add_backend ("e1", "", n);
 
-  n.in_touch = false;
+  n.voters_reachable = false;
   EXPECT_EQ (503, r.announce (a, n, ",\"leaving\":true"));
   caller c;
-  r.ask (c, n, "hi", true);
-  EXPECT_EQ (503, c.status) << "what it said holds here";
-  n.in_touch = true;
+  r.call_chat (c, n, "hi", true);
+  EXPECT_EQ (503, c.status) << "this entry applied the announcement";
+  n.voters_reachable = true;
   EXPECT_EQ (200, r.announce (a, n));
 }
 
-TEST_F (Entry, LeavingBackendServerGetsNothingNew)
+TEST_F (Entry, LeavingBackendServerGetsNoNewRequests)
 {
   backend &a = r.add_backend ("e1", "", n);
   backend &b = r.add_backend ("e2", "", n);
@@ -381,14 +385,14 @@
     {
       caller c;
 
-      r.ask (c, n, "hi", true);
+      r.call_chat (c, n, "hi", true);
       EXPECT_TRUE (c.whole ());
     }
-  EXPECT_TRUE (a.ran.empty ());
-  EXPECT_EQ (4u, b.ran.size ());
+  EXPECT_TRUE (a.executed_ids.empty ());
+  EXPECT_EQ (4u, b.executed_ids.size ());
 }
 
-TEST_F (Entry, AnnouncementsAreReadStrictly)
+TEST_F (Entry, AnnouncementsAreValidatedStrictly)
 {
   backend &b = r.add_backend ("e1", "", n);
   const rig::headers key
@@ -425,7 +429,7 @@
 
       r.call (c, n, "POST", "/v1/backends/announce", row.body, key);
       EXPECT_EQ (row.status, c.status) << row.body;
-      EXPECT_TRUE (has (c.body, row.part)) << c.body;
+      EXPECT_TRUE (contains (c.body, row.part)) << c.body;
     }
   b.incarnation = 2;
   EXPECT_EQ (200, r.announce (b, n));
@@ -433,42 +437,45 @@
   EXPECT_EQ (409, r.announce (b, n));
 }
 
-/* The leader places copies by this: never by requests alone.  */
-TEST_F (Entry, DemandIsToldWithTheTimeThatARequestRuns)
+/* The leader plans the model copies from the number of requests and their
+   service time, so every demand report carries both.  */
+TEST_F (Entry, DemandReportsCarryTheMeanServiceTime)
 {
   backend &b = r.add_backend ("e1", "", n);
 
-  r.ask (c, n, "hi", true);
-  EXPECT_EQ (std::vector<guint32>{ 1000 }, n.demand_ms) << "none has run yet";
+  r.call_chat (c, n, "hi", true);
+  EXPECT_EQ (std::vector<guint32>{ 1000 }, n.reported_demand_ms)
+      << "the default until a request has completed";
   for (int i = 0; i < 2; i++)
     {
       caller again;
 
-      r.ask (again, n, "hi", false);
+      r.call_chat (again, n, "hi", false);
     }
-  ASSERT_EQ (3u, n.demand_ms.size ());
-  EXPECT_NE (1000u, n.demand_ms[2]) << "two have run";
+  ASSERT_EQ (3u, n.reported_demand_ms.size ());
+  EXPECT_NE (1000u, n.reported_demand_ms[2]) << "measured: two have completed";
   r.kill (b);
   caller refused;
-  r.ask (refused, n, "hi", true);
-  EXPECT_EQ (4u, n.demand_ms.size ()) << "refused for want of a copy";
+  r.call_chat (refused, n, "hi", true);
+  EXPECT_EQ (4u, n.reported_demand_ms.size ())
+      << "also reported for a request rejected for lack of a copy";
 }
 
 /* --- plain services and at-most-once calls --- */
 
-TEST_F (Entry, PlainServiceGetsThePathBelowItsName)
+TEST_F (Entry, PlainServiceGetsThePathWithoutItsPrefix)
 {
   backend &b = r.add_backend ("p1", "board", n);
 
   r.call (c, n, "GET", "/services/board/rooms/7?x=1", "");
   EXPECT_EQ (200, c.status);
-  ASSERT_EQ (1u, b.targets.size ());
-  EXPECT_EQ ("/rooms/7?x=1", b.targets[0]);
+  ASSERT_EQ (1u, b.request_targets.size ());
+  EXPECT_EQ ("/rooms/7?x=1", b.request_targets[0]);
 }
 
-const rig::headers KEY = { { "Idempotency-Key", "k1" } };
+const rig::headers KEY_HEADER = { { "Idempotency-Key", "k1" } };
 
-TEST_F (Once, ResendThroughAnotherEntryGetsTheKeptAnswer)
+TEST_F (AtMostOnce, RetryThroughAnotherEntryGetsTheStoredAnswer)
 {
   node &m = r.add_node ("n2");
   backend &b = r.add_backend ("p1", "board", n);
@@ -476,84 +483,84 @@
   caller again;
   caller other;
 
-  r.call (first, n, "POST", "/services/board/assign", "{}", KEY);
+  r.call (first, n, "POST", "/services/board/assign", "{}", KEY_HEADER);
   EXPECT_EQ (200, first.status);
   EXPECT_EQ ("ran", first.headers["x-outcome"]);
   r.until ([this] { return pu_entry_open (n.entry) == 0; });
-  r.call (again, m, "POST", "/services/board/assign", "{}", KEY);
+  r.call (again, m, "POST", "/services/board/assign", "{}", KEY_HEADER);
   EXPECT_EQ (first.body, again.body);
-  r.call (other, m, "POST", "/services/board/assign", "{1}", KEY);
+  r.call (other, m, "POST", "/services/board/assign", "{1}", KEY_HEADER);
   EXPECT_EQ (422, other.status);
-  EXPECT_EQ (1u, b.ran.size ());
+  EXPECT_EQ (1u, b.executed_ids.size ());
 }
 
-TEST_F (Once, LostOutcomeIsUnknownAndNeverRunsAgain)
+TEST_F (AtMostOnce, LostAnswerIsUnknownAndTheCallNeverRunsAgain)
 {
   backend &b = r.add_backend ("p1", "board", n);
 
-  b.cut_after = 0;
+  b.truncate_after_tokens = 0;
   for (int i = 0; i < 3; i++)
     {
       caller c;
 
-      r.call (c, n, "POST", "/services/board/assign", "{}", KEY);
+      r.call (c, n, "POST", "/services/board/assign", "{}", KEY_HEADER);
       EXPECT_EQ (502, c.status);
       EXPECT_EQ ("unknown", c.headers["x-outcome"]);
     }
-  EXPECT_EQ (1u, b.ran.size ());
+  EXPECT_EQ (1u, b.executed_ids.size ());
 }
 
-TEST_F (Once, RefusedByTheBackendServerMayRunLater)
+TEST_F (AtMostOnce, RejectedCallMayRunLater)
 {
   backend &b = r.add_backend ("p1", "board", n);
   caller again;
 
-  b.refuses = true;
-  r.call (c, n, "POST", "/services/board/assign", "{}", KEY);
+  b.rejects_requests = true;
+  r.call (c, n, "POST", "/services/board/assign", "{}", KEY_HEADER);
   EXPECT_EQ ("not-run", c.headers["x-outcome"]);
   r.until ([this] { return pu_entry_open (n.entry) == 0; });
-  b.refuses = false;
-  r.call (again, n, "POST", "/services/board/assign", "{}", KEY);
+  b.rejects_requests = false;
+  r.call (again, n, "POST", "/services/board/assign", "{}", KEY_HEADER);
   EXPECT_EQ (200, again.status);
-  EXPECT_EQ (1u, b.ran.size ());
+  EXPECT_EQ (1u, b.executed_ids.size ());
 }
 
-TEST_F (Once, WithoutAQuorumNothingRuns)
+TEST_F (AtMostOnce, CallsAreRejectedWithoutAQuorum)
 {
   backend &b = r.add_backend ("p1", "board", n);
   caller read;
 
   r.quorum = false;
-  r.call (c, n, "POST", "/services/board/assign", "{}", KEY);
+  r.call (c, n, "POST", "/services/board/assign", "{}", KEY_HEADER);
   EXPECT_EQ (503, c.status);
   EXPECT_EQ ("not-run", c.headers["x-outcome"]);
-  EXPECT_TRUE (b.ran.empty ());
+  EXPECT_TRUE (b.executed_ids.empty ());
   r.call (read, n, "GET", "/services/board/rooms", "");
   EXPECT_EQ (200, read.status);
 }
 
-TEST_F (Once, CallerThatGoesDoesNotStopTheCall)
+TEST_F (AtMostOnce, CallerDisconnectDoesNotCancelTheCall)
 {
   backend &b = r.add_backend ("p1", "board", n);
   caller again;
 
-  b.silent = true;
-  b.tokens = 0;
-  r.send (c, n, "POST", "/services/board/assign", "{}", KEY);
-  r.until ([&b] { return b.open.size () == 1; });
+  b.stalls = true;
+  b.token_count = 0;
+  r.send (c, n, "POST", "/services/board/assign", "{}", KEY_HEADER);
+  r.until ([&b] { return b.pending_requests.size () == 1; });
   pu_http_call_cancel (c.call);
   for (int i = 0; i < 50; i++)
     uv_run (&r.loop, UV_RUN_ONCE);
-  pu_http_respond (b.open[0], 200, nullptr, 0, "done", 4);
+  pu_http_respond (b.pending_requests[0], 200, nullptr, 0, "done", 4);
   r.until ([this] { return pu_entry_open (n.entry) == 0; });
-  r.call (again, n, "POST", "/services/board/assign", "{}", KEY);
+  r.call (again, n, "POST", "/services/board/assign", "{}", KEY_HEADER);
   EXPECT_EQ ("done", again.body);
-  EXPECT_EQ (1u, b.ran.size ());
+  EXPECT_EQ (1u, b.executed_ids.size ());
 }
 
 /* --- several entries --- */
 
-struct Several : testing::Test
+struct MultipleEntries : testing::Test
 {
   rig r;
   caller c;
@@ -568,8 +575,9 @@
     engine = &r.add_backend ("e1", "", *nodes[0]);
   }
 
+  /* The answer to /v1/entries for the service "chat".  */
   std::string
-  entries ()
+  service_entries ()
   {
     caller c;
 
@@ -577,42 +585,42 @@
     return c.body;
   }
 
-  /* An entry that is not in the service's set.  */
+  /* An entry outside the set that serves "chat".  */
   node &
-  outside ()
+  entry_outside_set ()
   {
-    const std::string set = entries ();
+    const std::string set = service_entries ();
 
     return **std::find_if (nodes.begin (), nodes.end (), [&set] (node *n) {
-      return !has (set, n->address);
+      return !contains (set, n->address);
     });
   }
 };
 
-TEST_F (Several, EveryEntryServesEveryService)
+TEST_F (MultipleEntries, EveryEntryServesEveryService)
 {
   for (auto *n : nodes)
     {
       caller c;
 
-      r.ask (c, *n, "hi", true, { { "X-Request-Id", "q" } });
+      r.call_chat (c, *n, "hi", true, { { "X-Request-Id", "q" } });
       EXPECT_TRUE (c.whole ());
-      EXPECT_EQ (text_of (4), c.text ());
+      EXPECT_EQ (engine_text (4), c.text ());
     }
-  EXPECT_EQ (4u, engine->ran.size ());
+  EXPECT_EQ (4u, engine->executed_ids.size ());
 }
 
-TEST_F (Several, RelayedStreamIsResumedPastALostEntry)
+TEST_F (MultipleEntries, RelayedStreamIsResumedAfterAnEntryFailure)
 {
-  node &out = outside ();
-  const std::string set = entries ();
+  node &out = entry_outside_set ();
+  const std::string set = service_entries ();
 
-  engine->silent = true;
-  r.chat (c, out, "hi", true);
-  r.until ([this] { return c.text () == text_of (4); });
-  engine->silent = false;
+  engine->stalls = true;
+  r.send_chat (c, out, "hi", true);
+  r.until ([this] { return c.text () == engine_text (4); });
+  engine->stalls = false;
   for (auto *n : nodes)
-    if (has (set, n->address))
+    if (contains (set, n->address))
       {
         pu_entry_stop (
             n->entry, [] (void *d) { *static_cast<bool *> (d) = true; },
@@ -621,52 +629,53 @@
       }
   r.finish (c);
   EXPECT_TRUE (c.whole ()) << c.body;
-  EXPECT_EQ (text_of (4), c.text ());
+  EXPECT_EQ (engine_text (4), c.text ());
 }
 
-TEST_F (Several, RestRefusedByAnotherEntryIsToldWithinTheStream)
+TEST_F (MultipleEntries, RejectedResumeIsReportedWithinTheStream)
 {
-  node &out = outside ();
+  node &out = entry_outside_set ();
 
-  engine->silent = true;
-  r.chat (c, out, "hi", true);
-  r.until ([this] { return c.text () == text_of (4); });
+  engine->stalls = true;
+  r.send_chat (c, out, "hi", true);
+  r.until ([this] { return c.text () == engine_text (4); });
   r.kill (*engine);
   r.finish (c);
   EXPECT_FALSE (c.whole ());
-  EXPECT_TRUE (has (c.body, "event: error")) << c.body;
-  EXPECT_TRUE (has (c.body, "\"outcome\":\"ran\"")) << c.body;
+  EXPECT_TRUE (contains (c.body, "event: error")) << c.body;
+  EXPECT_TRUE (contains (c.body, "\"outcome\":\"ran\"")) << c.body;
 }
 
-TEST_F (Several, OnlyThePeersKeyMakesAHop)
+TEST_F (MultipleEntries, RelayHeadersNeedThePeerKey)
 {
-  /* A caller that says it was relayed is relayed all the same.  */
-  r.ask (c, outside (), "hi", true,
-         { { "X-Relay-Hop", "1" }, { "X-Relay-Key", "guess" } });
+  /* Without the peers' key the relay headers are ignored: the entry, which is
+     not in the service's set, still relays the request.  */
+  r.call_chat (c, entry_outside_set (), "hi", true,
+               { { "X-Relay-Hop", "1" }, { "X-Relay-Key", "guess" } });
   EXPECT_TRUE (c.whole ());
 }
 
-TEST_F (Several, LeavingEntryIsNotNamedButServes)
+TEST_F (MultipleEntries, LeavingEntryIsNotListedButServes)
 {
   caller health;
 
   pu_entry_leave (nodes[0]->entry);
-  EXPECT_FALSE (has (entries (), nodes[0]->address));
-  r.ask (c, *nodes[0], "hi", true);
+  EXPECT_FALSE (contains (service_entries (), nodes[0]->address));
+  r.call_chat (c, *nodes[0], "hi", true);
   EXPECT_TRUE (c.whole ());
   r.call (health, *nodes[0], "GET", "/healthz", "");
   EXPECT_EQ (503, health.status);
 }
 
-TEST_F (Several, PlannedStopFinishesTheOpenStream)
+TEST_F (MultipleEntries, GracefulStopFinishesTheOpenStream)
 {
-  engine->silent = true;
-  r.chat (c, *nodes[0], "hi", true);
-  r.until ([this] { return c.text () == text_of (4); });
+  engine->stalls = true;
+  r.send_chat (c, *nodes[0], "hi", true);
+  r.until ([this] { return c.text () == engine_text (4); });
   pu_entry_stop (
       nodes[0]->entry, [] (void *d) { *static_cast<bool *> (d) = true; },
       &nodes[0]->stopped);
-  engine->silent = false;
+  engine->stalls = false;
   r.finish (c);
   EXPECT_TRUE (c.whole ());
   r.until ([this] { return nodes[0]->stopped; });
@@ -676,8 +685,8 @@
 {
   r.add_backend ("e1", "", n);
   r.call (c, n, "GET", "/v1/models", "");
-  EXPECT_TRUE (has (c.body, "\"id\":\"m\""));
-  EXPECT_TRUE (has (c.body, "\"ready\":1"));
+  EXPECT_TRUE (contains (c.body, "\"id\":\"m\""));
+  EXPECT_TRUE (contains (c.body, "\"ready\":1"));
   json_t *dump = pu_entry_dump (n.entry);
   EXPECT_NE (nullptr, json_object_get (dump, "router"));
   json_decref (dump);
--- a/libplantainusher/entry/faults_test.cc
+++ b/libplantainusher/entry/faults_test.cc
@@ -1,8 +1,11 @@
-/* Random requests and faults against a ledger of what ran.
-
-   The oracle: an answer that ends whole is the whole answer; else the caller
-   has a beginning of it.  What was told as not run is in no ledger.  A key is
-   in one ledger once at most.  */
+/* Property test: random requests and faults, checked against what each backend
+   server recorded as executed.
+
+   - An answer that ends as complete is the full answer; any other is a prefix
+     of it.
+   - Every error carries an outcome.
+   - A request reported as not run was executed by no backend server.
+   - An idempotency key is executed at most once over all backend servers.  */
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -15,10 +18,10 @@
 {
 
 constexpr int STEPS = 10;
-constexpr int AT_ONCE = 3;
+constexpr int REQUESTS_PER_STEP = 3;
 constexpr guint TOKENS = 4;
 
-struct asked
+struct pending_request
 {
   caller c;
   std::string id;
@@ -26,119 +29,120 @@
   bool stream = false;
 };
 
-class world
+class simulation
 {
 public:
-  world (guint32 seed, guint breaks) : random (g_rand_new_with_seed (seed))
+  simulation (guint32 seed, guint breaks)
+      : random (g_rand_new_with_seed (seed))
   {
-    r.breaks = breaks;
+    r.test_breaks = breaks;
     for (int i = 0; i < 2; i++)
       nodes.push_back (&r.add_node ("n" + std::to_string (i)));
     for (int i = 0; i < 2; i++)
       {
-        all.push_back (
+        backends.push_back (
             &r.add_backend ("e" + std::to_string (i), "", *nodes[0]));
-        all.push_back (
+        backends.push_back (
             &r.add_backend ("p" + std::to_string (i), "board", *nodes[1]));
       }
   }
-  ~world () { g_rand_free (random); }
+  ~simulation () { g_rand_free (random); }
 
-  /* What the oracle says against the run; "" when nothing.  */
+  /* Returns the violations found, one a line; "" for none.  */
   std::string
   run ()
   {
-    std::string wrong;
+    std::string violations;
 
-    for (int i = 0; i < STEPS && wrong.empty (); i++)
+    for (int i = 0; i < STEPS && violations.empty (); i++)
       {
-        std::list<asked> now;
-
-        fault ();
-        for (int j = 0; j < AT_ONCE; j++)
-          request (now);
-        if (below (2) == 0)
-          fault ();
-        for (auto &a : now)
+        std::list<pending_request> batch;
+
+        inject_fault ();
+        for (int j = 0; j < REQUESTS_PER_STEP; j++)
+          send_random_request (batch);
+        if (random_below (2) == 0)
+          inject_fault ();
+        for (auto &a : batch)
           r.finish (a.c);
-        for (auto &a : now)
-          wrong += judge (a);
-        calm ();
+        for (auto &a : batch)
+          violations += check_answer (a);
+        clear_faults ();
       }
-    return wrong + keys ();
+    return violations + check_keys ();
   }
 
 private:
   rig r;
   GRand *random;
   std::vector<node *> nodes;
-  std::vector<backend *> all;
-  int last = 0;
+  std::vector<backend *> backends;
+  int last_id = 0;
 
   int
-  below (int n)
+  random_below (int n)
   {
     return g_rand_int_range (random, 0, n);
   }
 
   void
-  fault ()
+  inject_fault ()
   {
-    backend &b = *all[below (static_cast<int> (all.size ()))];
+    backend &b = *backends[random_below (static_cast<int> (backends.size ()))];
 
     pu_fuzz_report::get ().faults++;
-    switch (below (7))
+    switch (random_below (7))
       {
       case 0:
       case 1:
-        b.cut_after = static_cast<guint> (below (TOKENS));
+        b.truncate_after_tokens = static_cast<guint> (random_below (TOKENS));
         break;
       case 2:
-        b.refuses = !b.refuses;
+        b.rejects_requests = !b.rejects_requests;
         break;
       case 3:
-        b.foreign = !b.foreign;
+        b.sends_wrong_id = !b.sends_wrong_id;
         break;
       case 4:
-        b.resumes = !b.resumes;
+        b.supports_resume = !b.supports_resume;
         break;
       case 5:
         r.quorum = !r.quorum;
         break;
       default:
-        r.lose_answers = !r.lose_answers;
+        r.lose_commit_replies = !r.lose_commit_replies;
         break;
       }
   }
 
   void
-  calm ()
+  clear_faults ()
   {
-    for (auto *b : all)
+    for (auto *b : backends)
       {
-        b->refuses = false;
-        b->foreign = false;
+        b->rejects_requests = false;
+        b->sends_wrong_id = false;
       }
     r.quorum = true;
-    r.lose_answers = false;
+    r.lose_commit_replies = false;
   }
 
   void
-  request (std::list<asked> &now)
+  send_random_request (std::list<pending_request> &batch)
   {
-    now.emplace_back ();
-    asked &a = now.back ();
-    const node &n = *nodes[below (2)];
+    batch.emplace_back ();
+    pending_request &a = batch.back ();
+    const node &n = *nodes[random_below (2)];
     rig::headers h;
 
     pu_fuzz_report::get ().steps++;
-    a.id = "q" + std::to_string (++last);
+    a.id = "q" + std::to_string (++last_id);
     h.emplace_back ("X-Request-Id", a.id);
     h.emplace_back ("X-Timeout-Ms", "1000");
-    switch (below (4))
+    switch (random_below (4))
       {
       case 0:
-        a.key = "k" + std::to_string (below (3));
+        a.key = "k" + std::to_string (random_below (3));
         h.emplace_back ("Idempotency-Key", a.key);
         r.send (a.c, n, "POST", "/services/board/assign", "{}", h);
         break;
@@ -146,84 +150,86 @@
         h.emplace_back ("X-Not-Repeatable", "1");
         [[fallthrough]];
       default:
-        a.stream = below (3) > 0;
-        r.chat (a.c, n, "hi" + a.id, a.stream, h);
+        a.stream = random_below (3) > 0;
+        r.send_chat (a.c, n, "hi" + a.id, a.stream, h);
         break;
       }
   }
 
   int
-  times (const std::string &id)
+  execution_count (const std::string &id)
   {
     int n = 0;
 
-    for (const auto *b : all)
-      for (const auto &ran : b->ran)
+    for (const auto *b : backends)
+      for (const auto &ran : b->executed_ids)
         n += ran == id ? 1 : 0;
     return n;
   }
 
   std::string
-  judge (asked &a)
+  check_answer (pending_request &a)
   {
-    const std::string text = text_of (TOKENS);
+    const std::string text = engine_text (TOKENS);
     const std::string body = "{\"text\":\"" + text + "\"}";
     const std::string outcome = a.c.headers["x-outcome"];
-    const std::string place = " (" + a.id + ": " + a.c.body + ")\n";
+    const std::string context = " (" + a.id + ": " + a.c.body + ")\n";
 
-    if (outcome == "not-run" && times (a.id) > 0)
-      return "told as not run, but it ran" + place;
+    if (outcome == "not-run" && execution_count (a.id) > 0)
+      return "reported as not run, but it was executed" + context;
     if (a.c.status != 200)
-      return outcome.empty () ? "a failure without an outcome" + place : "";
+      return outcome.empty () ? "error without an x-outcome header" + context
+                              : "";
     if (!a.stream)
-      return a.c.body == body ? "" : "not the whole answer" + place;
+      return a.c.body == body ? ""
+                              : "status 200 without the full answer" + context;
     if (a.c.text () != text.substr (0, a.c.text ().size ()))
-      return "not a beginning of the answer" + place;
+      return "stream is not a prefix of the answer" + context;
     if (a.c.whole () && a.c.text () != text)
-      return "ended as whole, but it is not" + place;
+      return "stream ended as complete before the full answer" + context;
     return "";
   }
 
   std::string
-  keys ()
+  check_keys ()
   {
     std::map<std::string, int> sum;
 
-    for (const auto *b : all)
-      for (const auto &k : b->keys)
+    for (const auto *b : backends)
+      for (const auto &k : b->executions_by_key)
         sum[k.first] += k.second;
     for (const auto &k : sum)
       if (!k.first.empty () && k.second > 1)
-        return "key " + k.first + " ran twice\n";
+        return "key " + k.first + " was executed more than once\n";
     return "";
   }
 };
 
-RC_GTEST_PROP (Faults, CallersAreToldTheTruth, ())
+RC_GTEST_PROP (Faults, ReportedOutcomesAreCorrect, ())
 {
   const auto seed = *rc::gen::noShrink (rc::gen::arbitrary<guint32> ());
-  world w (seed, 0);
-  const std::string wrong = w.run ();
+  simulation w (seed, 0);
+  const std::string violations = w.run ();
 
-  RC_LOG () << wrong;
-  RC_ASSERT (wrong.empty ());
+  RC_LOG () << violations;
+  RC_ASSERT (violations.empty ());
 }
 
-/* Each rule that is broken on purpose is found.  */
-class Breaks : public testing::TestWithParam<pu_entry_break_t>
+/* The checks above detect each deliberate fault of pu_entry_break_t.  */
+class DeliberateFaults : public testing::TestWithParam<pu_entry_break_t>
 {
 };
 
-TEST_P (Breaks, AreFound)
+TEST_P (DeliberateFaults, AreDetected)
 {
-  std::string wrong;
+  std::string violations;
 
-  for (guint32 seed = 1; seed < 40 && wrong.empty (); seed++)
-    wrong = world (seed, GetParam ()).run ();
-  EXPECT_NE ("", wrong);
+  for (guint32 seed = 1; seed < 40 && violations.empty (); seed++)
+    violations = simulation (seed, GetParam ()).run ();
+  EXPECT_NE ("", violations);
 }
 
-INSTANTIATE_TEST_SUITE_P (Faults, Breaks,
+INSTANTIATE_TEST_SUITE_P (Faults, DeliberateFaults,
                           testing::Values (PU_ENTRY_BREAK_REPLAY,
                                            PU_ENTRY_BREAK_REPEAT,
                                            PU_ENTRY_BREAK_OUTCOME,
--- a/libplantainusher/entry/piece_test.cc
+++ b/libplantainusher/entry/piece_test.cc
@@ -12,7 +12,7 @@
 {
 
 std::string
-escaped (const std::string &text)
+json_quoted (const std::string &text)
 {
   json_t *s = json_stringn (text.data (), text.size ());
   char *dumped = json_dumps (s, JSON_ENCODE_ANY);
@@ -24,21 +24,21 @@
 }
 
 std::string
-chat (const std::string &text, const std::string &id = "r")
+chat_event (const std::string &text, const std::string &id = "r")
 {
   return "{\"id\":\"" + id
          + "\",\"model\":\"m\",\"choices\":[{\"delta\":{"
            "\"content\":"
-         + escaped (text) + "},\"finish_reason\":null}]}";
+         + json_quoted (text) + "},\"finish_reason\":null}]}";
 }
 
-TEST (Piece, SameFrameIsParsedTwice)
+TEST (Piece, RepeatedFrameIsParsedOnlyTwice)
 {
   pu_piece_reader_t *r = pu_piece_reader_new ();
 
   for (const char *text : { "one ", "two ", "kolm õ ", "四", "" })
     {
-      const std::string data = chat (text);
+      const std::string data = chat_event (text);
       pu_piece_t p{};
 
       ASSERT_TRUE (pu_piece_read (r, data.data (), data.size (), &p));
@@ -50,14 +50,16 @@
   pu_piece_reader_free (r);
 }
 
-TEST (Piece, AFrameAroundAnotherStringIsNotTrusted)
+/* The token's text is escaped, so the only plain "t" is in another member: a
+   frame learned there must not be used.  */
+TEST (Piece, FrameLearnedFromAnotherMemberIsNotUsed)
 {
   pu_piece_reader_t *r = pu_piece_reader_new ();
 
-  for (const char *note : { "t", "u", "v" })
+  for (const char *other : { "t", "u", "v" })
     {
       const std::string data
-          = std::string ("{\"x\":{\"content\":\"") + note
+          = std::string ("{\"x\":{\"content\":\"") + other
             + "\"},\"choices\":[{\"delta\":{\"content\":\"\\u0074\"}}]}";
       pu_piece_t p{};
 
@@ -67,7 +69,7 @@
   pu_piece_reader_free (r);
 }
 
-TEST (Piece, OtherKinds)
+TEST (Piece, OtherEventsAndInvalidData)
 {
   struct
   {
@@ -100,9 +102,10 @@
   pu_piece_reader_free (r);
 }
 
-/* A reader that has seen other events says the same as a new one, also for
-   texts that look like the frame and for data that is cut or changed.  */
-RC_GTEST_PROP (Piece, LearntFrameSaysTheSameAsParsing, ())
+/* A reader that has learned a frame from earlier events returns the same
+   fields as a new reader, also for texts that contain parts of a frame and for
+   data with a changed byte.  */
+RC_GTEST_PROP (Piece, LearnedFrameAgreesWithParsing, ())
 {
   const auto texts = *rc::gen::container<std::vector<std::string> > (
       rc::gen::container<std::string> (rc::gen::element (
@@ -112,7 +115,7 @@
   for (const auto &text : texts)
     {
       std::string data
-          = chat (text, *rc::gen::element<std::string> ("r", "a"));
+          = chat_event (text, *rc::gen::element<std::string> ("r", "a"));
       const auto at = *rc::gen::inRange<std::size_t> (0, data.size () * 3);
       pu_piece_reader_t *fresh = pu_piece_reader_new ();
       pu_piece_t a{};
--- a/libplantainusher/entry/request_fuzz.cc
+++ b/libplantainusher/entry/request_fuzz.cc
@@ -1,6 +1,7 @@
-/* Any request of a caller is either refused, once, as not run and in JSON, or
-   taken; what is taken is within its bounds, and its body with what the caller
-   has got is read by another entry as the same request.
+/* Any request of a caller is either accepted or rejected, before anything has
+   run, with exactly one JSON error.  The fields of an accepted request are
+   within their limits, and the body that resumes it at another entry, which
+   holds the text sent so far, parses to the same request there.
 
    The input is "METHOD TARGET", lines "name: value", an empty line, the
    body.  */
@@ -20,7 +21,7 @@
     __builtin_trap ();
 }
 
-/* --- the HTTP server's side, as http/server.h says it --- */
+/* --- stub of the HTTP server (http/server.h) --- */
 
 struct header
 {
@@ -107,7 +108,7 @@
   r->status = status;
 }
 
-/* --- the entry --- */
+/* --- a minimal entry and its exchanges --- */
 
 static const char document[]
     = "{\"services\":{"
@@ -119,7 +120,7 @@
       "\"memory_mb\":1}}}";
 
 static pu_entry_t *
-entry_make ()
+entry_new ()
 {
   static char key[] = "fuzz-peer-key";
   pu_entry_t *en = g_new0 (pu_entry_t, 1);
@@ -142,7 +143,7 @@
 }
 
 static pu_exchange_t *
-exchange_make (pu_entry_t *en, pu_http_request_t *http)
+exchange_new (pu_entry_t *en, pu_http_request_t *http)
 {
   pu_exchange_t *x = g_new0 (pu_exchange_t, 1);
 
@@ -154,7 +155,7 @@
 }
 
 static void
-exchange_drop (pu_exchange_t *x)
+exchange_free (pu_exchange_t *x)
 {
   pu_request_clear (&x->q);
   g_free (x->key);
@@ -165,14 +166,14 @@
 /* --- the checks --- */
 
 static void
-check_refused (const pu_http_request_t &http)
+check_rejected (const pu_http_request_t &http)
 {
   require (http.answers == 1);
   require (http.status == 400 || http.status == 404);
 }
 
 static void
-check_taken (const pu_exchange_t *x, const pu_http_request_t &http)
+check_accepted (const pu_exchange_t *x, const pu_http_request_t &http)
 {
   require (http.answers == 0 && x->http == &http);
   require (x->q.deadline > x->q.arrived && x->window_ms > 0);
@@ -188,7 +189,7 @@
 }
 
 static void
-check_resumed (pu_exchange_t *x)
+check_resume_body (pu_exchange_t *x)
 {
   pu_http_request_t http;
   pu_exchange_t *y;
@@ -205,9 +206,9 @@
                    { "x-resume-tokens", "3" },
                    { "x-service", x->q.service } };
   g_bytes_unref (body);
-  y = exchange_make (x->en, &http);
+  y = exchange_new (x->en, &http);
   require (pu_exchange_parse_model (y, x->chat));
-  check_taken (y, http);
+  check_accepted (y, http);
   require (strcmp (x->q.model, y->q.model) == 0);
   require (strcmp (x->q.service, y->q.service) == 0);
   require (x->q.fingerprint == y->q.fingerprint);
@@ -215,26 +216,26 @@
   require (x->q.max_tokens == y->q.max_tokens && x->q.stream == y->q.stream);
   require (y->relayed && y->resumed == 3 && y->sent.tokens == 3);
   require (strcmp (x->sent.text->str, y->sent.text->str) == 0);
-  exchange_drop (y);
+  exchange_free (y);
 }
 
 static void
 check_exchange (pu_entry_t *en, pu_http_request_t *http, bool plain, bool chat)
 {
-  pu_exchange_t *x = exchange_make (en, http);
+  pu_exchange_t *x = exchange_new (en, http);
 
   if (plain ? !pu_exchange_parse_plain (x)
             : !pu_exchange_parse_model (x, chat))
     {
-      check_refused (*http);
+      check_rejected (*http);
     }
   else
     {
-      check_taken (x, *http);
+      check_accepted (x, *http);
       if (!plain)
-        check_resumed (x);
+        check_resume_body (x);
     }
-  exchange_drop (x);
+  exchange_free (x);
 }
 
 static void
@@ -245,12 +246,12 @@
   require (http->status == 200 || http->status == 404);
 }
 
-/* --- the input --- */
+/* --- parsing the input --- */
 
-/* The text up to the next line's end, which is taken off with it.  A header
-   holds no zero byte.  */
+/* Removes the first line and its newline from REST and returns it, cut at the
+   first zero byte: a header cannot contain one.  */
 static std::string
-line_take (std::string *rest)
+take_line (std::string *rest)
 {
   const size_t end = rest->find ('\n');
   std::string line = rest->substr (0, end);
@@ -260,15 +261,15 @@
 }
 
 static pu_http_request_t
-request_read (std::string rest)
+parse_request (std::string rest)
 {
   pu_http_request_t http;
-  std::string line = line_take (&rest);
+  std::string line = take_line (&rest);
   size_t mark = line.find (' ');
 
   http.method = line.substr (0, mark);
   http.target = mark == std::string::npos ? "/" : line.substr (mark + 1);
-  while (!(line = line_take (&rest)).empty ())
+  while (!(line = take_line (&rest)).empty ())
     {
       mark = line.find (": ");
       if (mark != std::string::npos)
@@ -282,9 +283,9 @@
 extern "C" int
 LLVMFuzzerTestOneInput (const uint8_t *data, size_t size)
 {
-  static pu_entry_t *const en = entry_make ();
+  static pu_entry_t *const en = entry_new ();
   pu_http_request_t http
-      = request_read ({ reinterpret_cast<const char *> (data), size });
+      = parse_request ({ reinterpret_cast<const char *> (data), size });
 
   if (g_str_has_prefix (http.target.c_str (), "/v1/entries"))
     {
--- a/libplantainusher/entry/rig_test.cc
+++ b/libplantainusher/entry/rig_test.cc
@@ -8,17 +8,17 @@
 namespace
 {
 
-constexpr guint SAFETY_MS = 20000;
-constexpr guint LOG_MS = 2;
+constexpr guint WAIT_LIMIT_MS = 20000;
+constexpr guint LOG_TICK_MS = 2;
 
 std::string
-word (guint i)
+token_text (guint i)
 {
   return "t" + std::to_string (i) + " ";
 }
 
 std::string
-event_of (const std::string &id, const std::string &text)
+token_event (const std::string &id, const std::string &text)
 {
   return "data: {\"id\":\"" + id + "\",\"choices\":[{\"delta\":{\"content\":\""
          + text + "\"},\"finish_reason\":null}]}\n\n";
@@ -33,43 +33,45 @@
 }
 
 void
-stream_answer (backend &b, pu_http_request_t *r, const std::string &id)
+respond_stream (backend &b, pu_http_request_t *r, const std::string &id)
 {
-  const char *asked = header_or (r, "x-resume-tokens", "0");
-  const guint from = b.resumes ? static_cast<guint> (std::stoul (asked)) : 0;
+  const char *resume_from = header_or (r, "x-resume-tokens", "0");
+  const guint from
+      = b.supports_resume ? static_cast<guint> (std::stoul (resume_from)) : 0;
   const pu_http_header_t h[] = { { "content-type", "text/event-stream" },
                                  { "x-request-id", id.c_str () },
-                                 { "x-resume-tokens", asked } };
+                                 { "x-resume-tokens", resume_from } };
 
-  pu_http_respond_start (r, 200, h, b.resumes && from > 0 ? 3 : 2);
-  for (guint i = from; i < b.tokens; i++)
+  pu_http_respond_start (r, 200, h, b.supports_resume && from > 0 ? 3 : 2);
+  for (guint i = from; i < b.token_count; i++)
     {
-      if (i - from == b.cut_after)
+      if (i - from == b.truncate_after_tokens)
         {
-          b.cut_after = G_MAXUINT;
+          b.truncate_after_tokens = G_MAXUINT;
           pu_http_respond_abort (r);
           return;
         }
-      const std::string e = event_of (id, word (i));
+      const std::string e = token_event (id, token_text (i));
 
       pu_http_respond_write (r, e.data (), e.size ());
     }
-  if (b.silent)
+  if (b.stalls)
     return;
   pu_http_respond_write (r, "data: [DONE]\n\n", 14);
   pu_http_respond_finish (r);
 }
 
 void
-whole_answer (backend &b, pu_http_request_t *r, const std::string &id)
+respond_json (backend &b, pu_http_request_t *r, const std::string &id)
 {
-  const std::string body = "{\"text\":\"" + text_of (b.tokens) + "\"}";
+  const std::string body
+      = "{\"text\":\"" + engine_text (b.token_count) + "\"}";
   const pu_http_header_t h[] = { { "content-type", "application/json" },
                                  { "x-request-id", id.c_str () } };
 
-  if (b.cut_after != G_MAXUINT)
+  if (b.truncate_after_tokens != G_MAXUINT)
     {
-      b.cut_after = G_MAXUINT;
+      b.truncate_after_tokens = G_MAXUINT;
       pu_http_respond_start (r, 200, h, 2);
       pu_http_respond_write (r, body.data (), 5);
       pu_http_respond_abort (r);
@@ -87,7 +89,7 @@
   const std::string body (bytes, len);
   std::string id = header_or (r, "x-request-id", "");
 
-  if (strcmp (pu_http_request_path (r), "/health") == 0 && b.closes)
+  if (strcmp (pu_http_request_path (r), "/health") == 0 && b.closes_on_probe)
     {
       pu_http_server_abort (b.server);
       return;
@@ -97,41 +99,42 @@
       pu_http_respond (r, 200, nullptr, 0, "", 0);
       return;
     }
-  if (b.refuses)
+  if (b.rejects_requests)
     {
       const pu_http_header_t h[] = { { "x-outcome", "not-run" } };
 
       pu_http_respond (r, 503, h, 1, "", 0);
       return;
     }
-  b.ran.push_back (id);
-  b.keys[header_or (r, "idempotency-key", "")]++;
-  b.bodies.push_back (body);
-  b.targets.emplace_back (pu_http_request_target (r));
-  if (!b.crash_on.empty () && body.find (b.crash_on) != std::string::npos)
+  b.executed_ids.push_back (id);
+  b.executions_by_key[header_or (r, "idempotency-key", "")]++;
+  b.request_bodies.push_back (body);
+  b.request_targets.emplace_back (pu_http_request_target (r));
+  if (!b.crash_marker.empty ()
+      && body.find (b.crash_marker) != std::string::npos)
     {
       b.crash ();
       return;
     }
-  if (b.silent && b.tokens == 0)
+  if (b.stalls && b.token_count == 0)
     {
-      b.open.push_back (r);
+      b.pending_requests.push_back (r);
       return;
     }
-  if (b.foreign)
+  if (b.sends_wrong_id)
     id = "another";
   if (body.find ("\"stream\":true") != std::string::npos)
-    stream_answer (b, r, id);
+    respond_stream (b, r, id);
   else
-    whole_answer (b, r, id);
+    respond_json (b, r, id);
 }
 
 void
-answer_wants (rig &r)
+answer_load_requests (rig &r)
 {
-  std::deque<wanted> now;
+  std::deque<load_request> now;
 
-  now.swap (r.wants);
+  now.swap (r.load_requests);
   for (auto &w : now)
     {
       json_t *place
@@ -145,12 +148,12 @@
 }
 
 void
-on_log (uv_timer_t *t)
+on_log_timer (uv_timer_t *t)
 {
   rig &r = *static_cast<rig *> (t->data);
   std::deque<proposal> now;
 
-  answer_wants (r);
+  answer_load_requests (r);
   now.swap (r.proposals);
   for (auto &p : now)
     {
@@ -166,9 +169,9 @@
           r.apply (c, &reply);
           pu_command_clear (&c);
         }
-      e.kind = !r.quorum        ? PU_ERROR_UNAVAILABLE
-               : r.lose_answers ? PU_ERROR_TIMEOUT
-                                : PU_OK;
+      e.kind = !r.quorum               ? PU_ERROR_UNAVAILABLE
+               : r.lose_commit_replies ? PU_ERROR_TIMEOUT
+                                       : PU_OK;
       p.fn (p.data, e.kind == PU_OK ? &reply : nullptr, &e);
       pu_reply_clear (&reply);
       g_bytes_unref (p.bytes);
@@ -179,17 +182,17 @@
 propose (void *data, const pu_command *c, guint, pu_entry_done_fn *fn,
          void *fn_data)
 {
-  static_cast<node *> (data)->r->proposals.push_back (
+  static_cast<node *> (data)->owner->proposals.push_back (
       { pu_command_encode (c), fn, fn_data });
 }
 
 void
-tell_loads (void *data, const char *address, const pu_entry_load_t *loads,
-            guint n, guint life_ms)
+deliver_load_reports (void *data, const char *address,
+                      const pu_entry_load_t *loads, guint n, guint life_ms)
 {
-  rig &r = *static_cast<node *> (data)->r;
+  rig &r = *static_cast<node *> (data)->owner;
 
-  r.loads_told += n;
+  r.load_reports_sent += n;
   for (node &to : r.nodes)
     {
       if (to.address == address)
@@ -198,12 +201,12 @@
 }
 
 void
-tell_withdrawal (void *data, const char *address, guint64 id,
-                 const char *model, guint life_ms)
+deliver_withdrawal (void *data, const char *address, guint64 id,
+                    const char *model, guint life_ms)
 {
-  rig &r = *static_cast<node *> (data)->r;
+  rig &r = *static_cast<node *> (data)->owner;
 
-  r.withdrawals_told++;
+  r.withdrawals_sent++;
   for (node &to : r.nodes)
     {
       if (to.address == address)
@@ -212,29 +215,32 @@
 }
 
 pu_entry_hooks_t
-hooks_of (node &n)
+make_hooks (node &n)
 {
   pu_entry_hooks_t h{};
 
   h.view = [] (void *d) {
-    return const_cast<const pu_state_t *> (static_cast<node *> (d)->r->state);
+    return const_cast<const pu_state_t *> (
+        static_cast<node *> (d)->owner->state);
   };
   h.ready = [] (void *d) { return static_cast<node *> (d)->ready; };
-  h.in_touch = [] (void *d) { return static_cast<node *> (d)->in_touch; };
+  h.in_touch
+      = [] (void *d) { return static_cast<node *> (d)->voters_reachable; };
   h.incarnation = [] (void *) { return guint64{ 1 }; };
   h.propose = propose;
   h.renew = [] (void *, const char *, guint64) {};
   h.demand = [] (void *d, const char *model, guint32 requests, guint32 ms) {
     EXPECT_EQ ('m', *model);
     EXPECT_EQ (1u, requests);
-    static_cast<node *> (d)->demand_ms.push_back (ms);
+    static_cast<node *> (d)->reported_demand_ms.push_back (ms);
   };
-  h.loads = tell_loads;
-  h.withdraw = tell_withdrawal;
-  if (n.r->loads_on_demand)
+  h.loads = deliver_load_reports;
+  h.withdraw = deliver_withdrawal;
+  if (n.owner->loads_on_demand)
     h.want = [] (void *d, const char *, guint, pu_entry_json_fn *fn,
                  void *fn_data) {
-      static_cast<node *> (d)->r->wants.push_back ({ fn, fn_data });
+      static_cast<node *> (d)->owner->load_requests.push_back (
+          { fn, fn_data });
     };
   h.data = &n;
   return h;
@@ -252,12 +258,12 @@
       "10}}}";
 
 std::string
-text_of (guint n)
+engine_text (guint n)
 {
   std::string out;
 
   for (guint i = 0; i < n; i++)
-    out += word (i);
+    out += token_text (i);
   return out;
 }
 
@@ -285,9 +291,9 @@
   state = pu_state_new (&so);
   co.loop = &loop;
   client = pu_http_client_new (&co);
-  uv_timer_init (&loop, &log);
-  log.data = this;
-  uv_timer_start (&log, on_log, LOG_MS, LOG_MS);
+  uv_timer_init (&loop, &log_timer);
+  log_timer.data = this;
+  uv_timer_start (&log_timer, on_log_timer, LOG_TICK_MS, LOG_TICK_MS);
   submit (rig_document);
 }
 
@@ -297,7 +303,7 @@
   for (auto &b : backends)
     kill (b);
   quorum = true;
-  lose_answers = false;
+  lose_commit_replies = false;
   for (auto &n : nodes)
     {
       pu_entry_stop (
@@ -312,7 +318,7 @@
       n.entry = nullptr;
     }
   until ([this] { return proposals.empty (); });
-  uv_close (reinterpret_cast<uv_handle_t *> (&log), nullptr);
+  uv_close (reinterpret_cast<uv_handle_t *> (&log_timer), nullptr);
   uv_run (&loop, UV_RUN_DEFAULT);
   EXPECT_EQ (0, uv_loop_close (&loop));
   pu_state_free (state);
@@ -321,17 +327,18 @@
 void
 rig::until (const std::function<bool ()> &done)
 {
-  const guint64 limit = uv_now (&loop) + SAFETY_MS;
+  const guint64 limit = uv_now (&loop) + WAIT_LIMIT_MS;
 
   while (!done () && uv_now (&loop) < limit)
     uv_run (&loop, UV_RUN_ONCE);
-  ASSERT_TRUE (done ()) << "the safety limit passed";
+  ASSERT_TRUE (done ()) << "condition not met within " << WAIT_LIMIT_MS
+                        << " ms";
 }
 
 void
 rig::apply (const pu_command &c, pu_reply *r)
 {
-  pu_state_apply (state, ++position, &c, r);
+  pu_state_apply (state, ++log_position, &c, r);
   for (auto &n : nodes)
     if (n.entry != nullptr)
       pu_entry_view_changed (n.entry);
@@ -341,15 +348,16 @@
 rig::submit (const char *document)
 {
   pu_command c{};
-  static char nobody[] = "test";
+  static char author[] = "test";
 
-  const pu_doc_record *held = pu_state_document (state);
-  const std::string id = std::to_string (position);
+  const pu_doc_record *current = pu_state_document (state);
+  const std::string id = std::to_string (log_position);
 
   c.type = PU_COMMAND_SUBMIT;
-  c.pu_command_u.submit.base_version = held != nullptr ? held->doc_version : 0;
+  c.pu_command_u.submit.base_version
+      = current != nullptr ? current->doc_version : 0;
   c.pu_command_u.submit.change_id = const_cast<char *> (id.c_str ());
-  c.pu_command_u.submit.author = nobody;
+  c.pu_command_u.submit.author = author;
   c.pu_command_u.submit.text = const_cast<char *> (document);
   apply (c);
 }
@@ -363,7 +371,7 @@
 
   nodes.emplace_back ();
   node &n = nodes.back ();
-  n.r = this;
+  n.owner = this;
   n.name = name;
   n.ready = ready;
   pu_entry_options_init (&o);
@@ -380,10 +388,10 @@
   o.settle_ms = 100;
   o.propose_ms = 100;
   o.seed = 1;
-  o.test_breaks = breaks;
+  o.test_breaks = test_breaks;
   o.loads_to_all = loads_to_all;
   o.front = front;
-  o.hooks = hooks_of (n);
+  o.hooks = make_hooks (n);
   n.entry = pu_entry_new (&o, nullptr);
   EXPECT_NE (nullptr, n.entry);
   n.address = "127.0.0.1:" + std::to_string (pu_entry_port (n.entry));
@@ -418,12 +426,12 @@
   b.server = pu_http_server_new (&o, nullptr);
   b.address = "127.0.0.1:" + std::to_string (pu_http_server_port (b.server));
   EXPECT_EQ (200, announce (b, to));
-  until ([&] { return knows (b); });
+  until ([&] { return backend_is_up (b); });
   return b;
 }
 
 bool
-rig::knows (const backend &b) const
+rig::backend_is_up (const backend &b) const
 {
   const pu_backend_record *r = pu_state_backend (state, b.name.c_str ());
 
@@ -506,15 +514,15 @@
   o.events.on_end
       = [] (void *d, pu_http_call_t *, const pu_http_result_t *result) {
           static_cast<caller *> (d)->ended = true;
-          static_cast<caller *> (d)->end = result->kind;
+          static_cast<caller *> (d)->end_kind = result->kind;
         };
   c.call = pu_http_client_start (client, &o, nullptr);
   g_bytes_unref (o.body);
 }
 
 void
-rig::chat (caller &c, const node &to, const std::string &prompt, bool stream,
-           const headers &h)
+rig::send_chat (caller &c, const node &to, const std::string &prompt,
+                bool stream, const headers &h)
 {
   send (c, to, "POST", "/v1/chat/completions",
         std::string ("{\"model\":\"m\",\"stream\":")
@@ -540,9 +548,9 @@
 }
 
 void
-rig::ask (caller &c, const node &to, const std::string &prompt, bool stream,
-          const headers &h)
+rig::call_chat (caller &c, const node &to, const std::string &prompt,
+                bool stream, const headers &h)
 {
-  chat (c, to, prompt, stream, h);
+  send_chat (c, to, prompt, stream, h);
   finish (c);
 }
--- a/libplantainusher/entry/rig_test.h
+++ b/libplantainusher/entry/rig_test.h
@@ -17,38 +17,52 @@
 #include "http/server.h"
 
 /*
- * rig - entries, backend servers and callers in one process, over loopback.
+ * rig - test harness: entries, backend servers and callers in one process,
+ * connected over loopback.
  *
- * The log is a pu_state_t that all entries view; a proposal is applied and
- * answered a little later.
+ * The replicated log is replaced by one pu_state_t that all entries read.  A
+ * timer applies and answers the proposals, so that the callback of a proposal
+ * never runs from within the call that made it.
  */
 
-/* A backend server that keeps a ledger of what ran.  */
+/* A fake backend server that records every request it executes.  */
 struct backend
 {
   pu_http_server_t *server = nullptr;
   std::string name;
   std::string address;
-  std::string service; /* of a plain one */
+  std::string service; /* of a plain backend server; "" for an engine */
   guint64 incarnation = 1;
   guint64 seq = 0;
-  std::vector<std::string> ran; /* request ids */
-  std::vector<std::string> bodies;
-  std::vector<std::string> targets;
-  std::vector<pu_http_request_t *> open;
-  std::map<std::string, int> keys; /* at-most-once key -> times that it ran */
-  guint tokens = 4;
-  guint cut_after = G_MAXUINT; /* tokens, once */
-  bool silent = false;
-  bool foreign = false;
-  bool resumes = false; /* honours and confirms X-Resume-Tokens */
-  bool refuses = false; /* 503, not run */
-  bool closes = false;  /* takes probes and closes their connections */
-  std::string crash_on; /* dies when a body holds this */
+  guint token_count = 4; /* tokens of each answer */
+
+  /* What it executed; requests that crash it are included.  */
+  std::vector<std::string> executed_ids; /* request ids */
+  std::vector<std::string> request_bodies;
+  std::vector<std::string> request_targets;
+  std::map<std::string, int> executions_by_key; /* by idempotency key */
+
+  /* Requests left for the test to answer: see stalls.  */
+  std::vector<pu_http_request_t *> pending_requests;
+
+  /* Faults.  */
+  bool stalls = false;           /* never ends a stream; with no tokens, leaves
+                                    requests pending */
+  bool sends_wrong_id = false;   /* answers with another request's id */
+  bool supports_resume = false;  /* honours and confirms X-Resume-Tokens */
+  bool rejects_requests = false; /* 503, not run */
+  bool closes_on_probe = false;  /* accepts a probe, then closes all
+                                    connections without an answer */
+
+  /* Aborts the next answer after this many tokens.  */
+  guint truncate_after_tokens = G_MAXUINT;
+
+  /* Crashes on a request whose body contains this; "": never.  */
+  std::string crash_marker;
   std::function<void ()> crash;
 };
 
-/* A caller's request and its answer.  */
+/* A caller's request and the answer received so far.  */
 struct caller
 {
   pu_http_call_t *call = nullptr;
@@ -56,14 +70,16 @@
   std::map<std::string, std::string> headers;
   std::string body;
   bool ended = false;
-  pu_http_end_t end{};
+  pu_http_end_t end_kind{};
 
+  /* Whether the answer ended and is complete.  */
   bool
   whole () const
   {
-    return ended && end == PU_HTTP_END_COMPLETE;
+    return ended && end_kind == PU_HTTP_END_COMPLETE;
   }
-  /* The text of the tokens in a stream.  */
+
+  /* The concatenated text of the tokens in a stream.  */
   std::string text () const;
 };
 
@@ -72,16 +88,19 @@
 /* One daemon with the entry role.  */
 struct node
 {
-  rig *r = nullptr;
+  rig *owner = nullptr;
   pu_entry_t *entry = nullptr;
   std::string name;
   std::string address;
   bool stopped = false;
-  bool in_touch = true;           /* with a voter */
-  bool ready = true;              /* its view may be served from */
-  std::vector<guint32> demand_ms; /* of each request that was told */
+  bool voters_reachable = true; /* result of the hook in_touch */
+  bool ready = true;            /* the view may be used for requests */
+
+  /* The service time in each demand report.  */
+  std::vector<guint32> reported_demand_ms;
 };
 
+/* A command that waits for the log timer.  */
 struct proposal
 {
   GBytes *bytes;
@@ -89,67 +108,86 @@
   void *data;
 };
 
-struct wanted
+/* A node's request to have a model loaded, not yet answered.  */
+struct load_request
 {
   pu_entry_json_fn *fn;
   void *data;
 };
 
+/* The test's cluster; its log, entries and backend servers.  */
 struct rig
 {
   uv_loop_t loop{};
-  uv_timer_t log{};
+  uv_timer_t log_timer{};
   pu_state_t *state = nullptr;
   pu_http_client_t *client = nullptr;
-  guint64 position = 0;
-  bool quorum = true;
-  bool lose_answers = false;
-  guint breaks = 0; /* pu_entry_break_t of nodes to be added */
-  const pu_front_t *front = nullptr; /* of nodes to be added; own if null */
+  guint64 log_position = 0;
+  bool quorum = true;               /* false: proposals fail, not applied */
+  bool lose_commit_replies = false; /* proposals are applied but time out */
   std::deque<proposal> proposals;
-  std::deque<wanted> wants;     /* copies that entries wait for */
-  bool loads_to_all = false;    /* of nodes to be added */
-  bool loads_on_demand = false; /* of nodes to be added: they ask for copies */
-  int due_ms = 0; /* what they are told until a copy is ready; 0: nothing */
-  guint loads_told = 0; /* load reports that went from node to node */
-  guint withdrawals_told = 0;
+  std::deque<load_request> load_requests;
+  int due_ms = 0; /* answer to a load request: time until the copy is ready;
+                     0: not found */
+  guint load_reports_sent = 0; /* load reports from node to node */
+  guint withdrawals_sent = 0;
+
+  /* Options of the nodes added after they are set.  */
+  guint test_breaks = 0;             /* pu_entry_break_t */
+  const pu_front_t *front = nullptr; /* NULL: the entry's own */
+  bool loads_to_all = false;
+  bool loads_on_demand = false; /* the nodes can request model loads */
   std::list<node> nodes;
   std::list<backend> backends;
 
   rig ();
   ~rig ();
 
+  /* Runs the loop until DONE is true; the test fails if that takes 20 s.  */
   void until (const std::function<bool ()> &done);
   void apply (const pu_command &c, pu_reply *r = nullptr);
   void submit (const char *document);
   node &add_node (const std::string &name, bool ready = true);
+
+  /* Adds a backend server, announced to the entry TO; an engine if SERVICE is
+     empty.  */
   backend &add_backend (const std::string &name, const std::string &service,
                         const node &to);
+
+  /* Stops B at once, as if its process had died.  */
   void kill (backend &b);
 
-  /* Reports B to the entry TO; the answer's status.  */
+  /* Announces B to the entry TO, with EXTRA JSON members; returns the HTTP
+     status of the answer.  */
   int announce (backend &b, const node &to, const std::string &extra = "");
 
   using headers = std::vector<std::pair<std::string, std::string> >;
+
+  /* Starts a request; send_chat starts a chat completion of the model "m".  */
   void send (caller &c, const node &to, const std::string &method,
              const std::string &target, const std::string &body,
              const headers &h = {});
-  void chat (caller &c, const node &to, const std::string &prompt, bool stream,
-             const headers &h = {});
+  void send_chat (caller &c, const node &to, const std::string &prompt,
+                  bool stream, const headers &h = {});
+
+  /* Waits for the end of the answer.  */
   void finish (caller &c);
 
-  /* send and chat until the answer has ended.  */
+  /* The same as send and send_chat, then finish.  */
   void call (caller &c, const node &to, const std::string &method,
              const std::string &target, const std::string &body,
              const headers &h = {});
-  void ask (caller &c, const node &to, const std::string &prompt, bool stream,
-            const headers &h = {});
-  bool knows (const backend &b) const;
+  void call_chat (caller &c, const node &to, const std::string &prompt,
+                  bool stream, const headers &h = {});
+
+  /* Whether the state has this incarnation of B, and not as down.  */
+  bool backend_is_up (const backend &b) const;
 };
 
-/* The text that an engine gives for N tokens.  */
-std::string text_of (guint n);
+/* The text of the first N tokens of an engine's answer.  */
+std::string engine_text (guint n);
 
+/* The initial document: a model service "chat" and a plain service "board". */
 extern const char *const rig_document;
 
 #endif
--- a/libplantainusher/entry/spread_test.cc
+++ b/libplantainusher/entry/spread_test.cc
@@ -6,31 +6,33 @@
 namespace
 {
 
-constexpr guint LOAD_BYTES = 80; /* a message with one load */
-constexpr guint BYTES_S = 1200;
+constexpr guint LOAD_MESSAGE_BYTES = 80; /* a message with one load report */
+constexpr guint MAX_BYTES_PER_S = 1200;
 
-TEST (Spread, BytesDoNotGrowWithTheBackendServersHeard)
+TEST (LoadReports, TrafficIsBoundedForAnyNumberOfBackendServers)
 {
-  for (guint heard : { 1u, 13u, 14u, 104u, 770u, 10000u })
+  for (guint backends : { 1u, 13u, 14u, 104u, 770u, 10000u })
     {
-      guint interval = pu_spread_interval_ms (heard);
+      guint interval = pu_spread_interval_ms (backends);
 
       EXPECT_GE (interval, 1000u);
-      EXPECT_LE (heard * LOAD_BYTES * 1000 / interval, BYTES_S) << heard;
+      EXPECT_LE (backends * LOAD_MESSAGE_BYTES * 1000 / interval,
+                 MAX_BYTES_PER_S)
+          << backends;
       EXPECT_GE (pu_spread_life_ms (interval), 3 * interval);
     }
 }
 
-TEST (Spread, IdTellsIncarnationsApart)
+TEST (LoadReports, IdDiffersByNameAndIncarnation)
 {
   EXPECT_EQ (pu_entry_load_id ("e1", 1), pu_entry_load_id ("e1", 1));
   EXPECT_NE (pu_entry_load_id ("e1", 1), pu_entry_load_id ("e1", 2));
   EXPECT_NE (pu_entry_load_id ("e1", 1), pu_entry_load_id ("e2", 1));
 }
 
-/* The number of the last report about e1 that N has heard.  */
+/* The sequence number of the last report about e1 that N received.  */
 json_int_t
-heard_seq (const node &n)
+last_report_seq (const node &n)
 {
   json_t *dump = pu_entry_dump (n.entry);
   const json_t *backends
@@ -42,7 +44,7 @@
   return seq;
 }
 
-struct Told : testing::Test
+struct LoadExchange : testing::Test
 {
   rig r;
   std::vector<node *> nodes;
@@ -60,56 +62,57 @@
       pu_entry_view_changed (n->entry);
   }
 
-  /* How many entries other than the home have heard report SEQ.  */
+  /* Number of entries, without the one that e1 reports to, whose last report
+     about e1 is SEQ.  */
   guint
-  others_at (json_int_t seq) const
+  other_entries_at (json_int_t seq) const
   {
     guint n = 0;
 
     for (size_t i = 1; i < nodes.size (); i++)
-      n += heard_seq (*nodes[i]) == seq;
+      n += last_report_seq (*nodes[i]) == seq;
     return n;
   }
 };
 
-TEST_F (Told, OnlyTheEntriesOfTheServiceHearALoad)
+TEST_F (LoadExchange, OnlyEntriesOfTheServiceReceiveReports)
 {
   r.announce (*engine, *nodes[0], load);
   r.until ([this] {
-    return others_at (static_cast<json_int_t> (engine->seq)) > 0;
+    return other_entries_at (static_cast<json_int_t> (engine->seq)) > 0;
   });
-  EXPECT_LE (others_at (static_cast<json_int_t> (engine->seq)), 2u);
-  EXPECT_GT (others_at (0), 0u);
+  EXPECT_LE (other_entries_at (static_cast<json_int_t> (engine->seq)), 2u);
+  EXPECT_GT (other_entries_at (0), 0u);
 }
 
-TEST_F (Told, NewerLoadTakesThePlaceOfOneNotYetSent)
+TEST_F (LoadExchange, NewerReportReplacesOneNotYetSent)
 {
   r.announce (*engine, *nodes[0], load);
   r.until ([this] {
-    return others_at (static_cast<json_int_t> (engine->seq)) > 0;
+    return other_entries_at (static_cast<json_int_t> (engine->seq)) > 0;
   });
-  const guint first = r.loads_told;
+  const guint first = r.load_reports_sent;
   for (int i = 0; i < 5; i++)
     r.announce (*engine, *nodes[0], load);
   r.until ([this] {
-    return others_at (static_cast<json_int_t> (engine->seq)) > 0;
+    return other_entries_at (static_cast<json_int_t> (engine->seq)) > 0;
   });
-  /* Each entry was told once more, or twice when the reports fell into two
-     intervals: not five times.  */
-  EXPECT_LE (r.loads_told, 3 * first);
+  /* A newer report replaces one that is still queued, so each entry received
+     one more, or two if the reports fell into two intervals, but not five.  */
+  EXPECT_LE (r.load_reports_sent, 3 * first);
 }
 
-/* All other entries hear, also one that came after the first load, and none
-   is told of what it reported itself.  */
-TEST (ToldToAll, EveryOtherEntryHearsAlsoALaterOne)
+/* Load reports go to all other entries, also to one that was added after the
+   first report, and never back to the entry that sent them.  */
+TEST (LoadExchangeToAll, EveryOtherEntryReceivesReportsAlsoIfAddedLater)
 {
   const std::string load = ",\"load\":{\"running\":3,\"waiting\":0,"
                            "\"kv_used_mb\":0,\"tokens_per_s\":0}";
   rig r;
   std::vector<node *> nodes;
-  const auto all_know = [&nodes] (const backend &b) {
+  const auto all_received = [&nodes] (const backend &b) {
     for (size_t i = 1; i < nodes.size (); i++)
-      if (heard_seq (*nodes[i]) != static_cast<json_int_t> (b.seq))
+      if (last_report_seq (*nodes[i]) != static_cast<json_int_t> (b.seq))
         return false;
     return true;
   };
@@ -121,18 +124,19 @@
   for (node *n : nodes)
     pu_entry_view_changed (n->entry);
   r.announce (engine, *nodes[0], load);
-  r.until ([&] { return all_know (engine); });
+  r.until ([&] { return all_received (engine); });
   nodes.push_back (&r.add_node ("n4"));
   for (node *n : nodes)
     pu_entry_view_changed (n->entry);
   r.announce (engine, *nodes[0], load);
-  r.until ([&] { return all_know (engine); });
-  EXPECT_EQ (7u, r.loads_told) << "three, then four";
+  r.until ([&] { return all_received (engine); });
+  EXPECT_EQ (7u, r.load_reports_sent) << "three entries, then four";
 }
 
-/* A copy that is about to be unloaded: no entry has to find that out by a
-   refusal.  Reports that list it yet bring it back after a while.  */
-TEST_F (Told, CopyThatIsWithdrawnGetsNothingMoreAnywhere)
+/* All entries stop using a copy that is about to be unloaded, so that none
+   learns of the unload through a rejected request.  If announcements still
+   list the copy when the withdrawal expires, it is used again.  */
+TEST_F (LoadExchange, WithdrawnCopyIsNotUsedByAnyEntry)
 {
   const auto ready = [] (const node &n) {
     return pu_router_ready_copies (
@@ -146,21 +150,23 @@
   };
 
   ASSERT_TRUE (all_ready (1));
-  for (int sent = 0; sent < 3; sent++)
+  for (int i = 0; i < 3; i++)
     pu_entry_withdraw (nodes[0]->entry, "e1", "m");
-  EXPECT_EQ (nodes.size () - 1, r.withdrawals_told) << "once to each";
+  EXPECT_EQ (nodes.size () - 1, r.withdrawals_sent)
+      << "one to each other entry";
   EXPECT_TRUE (all_ready (0));
   r.announce (*engine, *nodes[0], load);
   EXPECT_TRUE (all_ready (0));
   r.until ([&] { return all_ready (1); });
 }
 
-TEST_F (Told, LoadOfAnOldIncarnationSaysNothing)
+TEST_F (LoadExchange, ReportOfAnotherIncarnationIsIgnored)
 {
-  const pu_entry_load_t old = { pu_entry_load_id ("e1", 2), 900, 3, 0, 0, 0 };
+  const pu_entry_load_t other
+      = { pu_entry_load_id ("e1", 2), 900, 3, 0, 0, 0 };
 
-  pu_entry_loads_in (nodes[1]->entry, &old, 1, 5000);
-  EXPECT_NE (900, heard_seq (*nodes[1]));
+  pu_entry_loads_in (nodes[1]->entry, &other, 1, 5000);
+  EXPECT_NE (900, last_report_seq (*nodes[1]));
 }
 
 } // namespace
--- a/libplantainusher/entry/stream_fuzz.cc
+++ b/libplantainusher/entry/stream_fuzz.cc
@@ -1,10 +1,10 @@
-/* The events of an engine's answer, read from any split of the bytes, give
-   the same bytes to the caller and the same text; what the caller has got
-   grows by the tokens that were passed on.  A piece read by its frame is what
-   parsing gives.
+/* However the bytes of an engine's answer are split, the caller receives the
+   same bytes and the same text, and the count of tokens sent grows by the
+   tokens forwarded.  Reading a piece by a learned frame gives the same result
+   as parsing it.
 
-   The first byte says how much the caller has got before and whether the
-   engine confirmed that it resumes there.  */
+   The first byte of the input sets the number of tokens sent earlier (0 to 3)
+   and whether the engine confirmed the resume after them.  */
 #include <stdint.h>
 #include <string.h>
 
@@ -22,18 +22,18 @@
     __builtin_trap ();
 }
 
-struct outcome
+struct stream_result
 {
-  std::string passed;
+  std::string forwarded;
   std::string text;
   guint tokens = 0;
   int result = 0;
   bool finished = false;
 
   bool
-  operator== (const outcome &o) const
+  operator== (const stream_result &o) const
   {
-    return passed == o.passed && text == o.text && tokens == o.tokens
+    return forwarded == o.forwarded && text == o.text && tokens == o.tokens
            && result == o.result && finished == o.finished;
   }
 };
@@ -41,27 +41,28 @@
 static void
 on_bytes (void *data, const char *bytes, gsize len, guint tokens)
 {
-  auto *o = static_cast<outcome *> (data);
+  auto *o = static_cast<stream_result *> (data);
 
-  o->passed.append (bytes, len);
+  o->forwarded.append (bytes, len);
   o->tokens += tokens;
 }
 
-static outcome
-read_all (const std::string &bytes, size_t step, guint before, bool confirmed)
+static stream_result
+read_all (const std::string &bytes, size_t step, guint tokens_before,
+          bool confirmed)
 {
-  outcome o;
+  stream_result o;
   pu_sent_t sent;
   pu_stream_result_t result = PU_STREAM_MORE;
 
   pu_sent_init (&sent);
-  for (; sent.tokens < before; sent.tokens++)
+  for (; sent.tokens < tokens_before; sent.tokens++)
     g_string_append (sent.text, "ab");
   pu_stream_t *s = pu_stream_new (&sent, confirmed, on_bytes, &o);
   for (size_t i = 0; i < bytes.size () && result == PU_STREAM_MORE; i += step)
     result = pu_stream_feed (s, &bytes[i], std::min (step, bytes.size () - i));
   require (pu_stream_tokens (s) == o.tokens);
-  require (sent.tokens == before + o.tokens);
+  require (sent.tokens == tokens_before + o.tokens);
   o.text.assign (sent.text->str, sent.text->len);
   o.result = result;
   o.finished = sent.finished;
@@ -72,16 +73,16 @@
 
 /* --- pieces --- */
 
-/* Reads an event with the reader that has seen those before and with one that
-   has not.  */
+/* Reads an event with the reader that read the events before it and with a new
+   reader, and compares the results.  */
 static bool
 on_event (void *data, const pu_sse_event_t *ev)
 {
-  auto *known = static_cast<pu_piece_reader_t *> (data);
+  auto *reused = static_cast<pu_piece_reader_t *> (data);
   pu_piece_reader_t *fresh = pu_piece_reader_new ();
   pu_piece_t a{};
   pu_piece_t b{};
-  const bool good = pu_piece_read (known, ev->data, ev->data_len, &a);
+  const bool good = pu_piece_read (reused, ev->data, ev->data_len, &a);
 
   require (good == pu_piece_read (fresh, ev->data, ev->data_len, &b));
   if (good)
@@ -96,12 +97,12 @@
 static void
 check_pieces (const std::string &bytes)
 {
-  pu_piece_reader_t *known = pu_piece_reader_new ();
-  pu_sse_t *sse = pu_sse_new (4096, on_event, known);
+  pu_piece_reader_t *reused = pu_piece_reader_new ();
+  pu_sse_t *sse = pu_sse_new (4096, on_event, reused);
 
   pu_sse_feed (sse, bytes.data (), bytes.size ());
   pu_sse_free (sse);
-  pu_piece_reader_free (known);
+  pu_piece_reader_free (reused);
 }
 
 extern "C" int
@@ -111,11 +112,12 @@
     return 0;
   const std::string bytes (reinterpret_cast<const char *> (data + 1),
                            size - 1);
-  const guint before = data[0] % 4;
+  const guint tokens_before = data[0] % 4;
   const bool confirmed = (data[0] & 4) != 0;
-  const outcome whole = read_all (bytes, size, before, confirmed);
+  const stream_result unsplit
+      = read_all (bytes, size, tokens_before, confirmed);
 
-  require (read_all (bytes, 1, before, confirmed) == whole);
+  require (read_all (bytes, 1, tokens_before, confirmed) == unsplit);
   check_pieces (bytes);
   return 0;
 }
