--- a/libplantainusher/entry/rig_test.cc
+++ b/libplantainusher/entry/rig_test.cc
@@ -196,7 +196,7 @@
   for (node &to : r.nodes)
     {
       if (to.address == address)
-        pu_entry_loads_in (to.entry, loads, n, life_ms);
+        pu_entry_receive_loads (to.entry, loads, n, life_ms);
     }
 }
 
@@ -210,7 +210,7 @@
   for (node &to : r.nodes)
     {
       if (to.address == address)
-        pu_entry_withdrawn (to.entry, id, model, life_ms);
+        pu_entry_receive_withdrawal (to.entry, id, model, life_ms);
     }
 }
 
--- a/libplantainusher/entry/spread_test.cc
+++ b/libplantainusher/entry/spread_test.cc
@@ -13,13 +13,13 @@
 {
   for (guint backends : { 1u, 13u, 14u, 104u, 770u, 10000u })
     {
-      guint interval = pu_spread_interval_ms (backends);
+      guint interval = pu_load_forward_interval_ms (backends);
 
       EXPECT_GE (interval, 1000u);
       EXPECT_LE (backends * LOAD_MESSAGE_BYTES * 1000 / interval,
                  MAX_BYTES_PER_S)
           << backends;
-      EXPECT_GE (pu_spread_life_ms (interval), 3 * interval);
+      EXPECT_GE (pu_load_forward_lifetime_ms (interval), 3 * interval);
     }
 }
 
@@ -151,7 +151,7 @@
 
   ASSERT_TRUE (all_ready (1));
   for (int i = 0; i < 3; i++)
-    pu_entry_withdraw (nodes[0]->entry, "e1", "m");
+    pu_entry_withdraw_copy (nodes[0]->entry, "e1", "m");
   EXPECT_EQ (nodes.size () - 1, r.withdrawals_sent)
       << "one to each other entry";
   EXPECT_TRUE (all_ready (0));
@@ -165,7 +165,7 @@
   const pu_entry_load_t other
       = { pu_entry_load_id ("e1", 2), 900, 3, 0, 0, 0 };
 
-  pu_entry_loads_in (nodes[1]->entry, &other, 1, 5000);
+  pu_entry_receive_loads (nodes[1]->entry, &other, 1, 5000);
   EXPECT_NE (900, last_report_seq (*nodes[1]));
 }
 
