--- a/libplantainusher/placer/rig_test.cc
+++ b/libplantainusher/placer/fixture_test.cc
@@ -1,11 +1,11 @@
-#include "placer/rig_test.h"
+#include "placer/fixture_test.h"
 
 #include <algorithm>
 #include <csignal>
 
 namespace
 {
-constexpr uint64_t patience_ms = 15000;
+constexpr uint64_t run_until_timeout_ms = 15000;
 constexpr unsigned tick_ms = 10;
 const char *const peer_key = "a peer key of some length";
 
@@ -17,15 +17,16 @@
 void
 on_order (void *data, pu_http_request_t *r)
 {
-  auto *e = static_cast<Engine *> (data);
+  auto *e = static_cast<FakeEngine *> (data);
   gsize n;
   const char *text = pu_http_request_body (r, &n);
   json_t *body = json_loadb (text, n, 0, nullptr);
 
-  e->orders++;
-  int status = e->takes == Takes::nothing ? 0 : e->order (body);
+  e->order_count++;
+  int status
+      = e->handling == OrderHandling::ignore ? 0 : e->handle_order (body);
   json_decref (body);
-  if (status != 0 && e->takes != Takes::silently)
+  if (status != 0 && e->handling != OrderHandling::accept_without_answer)
     pu_http_respond (r, status, nullptr, 0, "{}", 2);
 }
 
@@ -43,7 +44,7 @@
 } // namespace
 
 unsigned
-Engine::used () const
+FakeEngine::used () const
 {
   unsigned sum = 0;
   for (const auto &c : copies)
@@ -52,14 +53,14 @@
 }
 
 bool
-Engine::ready (const std::string &copy) const
+FakeEngine::is_ready (const std::string &copy) const
 {
   auto c = copies.find (copy);
   return alive && c != copies.end () && c->second.second == PU_COPY_READY;
 }
 
 int
-Engine::order (const json_t *body)
+FakeEngine::handle_order (const json_t *body)
 {
   auto t = static_cast<uint64_t> (number (body, "token"));
   std::string copy = text (body, "model") + "/" + text (body, "version");
@@ -75,19 +76,19 @@
     }
   if (copies.count (copy) > 0)
     return 202;
-  loads++;
+  load_count++;
   copies[copy] = { unsigned (number (body, "memory_mb")), PU_COPY_LOADING };
-  overcommitted |= used () > size_mb;
+  overcommitted |= used () > accelerator_mb;
   return 202;
 }
 
 void
-Engine::step ()
+FakeEngine::finish_loads ()
 {
   for (auto c = copies.begin (); c != copies.end ();)
     {
       bool loading = c->second.second == PU_COPY_LOADING;
-      if (loading && takes == Takes::failing)
+      if (loading && handling == OrderHandling::accept_then_fail)
         {
           c = copies.erase (c);
           continue;
@@ -99,7 +100,7 @@
 }
 
 void
-Engine::report ()
+FakeEngine::report ()
 {
   std::vector<std::string> names;
   std::vector<pu_copy_record> list;
@@ -119,9 +120,9 @@
                         x.second.second });
       now += " " + x.first + std::to_string (x.second.second);
     }
-  if (now == reported)
+  if (now == last_report)
     return;
-  reported = now;
+  last_report = now;
   c.type = PU_COMMAND_BACKEND_UP;
   pu_backend_record &b = c.pu_command_u.backend_up;
   b.name = name.data ();
@@ -132,24 +133,24 @@
   b.region = region;
   b.zone = name.data ();
   b.accelerators = 1;
-  b.memory_mb = size_mb;
+  b.memory_mb = accelerator_mb;
   b.fenced = fenced;
   b.leaving = leaving;
   b.token = token;
   b.copies.copies_len = list.size ();
   b.copies.copies_val = list.data ();
-  rig->propose (c);
+  test->propose (c);
 }
 
 std::string
-model (const std::string &name, const std::string &version, unsigned mb)
+model_json (const std::string &name, const std::string &version, unsigned mb)
 {
   return "'" + name + "': {'version': '" + version + "', 'memory_mb': "
          + std::to_string (mb) + ", 'kv_cache_mb': 10, 'max_copies': 1}";
 }
 
 std::string
-document (const std::string &models, const std::string &adapters)
+document_json (const std::string &models, const std::string &adapters)
 {
   std::string text
       = "{'services': {'s': {'kind': 'model', 'targets': {}}}, 'models': {"
@@ -178,7 +179,7 @@
 }
 
 void
-Rig::SetUp ()
+PlacerTest::SetUp ()
 {
   char path[] = "/tmp/placer_test.XXXXXX";
   pu_rpc_server_options_t o = {};
@@ -193,17 +194,18 @@
   server = pu_rpc_server_new (&o, &e);
   ASSERT_NE (server, nullptr) << e.message;
   address = "127.0.0.1:" + std::to_string (pu_rpc_server_port (server));
-  clock = new uv_timer_t;
-  uv_timer_init (&loop, clock);
-  clock->data = this;
+  tick_timer = new uv_timer_t;
+  uv_timer_init (&loop, tick_timer);
+  tick_timer->data = this;
   uv_timer_start (
-      clock, [] (uv_timer_t *t) { static_cast<Rig *> (t->data)->tick (); },
+      tick_timer,
+      [] (uv_timer_t *t) { static_cast<PlacerTest *> (t->data)->tick (); },
       tick_ms, tick_ms);
-  open ();
+  start_voter ();
 }
 
 void
-Rig::open ()
+PlacerTest::start_voter ()
 {
   pu_log_peer self = {};
   pu_control_options_t c;
@@ -241,15 +243,15 @@
   p.counters = counters;
   p.lease_ms = 80;
   p.order_life_ms = order_life_ms;
-  p.plan_ms = 20;
+  p.plan_interval_ms = 20;
   p.placement.orders.retry_ms = 100;
   placer = pu_placer_new (&p);
   for (auto &x : engines)
-    x->reported = "";
+    x->last_report = "";
 }
 
 void
-Rig::close ()
+PlacerTest::stop_voter ()
 {
   bool closed = false;
 
@@ -263,11 +265,11 @@
 }
 
 void
-Rig::TearDown ()
+PlacerTest::TearDown ()
 {
-  close ();
+  stop_voter ();
   pu_rpc_server_free (server);
-  uv_close (reinterpret_cast<uv_handle_t *> (clock), [] (uv_handle_t *h) {
+  uv_close (reinterpret_cast<uv_handle_t *> (tick_timer), [] (uv_handle_t *h) {
     delete reinterpret_cast<uv_timer_t *> (h);
   });
   for (auto &e : engines)
@@ -275,7 +277,7 @@
       pu_http_server_stop (
           e->server,
           [] (void *d) {
-            pu_http_server_free (static_cast<Engine *> (d)->server);
+            pu_http_server_free (static_cast<FakeEngine *> (d)->server);
           },
           e.get ());
       pu_http_server_abort (e->server);
@@ -284,21 +286,21 @@
   EXPECT_EQ (uv_loop_close (&loop), 0);
   for (auto &e : engines)
     EXPECT_FALSE (e->overcommitted) << e->name;
-  EXPECT_FALSE (was_lost) << always_ready;
+  EXPECT_FALSE (lost_ready_copy) << must_stay_ready;
   std::string remove = "rm -rf " + root;
   EXPECT_EQ (system (remove.c_str ()), 0);
 }
 
-Engine &
-Rig::engine (const std::string &name, bool fenced)
+FakeEngine &
+PlacerTest::add_engine (const std::string &name, bool fenced)
 {
-  auto e = std::make_unique<Engine> ();
+  auto e = std::make_unique<FakeEngine> ();
   pu_http_server_options_t o = {};
   pu_error_t error;
 
   e->name = name;
   e->fenced = fenced;
-  e->rig = this;
+  e->test = this;
   o.loop = &loop;
   o.host = "127.0.0.1";
   o.handler = on_order;
@@ -311,7 +313,7 @@
 }
 
 void
-Rig::tick ()
+PlacerTest::tick ()
 {
   bool found = false;
 
@@ -319,32 +321,33 @@
     return;
   for (auto &e : engines)
     {
-      e->step ();
+      e->finish_loads ();
       if (e->alive && pu_control_is_leader (control))
         e->report ();
       for (const auto &c : e->copies)
         {
-          found |= e->ready (c.first)
-                   && c.first.substr (0, c.first.find ('/')) == always_ready;
+          found
+              |= e->is_ready (c.first)
+                 && c.first.substr (0, c.first.find ('/')) == must_stay_ready;
         }
     }
-  was_lost |= was_ready && !found;
-  was_ready |= found;
+  lost_ready_copy |= had_ready_copy && !found;
+  had_ready_copy |= found;
 }
 
 void
-Rig::run_until (const std::function<bool ()> &done)
+PlacerTest::run_until (const std::function<bool ()> &done)
 {
   uint64_t begin = uv_now (&loop);
 
-  while (!done () && uv_now (&loop) - begin < patience_ms)
+  while (!done () && uv_now (&loop) - begin < run_until_timeout_ms)
     uv_run (&loop, UV_RUN_ONCE);
-  ASSERT_TRUE (done ()) << told ();
+  ASSERT_TRUE (done ()) << dump_text ();
 }
 
-/* The placer's dump, for a failed test.  */
+/* Returns the dump of the placer, for the message of a failed check.  */
 std::string
-Rig::told () const
+PlacerTest::dump_text () const
 {
   json_t *o = placer != nullptr ? pu_placer_dump (placer) : json_object ();
   char *text = json_dumps (o, JSON_INDENT (1));
@@ -356,7 +359,7 @@
 }
 
 void
-Rig::run_ms (unsigned ms)
+PlacerTest::run_ms (unsigned ms)
 {
   uint64_t begin = uv_now (&loop);
 
@@ -364,13 +367,13 @@
 }
 
 void
-Rig::propose (const pu_command &c)
+PlacerTest::propose (const pu_command &c)
 {
   pu_control_propose (control, &c, on_proposed, nullptr);
 }
 
 void
-Rig::submit (const std::string &text)
+PlacerTest::submit (const std::string &text)
 {
   pu_command c = {};
   std::string body = text, id = "change " + std::to_string (version);
@@ -399,27 +402,27 @@
 }
 
 bool
-Rig::ready (const std::string &copy) const
+PlacerTest::is_ready (const std::string &copy) const
 {
   for (const auto &e : engines)
     {
-      if (e->ready (copy))
+      if (e->is_ready (copy))
         return true;
     }
   return false;
 }
 
 unsigned
-Rig::loads () const
+PlacerTest::load_count () const
 {
   unsigned n = 0;
   for (const auto &e : engines)
-    n += e->loads;
+    n += e->load_count;
   return n;
 }
 
 unsigned
-Rig::open_orders () const
+PlacerTest::open_order_count () const
 {
   unsigned n = 0;
   pu_state_each_order (
--- a/libplantainusher/placer/names.h
+++ b/libplantainusher/placer/names.h
@@ -7,8 +7,9 @@
 G_BEGIN_DECLS
 
 /*
- * names - names with small handles, both ways.  Handles count from 0 and are
- * never given back.
+ * names - interns names as integer handles and maps both ways.
+ *
+ * Handles are consecutive numbers from 0; they are never removed or reused.
  */
 
 typedef struct
@@ -20,18 +21,20 @@
 void pu_names_init (pu_names_t *n);
 void pu_names_clear (pu_names_t *n);
 
-/* pu_names_get - the handle of NAME, made when new.  */
+/* pu_names_get - returns the handle of NAME, a new one when NAME is new.  */
 guint32 pu_names_get (pu_names_t *n, const char *name);
 
-/* pu_names_get_incarnation - the handle of one incarnation of NAME: what was
-   asked of an earlier one never counts for a later one.  */
+/* pu_names_get_incarnation - as pu_names_get, for one incarnation of NAME.
+   Each incarnation has its own handle, so that the result of a request to an
+   earlier incarnation is never applied to a later one.  */
 guint32 pu_names_get_incarnation (pu_names_t *n, const char *name,
                                   guint64 incarnation);
 
-/* pu_names_find - false when NAME has no handle.  */
+/* pu_names_find - sets HANDLE to the handle of NAME.  False when NAME has
+   none.  */
 bool pu_names_find (const pu_names_t *n, const char *name, guint32 *handle);
 
-/* pu_names_name - the name of HANDLE, or "?" for a handle that is none.  */
+/* pu_names_name - returns the name of HANDLE, "?" when HANDLE is unknown.  */
 const char *pu_names_name (const pu_names_t *n, guint32 handle);
 
 guint32 pu_names_count (const pu_names_t *n);
--- a/libplantainusher/placer/placer.c
+++ b/libplantainusher/placer/placer.c
@@ -9,9 +9,10 @@
 #define DEFAULT_ORDER_LIFE_MS 60000
 #define DEFAULT_CONNECT_MS 1000
 #define DEFAULT_REPORT_INTERVAL_MS 1000
-#define DEFAULT_PLAN_MS 1000
-#define DEFAULT_STREAMS 16.0
-#define LIFE_PARTS 3
+#define DEFAULT_PLAN_INTERVAL_MS 1000
+#define DEFAULT_STREAMS_PER_ACCELERATOR 16.0
+/* An order is sent, in transit and reported.  */
+#define ORDER_LIFE_PHASES 3
 #define US_PER_MS 1000
 
 void
@@ -20,36 +21,39 @@
   memset (o, 0, sizeof *o);
   pu_planner_options_init (&o->placement.planner);
   pu_orders_options_init (&o->placement.orders);
-  o->streams_per_accelerator = DEFAULT_STREAMS;
+  o->streams_per_accelerator = DEFAULT_STREAMS_PER_ACCELERATOR;
 }
 
 static guint32
-or_default (guint32 value, guint32 otherwise)
+value_or_default (guint32 value, guint32 default_value)
 {
-  return value != 0 ? value : otherwise;
+  return value != 0 ? value : default_value;
 }
 
 static void
-set_times (pu_placer_options_t *o)
+set_timeouts (pu_placer_options_t *o)
 {
   pu_orders_options_t *r = &o->placement.orders;
 
-  o->lease_ms = or_default (o->lease_ms, DEFAULT_LEASE_MS);
-  o->order_life_ms = or_default (o->order_life_ms, DEFAULT_ORDER_LIFE_MS);
-  o->connect_ms = or_default (o->connect_ms, DEFAULT_CONNECT_MS);
+  o->lease_ms = value_or_default (o->lease_ms, DEFAULT_LEASE_MS);
+  o->order_life_ms
+      = value_or_default (o->order_life_ms, DEFAULT_ORDER_LIFE_MS);
+  o->connect_ms = value_or_default (o->connect_ms, DEFAULT_CONNECT_MS);
   o->report_interval_ms
-      = or_default (o->report_interval_ms, DEFAULT_REPORT_INTERVAL_MS);
-  o->plan_ms = or_default (o->plan_ms, DEFAULT_PLAN_MS);
+      = value_or_default (o->report_interval_ms, DEFAULT_REPORT_INTERVAL_MS);
+  o->plan_interval_ms
+      = value_or_default (o->plan_interval_ms, DEFAULT_PLAN_INTERVAL_MS);
   r->lease_ms = o->lease_ms;
-  r->send_ms = o->order_life_ms / LIFE_PARTS;
-  r->transit_ms = o->order_life_ms / LIFE_PARTS;
+  r->send_ms = o->order_life_ms / ORDER_LIFE_PHASES;
+  r->transit_ms = o->order_life_ms / ORDER_LIFE_PHASES;
   r->report_ms = o->order_life_ms - r->send_ms - r->transit_ms;
   r->retry_ms = MIN (r->retry_ms, r->send_ms / 2);
 }
 
-/* For tests alone: nothing in a usual build.  */
+/* Injects faults for the process tests; has no effect unless PU_BREAKS is
+   set.  */
 static void
-set_breaks (pu_placer_options_t *o)
+set_test_breaks (pu_placer_options_t *o)
 {
   o->placement.orders.test_breaks
       |= pu_break_bit (PU_BREAK_TIMEOUT_FREES, PU_ORDERS_BREAK_TIMEOUT);
@@ -60,23 +64,23 @@
 /* --- the log --- */
 
 static void
-count (pu_placer_t *p, pu_counter_t counter)
+count_event (pu_placer_t *p, pu_counter_t counter)
 {
   if (p->o.counters != NULL)
     pu_counters_add (p->o.counters, counter, 1);
 }
 
 static bool
-awaits (void *data, guint32 backend, guint32 copy)
+is_reserve_pending (void *data, guint32 backend, guint32 copy)
 {
   const pu_placer_t *p = data;
   GHashTableIter i;
   gpointer key;
 
-  g_hash_table_iter_init (&i, p->awaited);
+  g_hash_table_iter_init (&i, p->pending_reserves);
   while (g_hash_table_iter_next (&i, &key, NULL))
     {
-      const pu_placer_reserve_t *r = key;
+      const pu_placer_pending_reserve_t *r = key;
 
       if (r->backend == backend && r->copy == copy)
         return true;
@@ -87,70 +91,70 @@
 static void
 on_reserved (void *data, const pu_reply *reply, const pu_error_t *e)
 {
-  pu_placer_reserve_t *r = data;
+  pu_placer_pending_reserve_t *r = data;
   pu_placer_t *p = r->placer;
   bool accepted = e->kind == PU_OK && reply->outcome == PU_OUTCOME_DONE;
   guint64 token = accepted ? reply->position : 0;
 
-  if (p->follow == NULL || r->lead != p->lead)
+  if (p->sync == NULL || r->takeover != p->takeovers)
     {
       g_free (r);
       return;
     }
-  g_hash_table_remove (p->awaited, r);
+  g_hash_table_remove (p->pending_reserves, r);
   if (accepted)
     {
-      pu_follow_know (p->follow, token);
+      pu_placer_sync_add_order (p->sync, token);
     }
   else
     {
-      count (p, p->c.refused);
-      pu_follow_failed (p->follow, r->backend, r->copy);
-      pu_log_info (PU_PLACER_PART, "No reservation for %s on %s: %s",
-                   pu_follow_model_of (p->follow, r->copy),
-                   pu_names_name (&p->follow->backends, r->backend),
+      count_event (p, p->counters.reserves_refused);
+      pu_placer_sync_add_failure (p->sync, r->backend, r->copy);
+      pu_log_info (PU_PLACER_PART, "Reservation for %s on %s failed: %s",
+                   pu_placer_sync_copy_model (p->sync, r->copy),
+                   pu_names_name (&p->sync->backends, r->backend),
                    e->kind == PU_OK ? reply->detail : e->message);
     }
-  pu_placement_reserved (p->follow->placement, r->id, accepted, token,
+  pu_placement_reserved (p->sync->placement, r->id, accepted, token,
                          pu_control_now (p->o.control));
   g_free (r);
 }
 
-/* The record of the order R; its strings belong to others.  */
+/* Returns the record of the order R, with borrowed strings.  */
 static pu_order_record
-record_of (const pu_placer_t *p, const pu_orders_order_t *r)
+order_record_of (const pu_placer_t *p, const pu_orders_order_t *r)
 {
-  const pu_follow_t *f = p->follow;
+  const pu_placer_sync_t *sync = p->sync;
   pu_order_record o = { 0 };
 
   o.token = r->token;
   o.kind = (pu_order_kind)r->wish.kind;
-  o.backend = (char *)pu_names_name (&f->backends, r->wish.backend);
+  o.backend = (char *)pu_names_name (&sync->backends, r->wish.backend);
   o.incarnation = r->wish.incarnation;
-  o.model = (char *)pu_follow_model_of (f, r->wish.copy);
-  o.model_version = (char *)pu_follow_version_of (f, r->wish.copy);
+  o.model = (char *)pu_placer_sync_copy_model (sync, r->wish.copy);
+  o.model_version = (char *)pu_placer_sync_copy_version (sync, r->wish.copy);
   o.memory_mb = r->wish.memory_mb;
   o.wall = (guint64)(g_get_real_time () / US_PER_MS);
   o.life_ms = (u_int)pu_orders_life_ms (&p->o.placement.orders);
-  o.reason = (char *)pu_placer_reason (r->wish.reason);
+  o.reason = (char *)pu_placer_move_reason (r->wish.reason);
   return o;
 }
 
 static void
-reserve (pu_placer_t *p, const pu_orders_order_t *r)
+propose_reserve (pu_placer_t *p, const pu_orders_order_t *r)
 {
   pu_command c = { 0 };
-  pu_placer_reserve_t *n = g_new0 (pu_placer_reserve_t, 1);
+  pu_placer_pending_reserve_t *n = g_new0 (pu_placer_pending_reserve_t, 1);
 
   n->placer = p;
-  n->lead = p->lead;
+  n->takeover = p->takeovers;
   n->id = r->id;
   n->backend = r->wish.backend;
   n->copy = r->wish.copy;
-  g_hash_table_add (p->awaited, n);
-  count (p, p->c.reserves);
+  g_hash_table_add (p->pending_reserves, n);
+  count_event (p, p->counters.reserves);
   c.type = PU_COMMAND_RESERVE;
-  c.pu_command_u.reserve = record_of (p, r);
+  c.pu_command_u.reserve = order_record_of (p, r);
   pu_control_propose (p->o.control, &c, on_reserved, n);
 }
 
@@ -160,16 +164,16 @@
   (void)data;
   if (e->kind == PU_OK && reply->outcome == PU_OUTCOME_REFUSED)
     {
-      pu_log_debug (PU_PLACER_PART, "Not released: %s", reply->detail);
+      pu_log_debug (PU_PLACER_PART, "RELEASE refused: %s", reply->detail);
     }
 }
 
 static void
-release (pu_placer_t *p, const pu_orders_order_t *r)
+propose_release (pu_placer_t *p, const pu_orders_order_t *r)
 {
   pu_command c = { 0 };
 
-  count (p, p->c.releases);
+  count_event (p, p->counters.releases);
   c.type = PU_COMMAND_RELEASE;
   c.pu_command_u.release.token = r->token;
   c.pu_command_u.release.proof = (char *)"the life of the order is over";
@@ -178,17 +182,18 @@
 
 /* --- the engines --- */
 
-/* Keeps in mind whose order TOKEN was refused.  */
+/* Records the failure of the order TOKEN, which its engine refused.  */
 static void
-note_refusal (pu_placer_t *p, guint64 token)
+record_refusal (pu_placer_t *p, guint64 token)
 {
   const pu_order_record *o
       = pu_state_order (pu_control_state (p->o.control), token);
 
   if (o == NULL)
     return;
-  pu_follow_failed (p->follow, pu_names_get (&p->follow->backends, o->backend),
-                    pu_follow_copy (p->follow, o->model, o->model_version));
+  pu_placer_sync_add_failure (
+      p->sync, pu_names_get (&p->sync->backends, o->backend),
+      pu_placer_sync_intern_copy (p->sync, o->model, o->model_version));
 }
 
 static void
@@ -197,66 +202,69 @@
   pu_placer_t *p = data;
 
   if (answer == PU_ORDERS_LOST)
-    count (p, p->c.lost);
-  if (p->follow == NULL)
+    count_event (p, p->counters.answers_lost);
+  if (p->sync == NULL)
     return;
   if (answer != PU_ORDERS_LOST && answer != PU_ORDERS_ACCEPTED)
-    note_refusal (p, token);
-  pu_placement_answer (p->follow->placement, token, answer,
+    record_refusal (p, token);
+  pu_placement_answer (p->sync->placement, token, answer,
                        pu_control_now (p->o.control));
 }
 
 static void
 send_order (pu_placer_t *p, const pu_orders_order_t *r, guint64 now)
 {
-  pu_order_record o = record_of (p, r);
+  pu_order_record o = order_record_of (p, r);
   const pu_backend_record *b
       = pu_state_backend (pu_control_state (p->o.control), o.backend);
 
   if (b == NULL || b->down || b->incarnation != o.incarnation)
     return;
-  /* The clock again: the duty may have taken long.  */
+  /* Read the clock again: NOW is the start of the tick, which may have taken
+     long.  */
   if (!pu_control_is_leader (p->o.control)
       || pu_control_now (p->o.control) >= r->send_until)
     return;
-  count (p, p->c.sends);
-  if (!pu_sends_order (p->sends, b->address, &o, now))
+  count_event (p, p->counters.orders_sent);
+  if (!pu_order_sender_send (p->sender, b->address, &o, now))
     {
-      pu_log_warn (PU_PLACER_PART, "Backend server %s has no address: %s",
-                   b->name, b->address);
+      pu_log_warn (PU_PLACER_PART,
+                   "Backend server %s has an invalid address: %s", b->name,
+                   b->address);
     }
 }
 
 static void
-tell_failure (pu_placer_t *p, const pu_orders_order_t *r)
+report_failure (pu_placer_t *p, const pu_orders_order_t *r)
 {
-  pu_follow_t *f = p->follow;
+  pu_placer_sync_t *sync = p->sync;
 
-  count (p, p->c.failures);
-  pu_follow_failed (f, r->wish.backend, r->wish.copy);
-  pu_log_note (PU_PLACER_PART, "Gave up to %s %s version %s on %s.",
+  count_event (p, p->counters.orders_failed);
+  pu_placer_sync_add_failure (sync, r->wish.backend, r->wish.copy);
+  pu_log_note (PU_PLACER_PART,
+               "Abandoned the order to %s %s version %s on %s.",
                r->wish.kind == PU_LEDGER_LOAD ? "load" : "unload",
-               pu_follow_model_of (f, r->wish.copy),
-               pu_follow_version_of (f, r->wish.copy),
-               pu_names_name (&f->backends, r->wish.backend));
+               pu_placer_sync_copy_model (sync, r->wish.copy),
+               pu_placer_sync_copy_version (sync, r->wish.copy),
+               pu_names_name (&sync->backends, r->wish.backend));
 }
 
 static void
-carry_out (pu_placer_t *p, const pu_orders_action_t *a, guint64 now)
+execute_action (pu_placer_t *p, const pu_orders_action_t *a, guint64 now)
 {
   switch (a->what)
     {
     case PU_ORDERS_DO_RESERVE:
-      reserve (p, &a->order);
+      propose_reserve (p, &a->order);
       return;
     case PU_ORDERS_DO_SEND:
       send_order (p, &a->order, now);
       return;
     case PU_ORDERS_DO_RELEASE:
-      release (p, &a->order);
+      propose_release (p, &a->order);
       return;
     case PU_ORDERS_DO_FAIL:
-      tell_failure (p, &a->order);
+      report_failure (p, &a->order);
       return;
     case PU_ORDERS_DO_FENCE:
       return;
@@ -271,10 +279,11 @@
   pu_placer_t *p = data;
 
   (void)term;
-  p->lead++;
-  p->next_plan = now;
-  p->follow = pu_follow_new (pu_control_state (p->o.control), &p->o.placement,
-                             p->o.streams_per_accelerator, now);
+  p->takeovers++;
+  p->next_plan_at = now;
+  p->sync
+      = pu_placer_sync_new (pu_control_state (p->o.control), &p->o.placement,
+                            p->o.streams_per_accelerator, now);
 }
 
 static void
@@ -282,18 +291,18 @@
 {
   pu_placer_t *p = data;
 
-  pu_sends_cancel (p->sends);
-  g_hash_table_remove_all (p->awaited);
-  g_clear_pointer (&p->follow, pu_follow_free);
+  pu_order_sender_cancel_all (p->sender);
+  g_hash_table_remove_all (p->pending_reserves);
+  g_clear_pointer (&p->sync, pu_placer_sync_free);
 }
 
 static bool
-should_plan (pu_placer_t *p, bool urgent, guint64 now)
+begin_plan_if_due (pu_placer_t *p, bool urgent, guint64 now)
 {
-  if (p->follow->document == NULL || (!urgent && now < p->next_plan))
+  if (p->sync->document == NULL || (!urgent && now < p->next_plan_at))
     return false;
-  p->next_plan = now + p->o.plan_ms;
-  count (p, p->c.plans);
+  p->next_plan_at = now + p->o.plan_interval_ms;
+  count_event (p, p->counters.plans);
   return true;
 }
 
@@ -303,15 +312,16 @@
   pu_placer_t *p = data;
   bool urgent;
 
-  if (p->follow == NULL)
+  if (p->sync == NULL)
     return;
-  pu_sends_expire (p->sends, now);
-  urgent = pu_follow_update (p->follow, awaits, p, now);
+  pu_order_sender_expire (p->sender, now);
+  urgent = pu_placer_sync_update (p->sync, is_reserve_pending, p, now);
   g_array_set_size (p->actions, 0);
-  pu_placement_step (p->follow->placement, should_plan (p, urgent, now), now,
-                     p->actions);
-  for (guint i = 0; i < p->actions->len && p->follow != NULL; i++)
-    carry_out (p, &g_array_index (p->actions, pu_orders_action_t, i), now);
+  pu_placement_step (p->sync->placement, begin_plan_if_due (p, urgent, now),
+                     now, p->actions);
+  for (guint i = 0; i < p->actions->len && p->sync != NULL; i++)
+    execute_action (p, &g_array_index (p->actions, pu_orders_action_t, i),
+                    now);
 }
 
 static void
@@ -320,28 +330,31 @@
   pu_placer_t *p = data;
   guint32 item;
 
-  if (p->follow == NULL || !pu_names_find (&p->follow->items, model, &item))
+  if (p->sync == NULL || !pu_names_find (&p->sync->items, model, &item))
     return;
-  pu_planner_add_demand (pu_placement_planner (p->follow->placement), item,
+  pu_planner_add_demand (pu_placement_planner (p->sync->placement), item,
                          requests, stream_ms);
 }
 
-/* --- life --- */
+/* --- construction --- */
 
 static void
-get_counters (pu_placer_t *p)
+init_counters (pu_placer_t *p)
 {
   pu_counters_t *c = p->o.counters;
 
   if (c == NULL)
     return;
-  p->c.plans = pu_counters_get (c, "placement_plans_total");
-  p->c.reserves = pu_counters_get (c, "placement_reservations_total");
-  p->c.refused = pu_counters_get (c, "placement_reservations_refused_total");
-  p->c.sends = pu_counters_get (c, "placement_orders_sent_total");
-  p->c.lost = pu_counters_get (c, "placement_answers_lost_total");
-  p->c.releases = pu_counters_get (c, "placement_releases_total");
-  p->c.failures = pu_counters_get (c, "placement_orders_failed_total");
+  p->counters.plans = pu_counters_get (c, "placement_plans_total");
+  p->counters.reserves = pu_counters_get (c, "placement_reservations_total");
+  p->counters.reserves_refused
+      = pu_counters_get (c, "placement_reservations_refused_total");
+  p->counters.orders_sent = pu_counters_get (c, "placement_orders_sent_total");
+  p->counters.answers_lost
+      = pu_counters_get (c, "placement_answers_lost_total");
+  p->counters.releases = pu_counters_get (c, "placement_releases_total");
+  p->counters.orders_failed
+      = pu_counters_get (c, "placement_orders_failed_total");
 }
 
 pu_placer_t *
@@ -349,20 +362,20 @@
 {
   pu_placer_t *p = g_new0 (pu_placer_t, 1);
   pu_control_duty_t duty = { "placement", on_begin, on_tick, on_end, p };
-  pu_sends_options_t s = { 0 };
+  pu_order_sender_options_t s = { 0 };
 
   p->o = *o;
-  set_times (&p->o);
-  set_breaks (&p->o);
+  set_timeouts (&p->o);
+  set_test_breaks (&p->o);
   s.loop = o->loop;
   s.connect_ms = p->o.connect_ms;
   s.transit_ms = (guint)p->o.placement.orders.transit_ms;
   s.answer = on_answer;
   s.data = p;
-  p->sends = pu_sends_new (&s);
-  p->awaited = g_hash_table_new (NULL, NULL);
+  p->sender = pu_order_sender_new (&s);
+  p->pending_reserves = g_hash_table_new (NULL, NULL);
   p->actions = g_array_new (FALSE, FALSE, sizeof (pu_orders_action_t));
-  get_counters (p);
+  init_counters (p);
   pu_control_add_duty (o->control, &duty);
   pu_control_on_demand (o->control, on_demand, p);
   return p;
@@ -373,9 +386,9 @@
 {
   if (p == NULL)
     return;
-  pu_follow_free (p->follow);
-  pu_sends_free (p->sends);
-  g_hash_table_unref (p->awaited);
+  pu_placer_sync_free (p->sync);
+  pu_order_sender_free (p->sender);
+  g_hash_table_unref (p->pending_reserves);
   g_array_unref (p->actions);
   g_free (p);
 }
--- a/libplantainusher/placer/placer.h
+++ b/libplantainusher/placer/placer.h
@@ -14,15 +14,16 @@
 G_BEGIN_DECLS
 
 /*
- * placer - the leader's duty that puts models onto engines.
+ * placer - the duty of the leader that loads and unloads models on engines.
  *
- * It follows the replicated state, feeds the planner and the orders of the
- * placement slice with it, and carries out their actions: RESERVE and RELEASE
- * by the log, orders by HTTP to the engines.  Each take-over begins anew from
- * the state.  Backend servers that are no engines are not looked at.
+ * The placer passes the replicated state to the planner and the orders of the
+ * placement slice and executes their actions: it proposes RESERVE and RELEASE
+ * to the log and sends orders to the engines over HTTP.  After each take-over
+ * it starts with no data but the state.  Backend servers that are not engines
+ * are ignored.
  *
- * An order goes out on a fresh connection, which is closed at the end of the
- * transit time, and only while the lease is held.
+ * An order is sent on a new connection, which is closed at the end of the
+ * transit time, and only while the lease of the leader is held.
  */
 
 typedef struct pu_placer pu_placer_t;
@@ -34,50 +35,59 @@
   pu_counters_t *counters; /* may be NULL */
 
   /* Milliseconds, as in the settings; 0: the default.  */
-  guint32 lease_ms;           /* of the leader */
-  guint32 order_life_ms;      /* shared out among send, transit and report */
-  guint32 connect_ms;         /* a new connection to an engine */
+  guint32 lease_ms;           /* lease of the leader */
+  guint32 order_life_ms;      /* lifetime of an order: a third each to send it,
+                                 for its transit and to report its effect */
+  guint32 connect_ms;         /* time-out of a new connection to an engine */
   guint32 report_interval_ms; /* of backend servers */
-  guint32 plan_ms;            /* between two plans; 1000 */
+  guint32 plan_interval_ms;   /* between two plans; default 1000 */
 
-  /* What the document or the settings don't say.  pu_placer_options_init
-     fills it; a zone's name, weights and limits of the store come from the
-     document in force.  */
+  /* Options that neither the document nor the settings give, with defaults
+     from pu_placer_options_init.  The planner's settings and the limits of
+     the store that the document gives are replaced by those of the document
+     in force.  */
   pu_placement_options_t placement;
-  double streams_per_accelerator; /* requests that one runs at full speed */
+  double streams_per_accelerator; /* requests that one accelerator runs at full
+                                     speed */
 } pu_placer_options_t;
 
-/* pu_placer_options_init - the defaults of all that has one.  */
+/* pu_placer_options_init - sets O to the defaults; fields without a default
+   are cleared.  */
 void pu_placer_options_init (pu_placer_options_t *o);
 
-/* pu_placer_new - adds the duty to O->control, and takes its demand.  */
+/* pu_placer_new - adds the duty to O->control and registers for its demand
+   reports.  */
 pu_placer_t *pu_placer_new (const pu_placer_options_t *o);
 
-/* pu_placer_free - call it when pu_control_close has called back.  The loop
-   must run until the handles are closed.  */
+/* pu_placer_free - frees P.  To be called after the callback of
+   pu_control_close; the loop must run until the handles are closed.  */
 void pu_placer_free (pu_placer_t *p);
 
-/* pu_placer_status - a new object: {"leads":BOOL,"quiet":BOOL,
+/* pu_placer_status - returns a new object: {"leads":BOOL,"quiet":BOOL,
    "orders":[{"kind","model","version","backend","memory_mb","state","token",
    "tries","inherited","reason"}],
    "models":[{"model","version","ready","standing","rolled_back","why",
    "copies":[{"backend","version","phase","memory_mb","reason"}]}],
    "missing":[MODEL...], "repairing":[MODEL...],
    "failures":[{"model","version","backend","failures","retry_ms"}]}.
-   On a voter that does not lead the lists are empty.  `standing` is one of
-   pu_item_state_name.  */
+   "quiet" is the result of pu_orders_quiet, "standing" a name of
+   pu_item_state_name.  "missing" lists the models without a ready copy,
+   "repairing" those of them that are being loaded.  On a voter that does not
+   lead the lists are empty.  */
 json_t *pu_placer_status (pu_placer_t *p);
 
-/* pu_placer_dump - the status, and the numbers of this process.  */
+/* pu_placer_dump - returns the status with "numbers" of this process added. */
 json_t *pu_placer_dump (pu_placer_t *p);
 
-/* pu_placer_plan - what D would cause: a new object {"moves":[{"kind",
-   "model","version","backend","memory_mb","reason"}]}, from the newest state
-   and, on the leader, the demand that it knows of.  */
+/* pu_placer_plan - returns the moves that the document D would cause, as a new
+   object {"moves":[{"kind","model","version","backend","memory_mb",
+   "reason"}]}.  Uses the newest state and, on a leader that has applied it and
+   is not quiet, the known demand.  */
 json_t *pu_placer_plan (pu_placer_t *p, const pu_document_t *d);
 
-/* pu_placer_plan_state - the same from S alone, on any daemon: without demand,
-   and from a public view without the orders under way.  */
+/* pu_placer_plan_state - like pu_placer_plan, from S alone, on any daemon: the
+   plan takes no demand into account and, when S is a public view, no open
+   orders.  */
 json_t *pu_placer_plan_state (const pu_state_t *s, const pu_document_t *d);
 
 G_END_DECLS
--- a/libplantainusher/placer/placer_test.cc
+++ b/libplantainusher/placer/placer_test.cc
@@ -1,5 +1,5 @@
 #include "placer/names.h"
-#include "placer/rig_test.h"
+#include "placer/fixture_test.h"
 
 #include <arpa/inet.h>
 #include <cerrno>
@@ -8,9 +8,9 @@
 
 namespace
 {
-const std::string one = model ("m", "1", 40);
-const std::string two = model ("m", "2", 40);
-const std::string other = model ("n", "1", 50);
+const std::string m_version_1 = model_json ("m", "1", 40);
+const std::string m_version_2 = model_json ("m", "2", 40);
+const std::string n_version_1 = model_json ("n", "1", 50);
 
 json_t *
 find (json_t *list, const char *key, const char *value)
@@ -27,9 +27,9 @@
 }
 } // namespace
 
-/* An engine that starts again under its name is another engine to whoever
-   waits for the answer of the one before.  */
-TEST (Names, EachIncarnationHasAHandle)
+/* The result of a request to an engine that has restarted under its name since
+   must not be applied to the new process.  */
+TEST (Names, EachIncarnationHasItsOwnHandle)
 {
   pu_names_t n;
 
@@ -41,60 +41,61 @@
   pu_names_clear (&n);
 }
 
-TEST_F (Rig, ADeclaredModelThatIsNowhereIsLoaded)
+TEST_F (PlacerTest, ADeclaredModelWithoutACopyIsLoaded)
 {
-  Engine &e = engine ("a");
+  FakeEngine &e = add_engine ("a");
 
-  submit (document (one));
-  run_until ([&] { return ready ("m/1"); });
-  EXPECT_EQ (e.loads, 1U);
+  submit (document_json (m_version_1));
+  run_until ([&] { return is_ready ("m/1"); });
+  EXPECT_EQ (e.load_count, 1U);
   EXPECT_EQ (e.copies["m/1"].first, 50U);
 }
 
-TEST_F (Rig, EnginesThatIgnoreTokensGetTheirLoadsAfterTheWait)
+TEST_F (PlacerTest, AnEngineThatIgnoresTokensLoadsAndItsOrderIsReleased)
 {
-  engine ("a", false);
-  submit (document (one));
-  run_until ([&] { return ready ("m/1"); });
-  run_until ([&] { return open_orders () == 0; });
-  EXPECT_EQ (loads (), 1U);
+  add_engine ("a", false);
+  submit (document_json (m_version_1));
+  run_until ([&] { return is_ready ("m/1"); });
+  run_until ([&] { return open_order_count () == 0; });
+  EXPECT_EQ (load_count (), 1U);
 }
 
-TEST_F (Rig, AnOrderWhoseAnswerIsLostIsNotDoubledInMemory)
+TEST_F (PlacerTest, AnOrderWhoseAnswerIsLostLoadsOneCopy)
 {
   for (bool fenced : { true, false })
     {
-      Engine &e = engine (fenced ? "a" : "b", fenced);
-      e.takes = Takes::silently;
+      FakeEngine &e = add_engine (fenced ? "a" : "b", fenced);
+      e.handling = OrderHandling::accept_without_answer;
     }
-  submit (document (one + ", " + other));
-  run_until ([&] { return ready ("m/1") && ready ("n/1"); });
+  submit (document_json (m_version_1 + ", " + n_version_1));
+  run_until ([&] { return is_ready ("m/1") && is_ready ("n/1"); });
   run_ms (2 * order_life_ms);
-  EXPECT_EQ (loads (), 2U);
+  EXPECT_EQ (load_count (), 2U);
 }
 
-TEST_F (Rig, AnOrderThatNeverArrivesIsTriedElsewhere)
+TEST_F (PlacerTest, AnOrderWithoutEffectIsRetriedOnAnotherEngine)
 {
-  engine ("a").takes = Takes::nothing;
-  engine ("b").takes = Takes::nothing;
-  submit (document (one));
-  run_until ([&] { return engines[0]->orders + engines[1]->orders > 0; });
-  Engine &deaf = *engines[engines[0]->orders > 0 ? 0 : 1];
-  Engine &second = *engines[engines[0]->orders > 0 ? 1 : 0];
-  second.takes = Takes::all;
-  run_until ([&] { return second.ready ("m/1"); });
-  EXPECT_EQ (deaf.loads, 0U);
+  add_engine ("a").handling = OrderHandling::ignore;
+  add_engine ("b").handling = OrderHandling::ignore;
+  submit (document_json (m_version_1));
+  run_until (
+      [&] { return engines[0]->order_count + engines[1]->order_count > 0; });
+  FakeEngine &unresponsive = *engines[engines[0]->order_count > 0 ? 0 : 1];
+  FakeEngine &second = *engines[engines[0]->order_count > 0 ? 1 : 0];
+  second.handling = OrderHandling::accept;
+  run_until ([&] { return second.is_ready ("m/1"); });
+  EXPECT_EQ (unresponsive.load_count, 0U);
 }
 
-TEST_F (Rig, ALeaderChangeAdoptsTheOpenOrder)
+TEST_F (PlacerTest, ANewLeaderAdoptsTheOpenOrder)
 {
-  Engine &e = engine ("a");
+  FakeEngine &e = add_engine ("a");
 
-  e.takes = Takes::nothing;
-  submit (document (one));
-  run_until ([&] { return e.orders > 0; });
-  close ();
-  open ();
+  e.handling = OrderHandling::ignore;
+  submit (document_json (m_version_1));
+  run_until ([&] { return e.order_count > 0; });
+  stop_voter ();
+  start_voter ();
   run_until ([&] {
     json_t *s = pu_placer_status (placer);
     json_t *o = json_array_get (json_object_get (s, "orders"), 0);
@@ -103,51 +104,51 @@
     return adopted;
   });
   EXPECT_EQ (pu_state_committed_mb (pu_control_state (control), "a"), 50U);
-  e.takes = Takes::all;
-  run_until ([&] { return ready ("m/1"); });
-  EXPECT_EQ (loads (), 1U);
+  e.handling = OrderHandling::accept;
+  run_until ([&] { return is_ready ("m/1"); });
+  EXPECT_EQ (load_count (), 1U);
 }
 
-TEST_F (Rig, ANewLeaderLoadsWhereNoOrderMayBeUnderWay)
+TEST_F (PlacerTest, ANewLeaderLoadsOnEnginesWithoutOpenOrders)
 {
-  Engine &a = engine ("a", false);
+  FakeEngine &a = add_engine ("a", false);
 
-  order_life_ms = 600000; /* the wait for A never ends here */
-  a.takes = Takes::nothing;
-  submit (document (one));
-  run_until ([&] { return open_orders () == 1; });
-  close ();
-  open ();
-  Engine &b = engine ("b", false);
-  submit (document (one + ", " + other));
-  run_until ([&] { return b.ready ("n/1"); });
+  order_life_ms = 600000; /* the wait for the order to A outlasts the test */
+  a.handling = OrderHandling::ignore;
+  submit (document_json (m_version_1));
+  run_until ([&] { return open_order_count () == 1; });
+  stop_voter ();
+  start_voter ();
+  FakeEngine &b = add_engine ("b", false);
+  submit (document_json (m_version_1 + ", " + n_version_1));
+  run_until ([&] { return b.is_ready ("n/1"); });
   json_t *s = pu_placer_status (placer);
   EXPECT_TRUE (json_is_true (json_object_get (s, "quiet")));
   json_decref (s);
-  EXPECT_EQ (a.loads, 0U);
+  EXPECT_EQ (a.load_count, 0U);
 }
 
-TEST_F (Rig, AVersionIsLoadedBesideThenTheOldOneUnloaded)
+TEST_F (PlacerTest, ANewVersionIsReadyBeforeTheOldOneIsUnloaded)
 {
   for (bool fenced : { true, false })
-    engine (fenced ? "a" : "b", fenced);
-  always_ready = "m";
-  submit (document (one));
-  run_until ([&] { return ready ("m/1"); });
-  submit (document (two));
-  run_until ([&] { return ready ("m/2") && !ready ("m/1"); });
+    add_engine (fenced ? "a" : "b", fenced);
+  must_stay_ready = "m";
+  submit (document_json (m_version_1));
+  run_until ([&] { return is_ready ("m/1"); });
+  submit (document_json (m_version_2));
+  run_until ([&] { return is_ready ("m/2") && !is_ready ("m/1"); });
 }
 
-TEST_F (Rig, AVersionThatFailsIsRolledBack)
+TEST_F (PlacerTest, AVersionThatFailsIsRolledBack)
 {
   for (const char *name : { "a", "b", "c" })
-    engine (name);
-  always_ready = "m";
-  submit (document (one));
-  run_until ([&] { return ready ("m/1"); });
+    add_engine (name);
+  must_stay_ready = "m";
+  submit (document_json (m_version_1));
+  run_until ([&] { return is_ready ("m/1"); });
   for (auto &e : engines)
-    e->takes = Takes::failing;
-  submit (document (two));
+    e->handling = OrderHandling::accept_then_fail;
+  submit (document_json (m_version_2));
   run_until ([&] {
     json_t *s = pu_placer_status (placer);
     json_t *m = find (json_object_get (s, "models"), "model", "m");
@@ -157,63 +158,64 @@
   });
 }
 
-TEST_F (Rig, TheCopiesOfALeavingEngineAreLoadedElsewhere)
+TEST_F (PlacerTest, TheCopiesOfALeavingEngineAreLoadedElsewhere)
 {
-  engine ("a");
-  engine ("b");
-  always_ready = "m";
-  submit (document (one));
-  run_until ([&] { return ready ("m/1"); });
-  Engine &from = *engines[engines[0]->ready ("m/1") ? 0 : 1];
-  Engine &to = *engines[engines[0]->ready ("m/1") ? 1 : 0];
+  add_engine ("a");
+  add_engine ("b");
+  must_stay_ready = "m";
+  submit (document_json (m_version_1));
+  run_until ([&] { return is_ready ("m/1"); });
+  FakeEngine &from = *engines[engines[0]->is_ready ("m/1") ? 0 : 1];
+  FakeEngine &to = *engines[engines[0]->is_ready ("m/1") ? 1 : 0];
   from.leaving = true;
-  run_until ([&] { return to.ready ("m/1"); });
-  EXPECT_TRUE (from.ready ("m/1")) << "moved, not cut";
+  run_until ([&] { return to.is_ready ("m/1"); });
+  EXPECT_TRUE (from.is_ready ("m/1"))
+      << "unloaded before the other copy was ready";
 }
 
-TEST_F (Rig, WhatALostEngineHeldIsLoadedElsewhere)
+TEST_F (PlacerTest, TheCopiesOfALostEngineAreLoadedElsewhere)
 {
-  engine ("a");
-  engine ("b");
-  submit (document (one));
-  run_until ([&] { return ready ("m/1"); });
-  Engine &from = *engines[engines[0]->ready ("m/1") ? 0 : 1];
+  add_engine ("a");
+  add_engine ("b");
+  submit (document_json (m_version_1));
+  run_until ([&] { return is_ready ("m/1"); });
+  FakeEngine &from = *engines[engines[0]->is_ready ("m/1") ? 0 : 1];
   pu_command c = {};
   from.alive = false;
   c.type = PU_COMMAND_BACKEND_DOWN;
   c.pu_command_u.backend_down = { from.name.data (), 1 };
   propose (c);
-  run_until ([&] { return ready ("m/1"); });
-  EXPECT_EQ (loads (), 2U);
+  run_until ([&] { return is_ready ("m/1"); });
+  EXPECT_EQ (load_count (), 2U);
 }
 
-TEST_F (Rig, AModelNoLongerDeclaredIsUnloadedAndItsOrdersEnd)
+TEST_F (PlacerTest, AModelThatIsNoLongerDeclaredIsUnloaded)
 {
-  engine ("a");
-  submit (document (one));
-  run_until ([&] { return ready ("m/1"); });
-  submit (document (other));
-  run_until ([&] { return ready ("n/1") && !ready ("m/1"); });
+  add_engine ("a");
+  submit (document_json (m_version_1));
+  run_until ([&] { return is_ready ("m/1"); });
+  submit (document_json (n_version_1));
+  run_until ([&] { return is_ready ("n/1") && !is_ready ("m/1"); });
 }
 
-TEST_F (Rig, AnAdapterGoesWhereItsBaseIs)
+TEST_F (PlacerTest, AnAdapterIsLoadedOnTheEngineOfItsBase)
 {
-  engine ("a");
-  engine ("b");
-  submit (
-      document (one, "'x': {'base': 'm', 'version': '1', 'memory_mb': 5}"));
-  run_until ([&] { return ready ("m/1") && ready ("x/1"); });
-  EXPECT_EQ (engines[0]->ready ("m/1"), engines[0]->ready ("x/1"));
+  add_engine ("a");
+  add_engine ("b");
+  submit (document_json (
+      m_version_1, "'x': {'base': 'm', 'version': '1', 'memory_mb': 5}"));
+  run_until ([&] { return is_ready ("m/1") && is_ready ("x/1"); });
+  EXPECT_EQ (engines[0]->is_ready ("m/1"), engines[0]->is_ready ("x/1"));
 }
 
-TEST_F (Rig, APlanTellsTheMovesAndOrdersNothing)
+TEST_F (PlacerTest, APlanListsTheMovesAndSendsNoOrders)
 {
   pu_findings_t *f = pu_findings_new ();
-  std::string text = document (one);
+  std::string text = document_json (m_version_1);
   pu_document_t *d = pu_document_parse (text.data (), text.size (), f);
 
   ASSERT_NE (d, nullptr);
-  engine ("a", false);
+  add_engine ("a", false);
   run_until ([&] {
     return pu_state_backend (pu_control_state (control), "a") != nullptr;
   });
@@ -229,57 +231,57 @@
       EXPECT_EQ (json_integer_value (json_object_get (m, "memory_mb")), 50);
       json_decref (plan);
     }
-  EXPECT_EQ (loads (), 0U);
+  EXPECT_EQ (load_count (), 0U);
   pu_document_unref (d);
   pu_findings_free (f);
 }
 
-TEST_F (Rig, WithoutADocumentNothingIsUnloaded)
+TEST_F (PlacerTest, WithoutADocumentNothingIsUnloaded)
 {
-  Engine &e = engine ("a");
+  FakeEngine &e = add_engine ("a");
 
   e.copies["old/1"] = { 30, PU_COPY_READY };
   run_until ([&] { return pu_control_is_leader (control); });
   run_ms (300);
-  EXPECT_EQ (e.orders, 0U);
+  EXPECT_EQ (e.order_count, 0U);
 }
 
-TEST_F (Rig, TheStatusTellsWhyACopyIsWhereItIs)
+TEST_F (PlacerTest, TheStatusGivesTheReasonOfACopy)
 {
-  engine ("a");
-  submit (document (one));
+  add_engine ("a");
+  submit (document_json (m_version_1));
   run_until ([&] {
     json_t *s = pu_placer_status (placer);
     json_t *m = json_array_get (json_object_get (s, "models"), 0);
     json_t *c = json_array_get (json_object_get (m, "copies"), 0);
     const char *reason = json_string_value (json_object_get (c, "reason"));
-    bool told = g_strcmp0 (reason, "no copy was ready") == 0;
+    bool found = g_strcmp0 (reason, "no copy was ready") == 0;
     json_decref (s);
-    return told;
+    return found;
   });
 }
 
-TEST_F (Rig, TheStatusTellsWhatIsMissing)
+TEST_F (PlacerTest, TheStatusListsModelsWithoutAReadyCopy)
 {
-  engine ("a");
-  submit (document (model ("big", "1", 500)));
+  add_engine ("a");
+  submit (document_json (model_json ("big", "1", 500)));
   run_until ([&] {
     json_t *s = pu_placer_dump (placer);
     json_t *missing = json_object_get (s, "missing");
-    bool told = json_array_size (missing) == 1
-                && json_array_size (json_object_get (s, "repairing")) == 0;
+    bool found = json_array_size (missing) == 1
+                 && json_array_size (json_object_get (s, "repairing")) == 0;
     json_decref (s);
-    return told;
+    return found;
   });
 }
 
-TEST_F (Rig, AnOrderWithoutAnAnswerInTimeIsResetAndLost)
+TEST_F (PlacerTest, AnUnansweredOrderIsResetAndReportedLost)
 {
   int fd = socket (AF_INET, SOCK_STREAM, 0), got;
   struct sockaddr_in a = {};
   socklen_t n = sizeof a;
   std::vector<pu_orders_answer_t> answers;
-  pu_sends_options_t o = {};
+  pu_order_sender_options_t o = {};
   pu_order_record order = {};
   char name[] = "m", buffer[1024];
 
@@ -294,21 +296,21 @@
   o.answer = [] (void *d, guint64, pu_orders_answer_t answer) {
     static_cast<std::vector<pu_orders_answer_t> *> (d)->push_back (answer);
   };
-  pu_sends_t *s = pu_sends_new (&o);
+  pu_order_sender_t *s = pu_order_sender_new (&o);
   std::string to = "127.0.0.1:" + std::to_string (ntohs (a.sin_port));
   order.model = order.model_version = name;
-  ASSERT_TRUE (pu_sends_order (s, to.c_str (), &order, 0));
+  ASSERT_TRUE (pu_order_sender_send (s, to.c_str (), &order, 0));
   run_ms (50);
   got = accept (fd, nullptr, nullptr);
-  pu_sends_expire (s, o.transit_ms - 1);
+  pu_order_sender_expire (s, o.transit_ms - 1);
   EXPECT_TRUE (answers.empty ());
-  pu_sends_expire (s, o.transit_ms);
+  pu_order_sender_expire (s, o.transit_ms);
   EXPECT_EQ (answers, std::vector<pu_orders_answer_t>{ PU_ORDERS_LOST });
   run_ms (50);
   while (recv (got, buffer, sizeof buffer, 0) > 0)
     ;
   EXPECT_EQ (errno, ECONNRESET);
-  pu_sends_free (s);
+  pu_order_sender_free (s);
   ::close (got);
   ::close (fd);
 }
--- a/libplantainusher/placer/wire.h
+++ b/libplantainusher/placer/wire.h
@@ -8,50 +8,52 @@
 G_BEGIN_DECLS
 
 /*
- * wire - how orders and reports of engines that count their orders look on
- * the wire.  It translates and decides nothing.
+ * wire - interface to the HTTP encoding of orders and reports, for engines
+ * that count the orders they accept.  An implementation only translates; it
+ * makes no decisions.
  */
 
-/* An order as it is sent.  */
+/* An order to be encoded.  */
 typedef struct
 {
   pu_dispatcher_op_t op;
-  const char *model;  /* the document's name of a model or adapter */
-  const char *engine; /* name of the backend server that is meant */
-  const char *holder; /* who gives it */
-  guint64 fence;      /* rises with each leader */
-  guint64 expected;   /* orders that the engine has accepted before */
+  const char *model;  /* name of the model or adapter in the document */
+  const char *engine; /* name of the backend server the order is for */
+  const char *holder; /* name of the instance that sends the order */
+  guint64 fence;      /* fencing token: higher for each later leader */
+  guint64 expected;   /* number of orders that the engine must have accepted
+                         before this one */
 } pu_wire_order_t;
 
-/* A report as it is read.  */
+/* A decoded report.  */
 typedef struct
 {
-  guint64 incarnation; /* whose it is; 0: not told */
-  guint64 accepted;    /* orders */
+  guint64 incarnation; /* of the engine; 0: not given */
+  guint64 accepted;    /* number of orders accepted so far */
   bool busy;
-  guint running; /* requests */
-  guint waiting;
-  guint64 kv_used; /* tokens that can't yield */
-  guint64 kv_total;
-  GPtrArray *held;      /* names of models and adapters, owned; here and
-                           below */
-  GPtrArray *coming;    /* adapters on their way */
-  GPtrArray *in_memory; /* models whose weights are in the host's memory */
-  GPtrArray *on_disk;   /* or on its disk */
+  guint running;    /* requests */
+  guint waiting;    /* requests */
+  guint64 kv_used;  /* tokens in the KV cache that cannot be evicted */
+  guint64 kv_total; /* tokens */
+  GPtrArray *held;  /* names of loaded models and adapters; the strings in this
+                       and the following lists are owned */
+  GPtrArray *coming;    /* adapters that are being loaded */
+  GPtrArray *in_memory; /* models with weights in host memory */
+  GPtrArray *on_disk;   /* models with weights on the host disk */
 } pu_wire_report_t;
 
 typedef struct
 {
-  const char *order_target;
-  const char *report_target;
-  /* The header that names the engine that is meant.  */
+  const char *order_target;  /* path for orders */
+  const char *report_target; /* path for reports */
+  /* Name of the header that carries the name of the addressed engine.  */
   const char *engine_header;
-  /* The body of an order: a new string.  */
+  /* Returns the body of the order O as a new string.  */
   char *(*order_body) (const pu_wire_order_t *o);
-  /* What STATUS answers to an order.  */
+  /* Maps the HTTP status of the response to an order.  */
   pu_dispatcher_answer_t (*order_answer) (int status);
-  /* Reads a report into R, whose lists are there and empty.  False with
-     findings.  */
+  /* Parses a report into R, whose lists the caller has created empty.  Returns
+     false and adds to F when the report is invalid.  */
   bool (*report_read) (const char *text, gsize len, pu_wire_report_t *r,
                        pu_findings_t *f);
 } pu_order_wire_t;
