--- a/libplantainusher/placer/placer.c
+++ b/libplantainusher/placer/placer.c
@@ -11,7 +11,7 @@
 #define DEFAULT_REPORT_INTERVAL_MS 1000
 #define DEFAULT_PLAN_INTERVAL_MS 1000
 #define DEFAULT_STREAMS_PER_ACCELERATOR 16.0
-/* An order is sent, in transit and reported.  */
+/* The lifetime of an order is divided among sending, transit and report.  */
 #define ORDER_LIFE_PHASES 3
 #define US_PER_MS 1000
 
@@ -50,8 +50,8 @@
   r->retry_ms = MIN (r->retry_ms, r->send_ms / 2);
 }
 
-/* Injects faults for the process tests; has no effect unless PU_BREAKS is
-   set.  */
+/* Injects faults for the process tests; without effect in builds without
+   PU_BREAKS.  */
 static void
 set_test_breaks (pu_placer_options_t *o)
 {
--- a/libplantainusher/placer/sync.h
+++ b/libplantainusher/placer/sync.h
@@ -46,7 +46,7 @@
 
 typedef struct
 {
-  guint64 record_hash; /* 0: not an engine */
+  guint64 record_hash; /* of the pu_backend_record; 0: not an engine */
   guint64 incarnation;
   bool usable; /* up and not leaving */
 } pu_placer_sync_backend_t;
