--- a/libplantainusher/entry/entry.c
+++ b/libplantainusher/entry/entry.c
@@ -42,7 +42,7 @@
     .idle_ms = IDLE_MS,
     .report_ms = REPORT_MS,
     .propose_ms = PROPOSE_MS,
-    .loads_ms = PU_ENTRY_LOADS_MS,
+    .loads_ms = PU_ENTRY_LOADS_INTERVAL_MIN_MS,
     .ttl_s = TTL_S,
   };
 }
@@ -112,21 +112,21 @@
   else if (strcmp (path, "/v1/entries") == 0)
     {
       if (is_method (http, "GET") && is_ready (en, http, false))
-        pu_path_entries (en, http);
+        pu_entry_serve_entries (en, http);
     }
   else if (strcmp (path, "/v1/backends/announce") == 0)
     {
       if (is_method (http, "POST") && is_ready (en, http, false))
-        pu_path_announce (en, http);
+        pu_entry_serve_announce (en, http);
     }
   else if (strcmp (path, "/v1/models") == 0)
     {
       if (is_method (http, "GET") && is_ready (en, http, true))
-        pu_path_models (en, http);
+        pu_entry_serve_models (en, http);
     }
   else if (strcmp (path, "/healthz") == 0)
     {
-      pu_path_health (en, http);
+      pu_entry_serve_health (en, http);
     }
   else
     {
@@ -198,14 +198,14 @@
   pu_servers_tick (en, now);
   pu_strikes_tick (en, now);
   pu_once_tick (en->once, now);
-  pu_claim_pump (en);
+  pu_claim_run_actions (en);
   pu_exchanges_tick (en, now);
   pu_startup_tick (en, now);
   pu_rates_tick (en, now);
   if (now - en->flushed >= LOADS_MS)
     {
       en->flushed = now;
-      pu_spread_tick (en, now);
+      pu_load_forward_tick (en, now);
     }
   pu_entry_check (en);
 }
@@ -271,7 +271,7 @@
   en->tickets = g_hash_table_new (g_int64_hash, g_int64_equal);
   en->numbers = g_hash_table_new (g_int64_hash, g_int64_equal);
   en->listeners = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
-                                         pu_listener_free);
+                                         pu_load_receiver_free);
   en->load_ids = g_hash_table_new (g_int64_hash, g_int64_equal);
   en->wants
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, pu_want_free);
@@ -565,7 +565,7 @@
       (int)pu_http_client_idle (en->client), "claims_at_work",
       (int)pu_once_busy (en->once), "suspects_running",
       (int)pu_suspects_in_flight (en->suspects), "bad_announcements",
-      (json_int_t)en->bad_announcements, "document_version",
+      (json_int_t)en->invalid_reports, "document_version",
       (json_int_t)en->document_version, "reporters", reporters_json (en),
       "router", pu_router_dump (en->router));
 }
--- a/libplantainusher/entry/entry.h
+++ b/libplantainusher/entry/entry.h
@@ -144,40 +144,42 @@
    it is first ready.  */
 void pu_entry_view_changed (pu_entry_t *en);
 
-/* pu_entry_load - the backend server NAME, as it is known here, has LOAD, of
-   which SEQ rises: the other entries are told.  */
-void pu_entry_load (pu_entry_t *en, const char *name,
-                    const pu_router_report_t *load);
-
-/* pu_entry_withdraw - the copy of MODEL on the backend server NAME is about to
-   be unloaded: this entry and all others send nothing more there.  Without
-   that each of them learns of it by a refusal of its own.  */
-void pu_entry_withdraw (pu_entry_t *en, const char *name, const char *model);
-
-/* pu_entry_withdrawn - the same, as another entry tells it.  */
-void pu_entry_withdrawn (pu_entry_t *en, guint64 id, const char *model,
-                         guint life_ms);
-
-/* pu_entry_loads_in - N loads that another entry sent, good for LIFE_MS.  */
-void pu_entry_loads_in (pu_entry_t *en, const pu_entry_load_t *loads, guint n,
-                        guint life_ms);
+/* pu_entry_add_load - the backend server NAME, as it is known here, has LOAD,
+   of which SEQ rises: the other entries are told.  */
+void pu_entry_add_load (pu_entry_t *en, const char *name,
+                        const pu_router_report_t *load);
+
+/* pu_entry_withdraw_copy - the copy of MODEL on the backend server NAME is
+   about to be unloaded: this entry and all others send nothing more there.
+   Without that each of them learns of it by a refusal of its own.  */
+void pu_entry_withdraw_copy (pu_entry_t *en, const char *name,
+                             const char *model);
+
+/* pu_entry_receive_withdrawal - the same, as another entry tells it.  */
+void pu_entry_receive_withdrawal (pu_entry_t *en, guint64 id,
+                                  const char *model, guint life_ms);
+
+/* pu_entry_receive_loads - N loads that another entry sent, good for LIFE_MS.
+ */
+void pu_entry_receive_loads (pu_entry_t *en, const pu_entry_load_t *loads,
+                             guint n, guint life_ms);
 
-/* pu_entry_takes_reports - whether a report that comes now may be
+/* pu_entry_accepts_reports - whether a report that comes now may be
    acknowledged. One that is acknowledged by an instance that is cut off from
    the voters renews no lease: in five seconds the backend server is down
    everywhere else, though it runs and would have reported to another instance.
  */
-bool pu_entry_takes_reports (const pu_entry_t *en);
+bool pu_entry_accepts_reports (const pu_entry_t *en);
 
-/* pu_entry_report - a front has read what a backend server says of itself:
+/* pu_entry_add_report - a front has read what a backend server says of itself:
    RECORD (copied) with the number SEQ, which rises within its incarnation.
    False: it is no newer than what is known, and changes nothing.  */
-bool pu_entry_report (pu_entry_t *en, const pu_backend_record *record,
-                      guint64 seq);
+bool pu_entry_add_report (pu_entry_t *en, const pu_backend_record *record,
+                          guint64 seq);
 
-/* pu_entry_report_end - backend server NAME says that it ends: it gets nothing
-   new from here on.  */
-void pu_entry_report_end (pu_entry_t *en, const char *name);
+/* pu_entry_mark_leaving - backend server NAME says that it ends: it gets
+   nothing new from here on.  */
+void pu_entry_mark_leaving (pu_entry_t *en, const char *name);
 
 /* pu_entry_document - the document in force here, or NULL.  */
 const pu_document_t *pu_entry_document (const pu_entry_t *en);
--- a/libplantainusher/entry/entry_private.h
+++ b/libplantainusher/entry/entry_private.h
@@ -55,19 +55,19 @@
   guint number;               /* of the suspects' table; never used again */
   bool leaving;
   bool plain;
-  bool down;       /* by the view, or found dead here */
-  guint suspects;  /* that run there from here: nothing else is sent */
-  guint cut_apart; /* of these, cut: they may be killing it */
-  GPtrArray *held; /* of pu_exchange_t: wait for the probe's answer */
+  bool down;              /* by the view, or found dead here */
+  guint suspects;         /* that run there from here: nothing else is sent */
+  guint aborted_suspects; /* of these, cut: they may be killing it */
+  GPtrArray *held;        /* of pu_exchange_t: wait for the probe's answer */
   pu_entry_t *en;
   pu_http_call_t *probe;
-  guint refused;       /* probes in a row that nobody listened to */
-  guint64 probe_at;    /* loop time of the next one; 0: none */
-  guint64 apart_until; /* loop time: those that were cut count until then */
-  guint64 dead_until;  /* loop time: found dead here, whatever the view says;
-                          0: not */
-  GHashTable *extras;  /* model -> extra_t: copies that were told of, or found
-                          missing, since its last report */
+  guint refused;         /* probes in a row that nobody listened to */
+  guint64 probe_at;      /* loop time of the next one; 0: none */
+  guint64 aborted_until; /* loop time: those that were cut count until then */
+  guint64 local_down_until;   /* loop time: found dead here, whatever the view
+                           says;   0: not */
+  GHashTable *copy_overrides; /* model -> copy_override_t: copies that were
+                         told of, or found missing, since its last report */
 } pu_server_t;
 
 /* A backend server that reports to this entry.  */
@@ -213,16 +213,17 @@
   guint pending;   /* proposals and readings that will call back */
   guint64 last_number;
   guint last_server;
-  guint64 second;    /* loop time of the last rates */
-  guint64 flushed;   /* loop time when loads were sent on */
-  guint64 recounted; /* loop time when the listeners' loads were counted */
-  guint64 bad_announcements;
+  guint64 second;               /* loop time of the last rates */
+  guint64 flushed;              /* loop time when loads were sent on */
+  guint64 receivers_counted_at; /* loop time when the listeners' loads were
+                                   counted */
+  guint64 invalid_reports;
   guint64 bad_logged;
   GRand *random;
   bool leaving;
   bool stopping;
   bool server_stopped;
-  bool pumping; /* the actions of `once` are being carried out */
+  bool claim_actions_running; /* the actions of `once` are being carried out */
   bool freed;
   void (*stop_cb) (void *data);
   void *stop_data;
@@ -244,10 +245,10 @@
   GArray *removed; /* of guint64 */
 } pu_announcement_t;
 
-/* pu_announcement_name - reads what each report says of its sender.  False
-   with findings.  NAME belongs to ROOT.  */
-bool pu_announcement_name (const json_t *root, const char **name,
-                           guint64 *incarnation, pu_findings_t *f);
+/* pu_announcement_read_sender - reads what each report says of its sender.
+   False with findings.  NAME belongs to ROOT.  */
+bool pu_announcement_read_sender (const json_t *root, const char **name,
+                                  guint64 *incarnation, pu_findings_t *f);
 
 /* pu_announcement_read - reads ROOT over BASE, the last report of the same
    incarnation, or NULL.  Returns false with findings; A is to be cleared in
@@ -272,14 +273,15 @@
 
 /* --- entries.c, announce.c: paths that take no backend server --- */
 
-void pu_path_entries (pu_entry_t *en, pu_http_request_t *http);
-void pu_path_models (pu_entry_t *en, pu_http_request_t *http);
-void pu_path_health (pu_entry_t *en, pu_http_request_t *http);
-void pu_path_announce (pu_entry_t *en, pu_http_request_t *http);
+void pu_entry_serve_entries (pu_entry_t *en, pu_http_request_t *http);
+void pu_entry_serve_models (pu_entry_t *en, pu_http_request_t *http);
+void pu_entry_serve_health (pu_entry_t *en, pu_http_request_t *http);
+void pu_entry_serve_announce (pu_entry_t *en, pu_http_request_t *http);
 
-/* pu_service_size - entries in the set of SERVICE at the present demand.  */
-guint pu_service_size (const pu_entry_t *en, const char *service);
-void pu_rates_count (pu_entry_t *en, const char *service);
+/* pu_service_entry_count - entries in the set of SERVICE at the present
+ * demand.  */
+guint pu_service_entry_count (const pu_entry_t *en, const char *service);
+void pu_rates_add_request (pu_entry_t *en, const char *service);
 void pu_rates_tick (pu_entry_t *en, guint64 now);
 
 void pu_reporter_free (gpointer reporter);
@@ -323,25 +325,26 @@
 
 /* --- spread.c: loads that go on to other entries --- */
 
-/* pu_spread_interval_ms - how often an entry that hears of HEARD backend
+/* pu_load_forward_interval_ms - how often an entry that hears of HEARD backend
    servers is told of each: it grows with them, so that the bytes do not.  */
-guint pu_spread_interval_ms (guint heard);
+guint pu_load_forward_interval_ms (guint heard);
 
-/* pu_spread_life_ms - how long a load holds that is told every INTERVAL_MS. */
-guint pu_spread_life_ms (guint interval_ms);
+/* pu_load_forward_lifetime_ms - how long a load holds that is told every
+ * INTERVAL_MS. */
+guint pu_load_forward_lifetime_ms (guint interval_ms);
 
-/* The unit of loads_ms: what pu_spread_interval_ms gives at least.  */
-#define PU_ENTRY_LOADS_MS 1000
+/* The unit of loads_ms: what pu_load_forward_interval_ms gives at least.  */
+#define PU_ENTRY_LOADS_INTERVAL_MIN_MS 1000
 
-/* pu_spread_add - queues the load R of INCARNATION of the backend server NAME
-   for the other entries that route to it; a newer one takes the place of an
-   older.  */
-void pu_spread_add (pu_entry_t *en, const char *name, guint64 incarnation,
-                    const pu_router_report_t *r);
+/* pu_load_forward_queue - queues the load R of INCARNATION of the backend
+   server NAME for the other entries that route to it; a newer one takes the
+   place of an older.  */
+void pu_load_forward_queue (pu_entry_t *en, const char *name,
+                            guint64 incarnation, const pu_router_report_t *r);
 
-/* pu_spread_tick - sends what is queued to those whose time has come.  */
-void pu_spread_tick (pu_entry_t *en, guint64 now);
-void pu_listener_free (gpointer listener);
+/* pu_load_forward_tick - sends what is queued to those whose time has come. */
+void pu_load_forward_tick (pu_entry_t *en, guint64 now);
+void pu_load_receiver_free (gpointer listener);
 
 /* --- servers.c: backend servers in the router, probes, deaths --- */
 
@@ -358,16 +361,16 @@
 /* pu_server_hold - X waits until S is known to be alive or dead.  */
 void pu_server_hold (pu_server_t *s, pu_exchange_t *x);
 
-/* pu_server_doubt - nobody listened at S: looks again.  */
-void pu_server_doubt (pu_server_t *s);
+/* pu_server_probe - nobody listened at S: looks again.  */
+void pu_server_probe (pu_server_t *s);
 
-/* pu_server_extra - S has MODEL, whatever its reports say, until loop time
-   UNTIL.  */
-void pu_server_extra (pu_server_t *s, const char *model, guint64 until);
-
-/* pu_server_lacks - S has not got MODEL, whatever its reports say, until loop
+/* pu_server_mark_present - S has MODEL, whatever its reports say, until loop
    time UNTIL.  */
-void pu_server_lacks (pu_server_t *s, const char *model, guint64 until);
+void pu_server_mark_present (pu_server_t *s, const char *model, guint64 until);
+
+/* pu_server_mark_absent - S has not got MODEL, whatever its reports say, until
+   loop time UNTIL.  */
+void pu_server_mark_absent (pu_server_t *s, const char *model, guint64 until);
 
 /* pu_server_withdraw - the copy of MODEL on S, and those of its adapters, get
    nothing more until loop time UNTIL.  */
@@ -378,21 +381,21 @@
 bool pu_server_is_withdrawn (const pu_server_t *s, const char *model,
                              guint64 until);
 
-/* pu_server_replaced - another process has the address of S now.  */
-void pu_server_replaced (pu_server_t *s);
+/* pu_server_mark_replaced - another process has the address of S now.  */
+void pu_server_mark_replaced (pu_server_t *s);
 void pu_servers_tick (pu_entry_t *en, guint64 now);
-void pu_server_unhold (pu_exchange_t *x);
+void pu_server_remove_held (pu_exchange_t *x);
 
-/* pu_server_apart - one more (or less) suspect runs at S.  */
-void pu_server_apart (pu_entry_t *en, pu_server_t *s, bool begins);
+/* pu_server_count_suspect - one more (or less) suspect runs at S.  */
+void pu_server_count_suspect (pu_entry_t *en, pu_server_t *s, bool begins);
 
-/* pu_servers_apart - whether a backend server with a copy of MODEL gets
-   nothing just because a suspect runs there from here.  */
-bool pu_servers_apart (const pu_entry_t *en, const char *model);
+/* pu_servers_copy_isolated - whether a backend server with a copy of MODEL
+   gets nothing just because a suspect runs there from here.  */
+bool pu_servers_copy_isolated (const pu_entry_t *en, const char *model);
 
-/* pu_server_apart_cut - one that runs at S was cut: it counts a little
+/* pu_server_suspect_aborted - one that runs at S was cut: it counts a little
    longer.  */
-void pu_server_apart_cut (pu_server_t *s);
+void pu_server_suspect_aborted (pu_server_t *s);
 
 /* --- strikes.c: strikes against requests --- */
 
@@ -565,7 +568,7 @@
    with PU_ONCE_RAN.  */
 void pu_claim_finished (pu_exchange_t *x, pu_once_outcome_t outcome,
                         const pu_once_result_t *result);
-void pu_claim_pump (pu_entry_t *en);
+void pu_claim_run_actions (pu_entry_t *en);
 
 G_END_DECLS
 
--- a/libplantainusher/entry/exchange.c
+++ b/libplantainusher/entry/exchange.c
@@ -286,8 +286,8 @@
     }
   else
     {
-      away = next_hop (x, x->q.service, pu_service_size (x->en, x->q.service),
-                       1, &to);
+      away = next_hop (x, x->q.service,
+                       pu_service_entry_count (x->en, x->q.service), 1, &to);
     }
   if (verdict == PU_SUSPECTS_WAIT
       && (!away || pu_strike_pending (x->en, x->q.fingerprint)))
@@ -407,7 +407,7 @@
          && pu_router_ready_copies (router,
                                     pu_router_find_model (router, x->q.model))
                 == 0
-         && pu_servers_apart (x->en, x->q.model);
+         && pu_servers_copy_isolated (x->en, x->q.model);
 }
 
 void
@@ -579,7 +579,7 @@
     {
       if (now >= x->q.deadline
           && pu_once_give_up (x->en->once, x->number, now))
-        pu_claim_pump (x->en);
+        pu_claim_run_actions (x->en);
       return;
     }
   if (now >= x->q.deadline && x->phase != PU_X_QUEUED)
--- a/libplantainusher/entry/wants.c
+++ b/libplantainusher/entry/wants.c
@@ -155,7 +155,7 @@
   due_take (w, json_object_get (place, "due_ms"));
   if (s != NULL && !s->down && !en->freed)
     {
-      pu_server_extra (s, w->model, uv_now (en->o.loop) + EXTRA_MS);
+      pu_server_mark_present (s, w->model, uv_now (en->o.loop) + EXTRA_MS);
       waiting_each (w, offer_again);
     }
   else if (!en->freed)
--- a/libplantainusher/placer/placer.c
+++ b/libplantainusher/placer/placer.c
@@ -55,8 +55,8 @@
 static void
 set_test_breaks (pu_placer_options_t *o)
 {
-  o->placement.orders.test_breaks
-      |= pu_break_bit (PU_BREAK_TIMEOUT_FREES, PU_ORDERS_BREAK_TIMEOUT);
+  o->placement.orders.test_breaks |= pu_break_bit (
+      PU_BREAK_TIMEOUT_FREES, PU_ORDERS_BREAK_RELEASE_ON_TIMEOUT);
   o->placement.planner.test_breaks |= pu_break_bit (
       PU_BREAK_LAST_COPY_UNLOADED, PU_PLANNER_BREAK_LAST_COPY);
 }
@@ -115,8 +115,8 @@
                    pu_names_name (&p->sync->backends, r->backend),
                    e->kind == PU_OK ? reply->detail : e->message);
     }
-  pu_placement_reserved (p->sync->placement, r->id, accepted, token,
-                         pu_control_now (p->o.control));
+  pu_placement_handle_reserved (p->sync->placement, r->id, accepted, token,
+                                pu_control_now (p->o.control));
   g_free (r);
 }
 
@@ -128,15 +128,15 @@
   pu_order_record o = { 0 };
 
   o.token = r->token;
-  o.kind = (pu_order_kind)r->wish.kind;
-  o.backend = (char *)pu_names_name (&sync->backends, r->wish.backend);
-  o.incarnation = r->wish.incarnation;
-  o.model = (char *)pu_placer_sync_copy_model (sync, r->wish.copy);
-  o.model_version = (char *)pu_placer_sync_copy_version (sync, r->wish.copy);
-  o.memory_mb = r->wish.memory_mb;
+  o.kind = (pu_order_kind)r->spec.kind;
+  o.backend = (char *)pu_names_name (&sync->backends, r->spec.backend);
+  o.incarnation = r->spec.incarnation;
+  o.model = (char *)pu_placer_sync_copy_model (sync, r->spec.copy);
+  o.model_version = (char *)pu_placer_sync_copy_version (sync, r->spec.copy);
+  o.memory_mb = r->spec.memory_mb;
   o.wall = (guint64)(g_get_real_time () / US_PER_MS);
   o.life_ms = (u_int)pu_orders_life_ms (&p->o.placement.orders);
-  o.reason = (char *)pu_placer_move_reason (r->wish.reason);
+  o.reason = (char *)pu_placer_move_reason (r->spec.reason);
   return o;
 }
 
@@ -149,8 +149,8 @@
   n->placer = p;
   n->takeover = p->takeovers;
   n->id = r->id;
-  n->backend = r->wish.backend;
-  n->copy = r->wish.copy;
+  n->backend = r->spec.backend;
+  n->copy = r->spec.copy;
   g_hash_table_add (p->pending_reserves, n);
   count_event (p, p->counters.reserves);
   c.type = PU_COMMAND_RESERVE;
@@ -207,8 +207,8 @@
     return;
   if (answer != PU_ORDERS_LOST && answer != PU_ORDERS_ACCEPTED)
     record_refusal (p, token);
-  pu_placement_answer (p->sync->placement, token, answer,
-                       pu_control_now (p->o.control));
+  pu_placement_handle_answer (p->sync->placement, token, answer,
+                              pu_control_now (p->o.control));
 }
 
 static void
@@ -223,7 +223,7 @@
   /* Read the clock again: NOW is the start of the tick, which may have taken
      long.  */
   if (!pu_control_is_leader (p->o.control)
-      || pu_control_now (p->o.control) >= r->send_until)
+      || pu_control_now (p->o.control) >= r->send_deadline)
     return;
   count_event (p, p->counters.orders_sent);
   if (!pu_order_sender_send (p->sender, b->address, &o, now))
@@ -240,13 +240,13 @@
   pu_placer_sync_t *sync = p->sync;
 
   count_event (p, p->counters.orders_failed);
-  pu_placer_sync_add_failure (sync, r->wish.backend, r->wish.copy);
+  pu_placer_sync_add_failure (sync, r->spec.backend, r->spec.copy);
   pu_log_note (PU_PLACER_PART,
                "Abandoned the order to %s %s version %s on %s.",
-               r->wish.kind == PU_LEDGER_LOAD ? "load" : "unload",
-               pu_placer_sync_copy_model (sync, r->wish.copy),
-               pu_placer_sync_copy_version (sync, r->wish.copy),
-               pu_names_name (&sync->backends, r->wish.backend));
+               r->spec.kind == PU_LEDGER_LOAD ? "load" : "unload",
+               pu_placer_sync_copy_model (sync, r->spec.copy),
+               pu_placer_sync_copy_version (sync, r->spec.copy),
+               pu_names_name (&sync->backends, r->spec.backend));
 }
 
 static void
@@ -254,19 +254,19 @@
 {
   switch (a->what)
     {
-    case PU_ORDERS_DO_RESERVE:
+    case PU_ORDERS_ACTION_RESERVE:
       propose_reserve (p, &a->order);
       return;
-    case PU_ORDERS_DO_SEND:
+    case PU_ORDERS_ACTION_SEND:
       send_order (p, &a->order, now);
       return;
-    case PU_ORDERS_DO_RELEASE:
+    case PU_ORDERS_ACTION_RELEASE:
       propose_release (p, &a->order);
       return;
-    case PU_ORDERS_DO_FAIL:
+    case PU_ORDERS_ACTION_FAIL:
       report_failure (p, &a->order);
       return;
-    case PU_ORDERS_DO_FENCE:
+    case PU_ORDERS_ACTION_FENCE:
       return;
     }
 }
--- a/libplantainusher/placer/placer.h
+++ b/libplantainusher/placer/placer.h
@@ -70,7 +70,7 @@
    "copies":[{"backend","version","phase","memory_mb","reason"}]}],
    "missing":[MODEL...], "repairing":[MODEL...],
    "failures":[{"model","version","backend","failures","retry_ms"}]}.
-   "quiet" is the result of pu_orders_quiet, "standing" a name of
+   "quiet" is the result of pu_orders_loads_suspended, "standing" a name of
    pu_item_state_name.  "missing" lists the models without a ready copy,
    "repairing" those of them that are being loaded.  On a voter that does not
    lead the lists are empty.  */
--- a/libplantainusher/placer/sequenced.c
+++ b/libplantainusher/placer/sequenced.c
@@ -71,7 +71,7 @@
   if (m->kind == PU_MODEL_ADAPTER)
     {
       pu_dispatcher_set_adapter (l->dispatcher, item);
-      pu_adapters_set (l->adapters, item,
+      pu_adapters_add (l->adapters, item,
                        pu_names_get (&l->items, m->base_name));
     }
   else
@@ -114,7 +114,7 @@
 
   for (guint32 i = 0; i < l->memory->len; i++)
     {
-      if (pu_adapters_is (l->adapters, i))
+      if (pu_adapters_contains (l->adapters, i))
         largest = MAX (largest, memory_of (l, i));
     }
   return largest;
@@ -318,7 +318,7 @@
                               .memory_mb = memory_of (l, items[i].item),
                               .phase = plan_phase (items[i].phase) };
 
-      if (pu_adapters_is (l->adapters, items[i].item))
+      if (pu_adapters_contains (l->adapters, items[i].item))
         continue;
       p.committed_mb += copy.memory_mb;
       g_array_append_val (s->copies, copy);
@@ -333,8 +333,8 @@
   p.copies = (const pu_plan_copy_t *)(void *)s->copies->data;
   p.n_copies = s->copies->len;
   pu_planner_set_engine (l->planner, handle, &p, pu_sequenced_now (s));
-  pu_adapters_engine (l->adapters, handle, c->adapter_places, e->load,
-                      p.usable);
+  pu_adapters_set_engine (l->adapters, handle, c->adapter_places, e->load,
+                          p.usable);
 }
 
 static void
@@ -378,7 +378,7 @@
       if (m->kind == PU_MODEL_ADAPTER || places == 0
           || !pu_names_find (&l->items, m->name, &item))
         continue;
-      n = pu_adapters_active (l->adapters, item, now);
+      n = pu_adapters_count_active (l->adapters, item, now);
       pu_planner_set_min_copies (
           l->planner, item, MAX (m->min_copies, (n + places - 1) / places));
     }
@@ -400,7 +400,7 @@
         {
           waiting
               += items[k].phase == PU_DISPATCHER_QUEUED
-                 && !pu_adapters_is (l->adapters, items[k].item)
+                 && !pu_adapters_contains (l->adapters, items[k].item)
                  && !g_hash_table_contains (pu_sequenced_engine (l, i)->cached,
                                             GUINT_TO_POINTER (items[k].item));
         }
@@ -437,7 +437,7 @@
   pu_planner_step (l->planner, now, s->moves);
   for (guint i = 0; i < s->moves->len; i++)
     move_want (s, &g_array_index (s->moves, pu_move_t, i));
-  pu_adapters_spread (l->adapters, now);
+  pu_adapters_replicate (l->adapters, now);
 }
 
 /* --- steps --- */
@@ -614,9 +614,9 @@
 
   if (l == NULL || !pu_names_find (&l->items, model, &item))
     return;
-  if (pu_adapters_is (l->adapters, item))
+  if (pu_adapters_contains (l->adapters, item))
     {
-      pu_adapters_used (l->adapters, item, pu_sequenced_now (s));
+      pu_adapters_mark_used (l->adapters, item, pu_sequenced_now (s));
       item = pu_adapters_base (l->adapters, item);
     }
   pu_planner_add_demand (l->planner, item, requests, stream_ms);
--- a/libplantainusher/placer/status.c
+++ b/libplantainusher/placer/status.c
@@ -25,14 +25,14 @@
 {
   return json_pack (
       "{s:s, s:s, s:s, s:s, s:I, s:s, s:I, s:I, s:b, s:s}", "kind",
-      order_kind_name (r->wish.kind == PU_LEDGER_LOAD), "model",
-      pu_placer_sync_copy_model (sync, r->wish.copy), "version",
-      pu_placer_sync_copy_version (sync, r->wish.copy), "backend",
-      pu_names_name (&sync->backends, r->wish.backend), "memory_mb",
-      (json_int_t)r->wish.memory_mb, "state", pu_orders_state_name (r->state),
+      order_kind_name (r->spec.kind == PU_LEDGER_LOAD), "model",
+      pu_placer_sync_copy_model (sync, r->spec.copy), "version",
+      pu_placer_sync_copy_version (sync, r->spec.copy), "backend",
+      pu_names_name (&sync->backends, r->spec.backend), "memory_mb",
+      (json_int_t)r->spec.memory_mb, "state", pu_orders_state_name (r->state),
       "token", (json_int_t)r->token, "tries", (json_int_t)r->tries,
       "inherited", r->inherited, "reason",
-      pu_placer_move_reason (r->wish.reason));
+      pu_placer_move_reason (r->spec.reason));
 }
 
 static json_t *
@@ -257,7 +257,7 @@
     }
   orders = pu_placement_orders (sync->placement);
   json_object_set_new (o, "quiet",
-                       json_boolean (pu_orders_quiet (orders, now)));
+                       json_boolean (pu_orders_loads_suspended (orders, now)));
   json_object_set_new (o, "orders", orders_json (sync));
   json_object_set_new (o, "failures", failures_json (sync, now));
   add_models (o, sync, now);
@@ -382,7 +382,8 @@
   guint64 now = pu_control_now (p->o.control);
 
   if (p->sync == NULL || !pu_placer_sync_is_current (p->sync)
-      || pu_orders_quiet (pu_placement_orders (p->sync->placement), now))
+      || pu_orders_loads_suspended (pu_placement_orders (p->sync->placement),
+                                    now))
     return pu_placer_plan_state (pu_control_state (p->o.control), d);
   return plan_json (p->sync, d, now);
 }
--- a/libplantainusher/placer/sync.c
+++ b/libplantainusher/placer/sync.c
@@ -28,7 +28,7 @@
       c.item = pu_names_get (&sync->items, model);
       c.version = pu_names_get (&sync->versions, version);
       g_array_append_val (sync->copy_info, c);
-      pu_placement_name_copy (sync->placement, handle, c.item, c.version);
+      pu_placement_map_copy (sync->placement, handle, c.item, c.version);
     }
   return handle;
 }
@@ -179,7 +179,7 @@
   o->planner.watch_s = v->watch_s;
   o->planner.max_failures = v->max_failures;
   o->orders.loads_per_s = s->store_loads_per_s;
-  o->orders.loads_at_once = s->store_full_speed;
+  o->orders.max_store_loads = s->store_full_speed;
 }
 
 /* Passes the settings of the document in force to the planner and the
@@ -190,9 +190,9 @@
   pu_placer_sync_document_options (sync->document, &sync->options);
   pu_planner_set_options (pu_placement_planner (sync->placement),
                           &sync->options.planner);
-  pu_orders_set_store (pu_placement_orders (sync->placement),
-                       sync->options.orders.loads_per_s,
-                       sync->options.orders.loads_at_once);
+  pu_orders_set_store_limits (pu_placement_orders (sync->placement),
+                              sync->options.orders.loads_per_s,
+                              sync->options.orders.max_store_loads);
 }
 
 static bool
@@ -301,7 +301,7 @@
   pu_ledger_report_t r = ledger_report_of (sync, handle, b);
   bool down = b->down || b->kind != PU_BACKEND_ENGINE;
 
-  pu_placement_backend (
+  pu_placement_update_backend (
       sync->placement, &r, down, intern_zone (sync, b),
       sync->streams_per_accelerator * MAX (b->accelerators, 1), now);
 }
@@ -385,7 +385,7 @@
     {
       if (GPOINTER_TO_UINT (generation) == sync->generation)
         continue;
-      pu_placement_closed (sync->placement, *(guint64 *)key, now);
+      pu_placement_handle_closed (sync->placement, *(guint64 *)key, now);
       g_hash_table_iter_remove (&i);
     }
 }
