--- a/libplantainusher/entry/admit.c
+++ b/libplantainusher/entry/admit.c
@@ -1,4 +1,4 @@
-/* From a request to its exchange: whether it is taken at all.  */
+/* Admission: whether a request is accepted, and the begin of its exchange.  */
 
 #include "entry/entry_private.h"
 #include "entry/trace.h"
@@ -6,8 +6,8 @@
 const pu_refusal_t pu_refusal_stopping
     = { 503, "stopping", PU_NOT_RUN, PU_BUSY_RETRY_MS };
 
-/* The caller has gone.  A claimed call that was sent runs on, so that its
-   outcome can be recorded; all else is cancelled.  */
+/* The caller has disconnected.  A claimed call that was dispatched goes on, so
+   that its outcome can be recorded; any other request is cancelled.  */
 static void
 on_gone (void *data)
 {
@@ -66,9 +66,10 @@
     }
 }
 
-/* X goes on when its request could be read; else it was answered so.  */
+/* Admits X if its request was read; otherwise the caller was sent an error,
+   and X is freed.  */
 static void
-exchange_begin (pu_exchange_t *x, bool read)
+exchange_begin_or_free (pu_exchange_t *x, bool read)
 {
   if (read)
     {
@@ -81,8 +82,8 @@
 }
 
 static void
-turn_away (pu_entry_t *en, pu_http_request_t *http, const pu_refusal_t *r,
-           const char *message)
+reject (pu_entry_t *en, pu_http_request_t *http, const pu_refusal_t *r,
+        const char *message)
 {
   const char *id = en->front.id (en->front.data, http);
 
@@ -90,22 +91,23 @@
   en->front.refuse (en->front.data, http, id, r, message);
 }
 
+/* Whether HTTP is admitted; otherwise it is refused.  */
 static bool
-has_room (pu_entry_t *en, pu_http_request_t *http)
+check_admission (pu_entry_t *en, pu_http_request_t *http)
 {
   static const pu_refusal_t full
       = { 503, "overloaded", PU_NOT_RUN, PU_BUSY_RETRY_MS };
 
-  /* It came on a connection that an earlier answer kept open, and might not
-     end in the time that is left.  */
+  /* The request came on a keep-alive connection and might not end within the
+     time left for the stop.  */
   if (en->stopping)
     {
-      turn_away (en, http, &pu_refusal_stopping, "This entry is stopping.");
+      reject (en, http, &pu_refusal_stopping, "This entry is stopping.");
       return false;
     }
   if (en->open.length < en->o.requests_max)
     return true;
-  turn_away (en, http, &full, "Too many requests are in progress here.");
+  reject (en, http, &full, "Too many requests are in progress on this entry.");
   return false;
 }
 
@@ -114,10 +116,10 @@
 {
   pu_exchange_t *x;
 
-  if (!has_room (en, http))
+  if (!check_admission (en, http))
     return;
   x = exchange_new (en, http);
-  exchange_begin (x, pu_exchange_parse_model (x, chat));
+  exchange_begin_or_free (x, pu_exchange_parse_model (x, chat));
 }
 
 void
@@ -125,18 +127,18 @@
 {
   pu_exchange_t *x;
 
-  if (!has_room (en, http))
+  if (!check_admission (en, http))
     return;
   x = exchange_new (en, http);
-  exchange_begin (x, pu_exchange_parse_plain (x));
+  exchange_begin_or_free (x, pu_exchange_parse_plain (x));
 }
 
 void
-pu_exchange_begin_front (pu_entry_t *en, pu_http_request_t *http)
+pu_exchange_begin_frontend (pu_entry_t *en, pu_http_request_t *http)
 {
   if (en->document != NULL)
     {
-      pu_exchange_begin_held (en, http, uv_now (en->o.loop));
+      pu_exchange_begin_arrived (en, http, uv_now (en->o.loop));
     }
   else if (!pu_startup_hold (en, http))
     {
@@ -150,21 +152,21 @@
   static const pu_refusal_t starting
       = { 503, "starting", PU_NOT_RUN, PU_BUSY_RETRY_MS };
 
-  turn_away (en, http, &starting, "This entry has no document yet.");
+  reject (en, http, &starting, "This entry has no document yet.");
 }
 
 void
-pu_exchange_begin_held (pu_entry_t *en, pu_http_request_t *http,
-                        guint64 arrived)
+pu_exchange_begin_arrived (pu_entry_t *en, pu_http_request_t *http,
+                           guint64 arrived)
 {
   pu_exchange_t *x;
   bool read;
 
-  if (!has_room (en, http))
+  if (!check_admission (en, http))
     return;
   x = exchange_new (en, http);
   x->q.arrived = arrived;
   read = en->front.read (en->front.data, en->document, http, &x->q);
   x->last_event = x->q.after;
-  exchange_begin (x, read);
+  exchange_begin_or_free (x, read);
 }
--- a/libplantainusher/entry/answer.c
+++ b/libplantainusher/entry/answer.c
@@ -7,7 +7,7 @@
 
 #define MS_PER_S 1000
 
-static const char *const outcome_words[] = {
+static const char *const outcome_names[] = {
   [PU_NOT_RUN] = "not-run",
   [PU_RAN] = "ran",
   [PU_UNKNOWN] = "unknown",
@@ -16,13 +16,13 @@
 const char *
 pu_outcome_word (pu_outcome_word_t o)
 {
-  return outcome_words[o];
+  return outcome_names[o];
 }
 
 char *
 pu_error_text (const pu_refusal_t *r, const char *message)
 {
-  /* It may repeat what the caller sent, which JSON need not be able to say. */
+  /* The message may quote the caller's input, which may be invalid UTF-8.  */
   char *valid = g_utf8_make_valid (message, -1);
   char *text = pu_json_line (
       json_pack ("{s:{s:s, s:s, s:s}}", "error", "message", valid, "type",
--- a/libplantainusher/entry/own_front.c
+++ b/libplantainusher/entry/builtin_frontend.c
@@ -1,4 +1,4 @@
-/* The entry's own front: the completions interface, and plain services under
+/* The built-in frontend: the completions interface, and plain services by
    their names.  Requests are read by parse.c.  */
 
 #include "entry/entry_private.h"
@@ -14,7 +14,7 @@
   STATUS_UNAVAILABLE = 503,
 };
 
-/* --- heads --- */
+/* --- request headers --- */
 
 void
 pu_head_init (pu_head_t *h)
@@ -64,12 +64,12 @@
     pu_head_add_number (h, "X-Resume-Tokens", x->sent.tokens);
 }
 
-/* --- answers --- */
+/* --- responses --- */
 
-/* Whether the answer is to X.  An engine names the request that it
-   answers.  */
+/* Whether R is a response to X.  A successful response of an engine must state
+   the request id.  */
 static bool
-is_answer_to (const pu_exchange_t *x, const pu_http_response_t *r)
+is_response_to (const pu_exchange_t *x, const pu_http_response_t *r)
 {
   const char *id = pu_http_response_header (r, "x-request-id");
 
@@ -87,7 +87,8 @@
          && g_ascii_strncasecmp (content_type, type, sizeof type - 1) == 0;
 }
 
-/* The backend server says that the request did not run.  */
+/* Whether the response of a backend server says that the request did not run.
+ */
 static bool
 says_not_run (const pu_exchange_t *x)
 {
@@ -117,7 +118,7 @@
   at->outcome = header_copy (r, "x-outcome");
   at->retry_after = header_copy (r, "retry-after");
   at->answer = (pu_answer_t){
-    .foreign = !is_answer_to (x, r),
+    .foreign = !is_response_to (x, r),
     .not_run = says_not_run (x),
     .stream = !x->q.plain && r->status == STATUS_OK
               && is_event_stream (at->content_type),
@@ -126,23 +127,23 @@
 }
 
 static const char *
-own_id (void *data, pu_http_request_t *http)
+builtin_request_id (void *data, pu_http_request_t *http)
 {
   (void)data;
   return pu_http_request_header (http, "x-request-id");
 }
 
 static void
-own_refuse (void *data, pu_http_request_t *http, const char *id,
-            const pu_refusal_t *r, const char *message)
+builtin_refuse (void *data, pu_http_request_t *http, const char *id,
+                const pu_refusal_t *r, const char *message)
 {
   if (id == NULL)
-    id = own_id (data, http);
+    id = builtin_request_id (data, http);
   pu_answer_error (http, id, r, message);
 }
 
 void
-pu_entry_own_front (pu_front_t *f)
+pu_entry_builtin_frontend (pu_front_t *f)
 {
-  *f = (pu_front_t){ .id = own_id, .refuse = own_refuse };
+  *f = (pu_front_t){ .id = builtin_request_id, .refuse = builtin_refuse };
 }
--- a/libplantainusher/entry/demand.c
+++ b/libplantainusher/entry/demand.c
@@ -1,21 +1,22 @@
 #include "entry/entry_private.h"
 
 /*
- * What the leader hears of demand: each request for a model, and how long it
- * will keep a stream of an engine busy.  That is taken from those of the same
- * model that ended here; an engine that is crowded makes them longer, so the
- * demand is then told too high rather than too low.
+ * Demand reported to the leader: each request for a model, and how long it
+ * will keep a stream of an engine busy.  The time is a moving average over
+ * the requests for the same model that ended here.  Requests take longer on an
+ * overloaded engine, so that the demand is then overestimated rather than
+ * underestimated.
  */
 
-/* Before the first request of a model has ended here.  */
-#define FIRST_MS 1000.0
+/* The estimate until the first request for a model has ended here.  */
+#define DEFAULT_RUN_MS 1000.0
 
-/* How much the newest request counts in the mean.  */
-#define NEWEST 0.05
+/* The weight of the newest request in the moving average.  */
+#define RUN_EWMA_WEIGHT 0.05
 
-/* How long X keeps an engine to itself.  */
+/* Estimates how long X would occupy a whole engine, in milliseconds.  */
 static double
-engine_time (const pu_exchange_t *x)
+engine_exclusive_ms (const pu_exchange_t *x)
 {
   const pu_entry_t *en = x->en;
   const pu_engine_class_t *c
@@ -28,18 +29,18 @@
                             c != NULL ? c->slots : 0);
 }
 
-/* How long X keeps a stream of an engine busy; or, where its tokens are told,
-   the engine itself.  */
+/* Estimates how long X will keep a stream of an engine busy, in milliseconds;
+   or a whole engine if the request gives the token counts of its prompt.  */
 static double
-time_of (const pu_exchange_t *x)
+expected_busy_ms (const pu_exchange_t *x)
 {
   const pu_entry_t *en = x->en;
   const double *mean;
 
   if (x->q.sized)
-    return engine_time (x);
-  mean = g_hash_table_lookup (en->run_ms, x->q.model);
-  return mean == NULL ? FIRST_MS : *mean;
+    return engine_exclusive_ms (x);
+  mean = g_hash_table_lookup (en->mean_run_ms, x->q.model);
+  return mean == NULL ? DEFAULT_RUN_MS : *mean;
 }
 
 void
@@ -48,10 +49,10 @@
   pu_entry_t *en = x->en;
   double ms;
 
-  if (x->q.plain || x->demand_told)
+  if (x->q.plain || x->demand_reported)
     return;
-  x->demand_told = true;
-  ms = time_of (x);
+  x->demand_reported = true;
+  ms = expected_busy_ms (x);
   en->o.hooks.demand (en->o.hooks.data, x->q.model, 1, (guint32)(ms + 0.5));
 }
 
@@ -61,16 +62,17 @@
   double ms = (double)(uv_now (x->en->o.loop) - x->at.sent_at);
   double *mean;
 
-  /* Neither what ran elsewhere nor the rest of a stream tells how long.  */
+  /* The time of a relayed request, or of a later attempt that may only resume
+     a stream, is not that of a whole run.  */
   if (x->q.plain || x->at.server == NULL || x->attempts > 1)
     return;
-  mean = g_hash_table_lookup (x->en->run_ms, x->q.model);
+  mean = g_hash_table_lookup (x->en->mean_run_ms, x->q.model);
   if (mean != NULL)
     {
-      *mean += NEWEST * (ms - *mean);
+      *mean += RUN_EWMA_WEIGHT * (ms - *mean);
       return;
     }
   mean = g_new (double, 1);
   *mean = ms;
-  g_hash_table_insert (x->en->run_ms, g_strdup (x->q.model), mean);
+  g_hash_table_insert (x->en->mean_run_ms, g_strdup (x->q.model), mean);
 }
--- a/libplantainusher/entry/document.c
+++ b/libplantainusher/entry/document.c
@@ -1,7 +1,7 @@
 /*
- * A new document comes into force: it is read in the thread pool, as one of
- * thousands of routes takes an instance with a small share of a processor a
- * second, and then taken over in one step.
+ * A new document comes into force.  A long one is parsed in the thread pool,
+ * because a document of thousands of routes takes about a second on an
+ * instance with a small share of a processor.  It is then applied in one step.
  */
 
 #include "entry/entry_private.h"
@@ -10,28 +10,29 @@
 
 #include "base/log.h"
 
-/* All requests go to the version in force where it is ready.  */
-#define SHARE_ALL 1000
+/* In thousandths: all requests go to the version in force where it is ready.
+ */
+#define PREFERRED_SHARE_ALL 1000
 
-/* Requests of one route that wait at an entry at most: what waits is bounded
-   by its deadline, this bounds the memory.  */
-#define ROUTE_QUEUE 2000
+/* The most requests of one route that are queued at an entry.  Deadlines bound
+   the time in the queue; this bounds the memory.  */
+#define ROUTE_QUEUE_MAX 2000
 
-struct pu_reading
+struct pu_document_parse
 {
   uv_work_t work;
   pu_entry_t *en;
   guint64 version;
   char *author;
   char *text;
-  pu_document_t *document; /* NULL: FINDINGS say why */
+  pu_document_t *document; /* NULL: invalid, see findings */
   pu_findings_t *findings;
 };
 
-/* --- taking over --- */
+/* --- applying a document --- */
 
 static void
-services_remove (pu_entry_t *en, const pu_document_t *old)
+services_remove_stale (pu_entry_t *en, const pu_document_t *old)
 {
   for (guint i = 0; i < pu_document_services (old); i++)
     {
@@ -52,7 +53,7 @@
 }
 
 static void
-models_remove (pu_entry_t *en, const pu_document_t *old)
+models_remove_stale (pu_entry_t *en, const pu_document_t *old)
 {
   for (guint i = 0; i < pu_document_models (old); i++)
     {
@@ -66,15 +67,15 @@
     }
 }
 
-/* A route is a row of its own among the router's services.  */
+/* The name of R in the router, which treats each route as a service.  */
 static char *
-route_row (const pu_route_t *r)
+route_service_name (const pu_route_t *r)
 {
   return g_strconcat ("route:", r->name, NULL);
 }
 
 static void
-routes_remove (pu_entry_t *en, const pu_document_t *old)
+routes_remove_stale (pu_entry_t *en, const pu_document_t *old)
 {
   for (guint i = 0; i < pu_document_routes (old); i++)
     {
@@ -83,7 +84,7 @@
 
       if (pu_document_route_named (en->document, r->name))
         continue;
-      name = route_row (r);
+      name = route_service_name (r);
       pu_router_remove_service (en->router,
                                 pu_router_find_service (en->router, name));
       g_free (name);
@@ -93,13 +94,13 @@
 static void
 route_set (pu_entry_t *en, const pu_route_t *r)
 {
-  char *name = route_row (r);
+  char *name = route_service_name (r);
   pu_router_service_options_t o = { .name = name,
                                     .importance = r->priority + 1,
                                     .first_token_ms = r->target_ms,
                                     .per_token_ms = r->gap_ms,
                                     .timeout_ms = r->timeout_ms,
-                                    .max_queue = ROUTE_QUEUE,
+                                    .max_queue = ROUTE_QUEUE_MAX,
                                     .serve_late = r->serve_late,
                                     .patience_ms = r->patience_ms };
 
@@ -126,12 +127,12 @@
   if (!plain)
     return;
   name = g_strconcat ("service:", s->name, NULL);
-  pu_router_set_model (en->router, name, NULL, SHARE_ALL);
+  pu_router_set_model (en->router, name, NULL, PREFERRED_SHARE_ALL);
   g_free (name);
 }
 
 static void
-rows_set (pu_entry_t *en, const pu_document_t *d)
+router_tables_set (pu_entry_t *en, const pu_document_t *d)
 {
   for (guint i = 0; i < pu_document_services (d); i++)
     service_set (en, pu_document_service (d, i));
@@ -141,13 +142,14 @@
     {
       const pu_model_t *m = pu_document_model (d, i);
 
-      pu_router_set_model (en->router, m->name, m->version, SHARE_ALL);
+      pu_router_set_model (en->router, m->name, m->version,
+                           PREFERRED_SHARE_ALL);
     }
 }
 
-/* The document that R read, which is consumed, is in force from here on.  */
+/* Puts the document that R parsed into force and takes it out of R.  */
 static void
-document_take (pu_entry_t *en, pu_reading_t *r)
+document_apply (pu_entry_t *en, pu_document_parse_t *r)
 {
   pu_document_t *old = en->document;
   pu_document_t *d = g_steal_pointer (&r->document);
@@ -156,11 +158,11 @@
   en->document_version = r->version;
   if (old != NULL)
     {
-      services_remove (en, old);
-      models_remove (en, old);
-      routes_remove (en, old);
+      services_remove_stale (en, old);
+      models_remove_stale (en, old);
+      routes_remove_stale (en, old);
     }
-  rows_set (en, d);
+  router_tables_set (en, d);
   pu_document_unref (old);
   pu_entry_limits_set (en);
   pu_log_event (PU_ENTRY_PART, "A document is in force.",
@@ -172,23 +174,23 @@
 }
 
 static void
-document_refuse (pu_entry_t *en, const pu_reading_t *r)
+document_reject (pu_entry_t *en, const pu_document_parse_t *r)
 {
   const pu_finding_t *first = pu_findings_get (r->findings, 0);
 
-  en->refused_version = r->version;
+  en->rejected_version = r->version;
   pu_log_warn (PU_ENTRY_PART,
                "Document %" G_GUINT64_FORMAT
-               " can't be read, the one before stays in force: '%s' %s",
+               " is invalid; the previous one stays in force: '%s' %s",
                r->version, first->path, first->message);
 }
 
-/* --- reading --- */
+/* --- parsing --- */
 
-static pu_reading_t *
-reading_new (pu_entry_t *en, const pu_doc_record *record)
+static pu_document_parse_t *
+parse_new (pu_entry_t *en, const pu_doc_record *record)
 {
-  pu_reading_t *r = g_new0 (pu_reading_t, 1);
+  pu_document_parse_t *r = g_new0 (pu_document_parse_t, 1);
 
   r->work.data = r;
   r->en = en;
@@ -200,7 +202,7 @@
 }
 
 static void
-reading_free (pu_reading_t *r)
+parse_free (pu_document_parse_t *r)
 {
   pu_document_unref (r->document);
   pu_findings_free (r->findings);
@@ -209,70 +211,72 @@
   g_free (r);
 }
 
-/* Runs in the thread pool: touches nothing but R.  */
+/* May run in the thread pool: accesses nothing but the pu_document_parse_t. */
 static void
-on_work (uv_work_t *work)
+parse_work (uv_work_t *work)
 {
-  pu_reading_t *r = work->data;
+  pu_document_parse_t *r = work->data;
 
   r->document = pu_document_load (r->text, strlen (r->text), r->findings);
 }
 
-/* Takes over what R read, and frees it.  False: nothing changed.  */
+/* Applies or rejects the document that R parsed, and frees R.  Returns whether
+   a document was applied.  */
 static bool
-reading_end (pu_entry_t *en, pu_reading_t *r)
+parse_finish (pu_entry_t *en, pu_document_parse_t *r)
 {
   bool good = r->document != NULL;
 
   if (good)
     {
-      document_take (en, r);
+      document_apply (en, r);
     }
   else
     {
-      document_refuse (en, r);
+      document_reject (en, r);
     }
-  reading_free (r);
+  parse_free (r);
   return good;
 }
 
 static void
-on_read (uv_work_t *work, int status)
+on_parsed (uv_work_t *work, int status)
 {
-  pu_reading_t *r = work->data;
+  pu_document_parse_t *r = work->data;
   pu_entry_t *en = r->en;
 
   (void)status;
-  en->reading = NULL;
+  en->parsing = NULL;
   en->pending--;
   if (en->freed)
     {
-      reading_free (r);
+      parse_free (r);
       pu_entry_check (en);
       return;
     }
-  reading_end (en, r);
-  /* All that follows from a document, and the next if one has come.  */
+  parse_finish (en, r);
+  /* Applies the whole view again, which depends on the document, and parses
+     the next document if there is one.  */
   en->changes = 0;
   pu_view_sync (en);
 }
 
 bool
-pu_document_sync (pu_entry_t *en, const pu_doc_record *record)
+pu_entry_document_sync (pu_entry_t *en, const pu_doc_record *record)
 {
-  pu_reading_t *r;
+  pu_document_parse_t *r;
 
-  if (en->reading != NULL || record->doc_version == en->document_version
-      || record->doc_version == en->refused_version)
+  if (en->parsing != NULL || record->doc_version == en->document_version
+      || record->doc_version == en->rejected_version)
     return false;
-  r = reading_new (en, record);
+  r = parse_new (en, record);
   if (strlen (r->text) >= PU_DOCUMENT_LONG
-      && uv_queue_work (en->o.loop, &r->work, on_work, on_read) == 0)
+      && uv_queue_work (en->o.loop, &r->work, parse_work, on_parsed) == 0)
     {
-      en->reading = r;
+      en->parsing = r;
       en->pending++;
       return false;
     }
-  on_work (&r->work);
-  return reading_end (en, r);
+  parse_work (&r->work);
+  return parse_finish (en, r);
 }
--- a/libplantainusher/entry/entry.c
+++ b/libplantainusher/entry/entry.c
@@ -8,64 +8,67 @@
 enum
 {
   TICK_MS = 50,
-  LOADS_MS = 200,    /* reports are sent on so often */
-  BLOCK_TOKENS = 64, /* 256 bytes of prompt, see parse.c */
-  HEADER_MAX = 32768,
-  BODY_MAX = 8 * 1024 * 1024,
-  ANNOUNCEMENT_MAX = 1024 * 1024,
+  LOADS_CHECK_MS = 200,     /* how often due load reports are forwarded */
+  PREFIX_BLOCK_TOKENS = 64, /* 256 bytes of prompt, see parse.c */
+  HEADER_MAX_BYTES = 32768,
+  BODY_MAX_BYTES = 8 * 1024 * 1024,
+  ANNOUNCEMENT_MAX_BYTES = 1024 * 1024,
   CONNECTIONS_MAX = 4096,
   REQUESTS_MAX = 4096,
-  CONNECT_MS = 1000,
-  PROGRESS_MS = 10000,
-  PROBE_MS = 1000,
-  SETTLE_MS = 1000,
-  IDLE_MS = 4000,
-  REPORT_MS = 1000,
-  PROPOSE_MS = 2000,
-  TTL_S = 10,
-  STARTING_RETRY_MS = 1000,
+  CONNECT_TIMEOUT_MS = 1000,
+  PROGRESS_TIMEOUT_MS = 10000,
+  PROBE_TIMEOUT_MS = 1000,
+  STRIKE_SETTLE_MS = 1000,
+  IDLE_CONNECTION_MS = 4000,
+  REPORT_INTERVAL_MS = 1000,
+  PROPOSE_TIMEOUT_MS = 2000,
+  ENTRIES_TTL_S = 10,
+  STARTING_RETRY_AFTER_MS = 1000,
 };
 
 void
 pu_entry_options_init (pu_entry_options_t *o)
 {
   *o = (pu_entry_options_t){
-    .header_max = HEADER_MAX,
-    .body_max = BODY_MAX,
-    .announcement_max = ANNOUNCEMENT_MAX,
+    .header_max = HEADER_MAX_BYTES,
+    .body_max = BODY_MAX_BYTES,
+    .announcement_max = ANNOUNCEMENT_MAX_BYTES,
     .connections_max = CONNECTIONS_MAX,
     .requests_max = REQUESTS_MAX,
-    .connect_ms = CONNECT_MS,
-    .progress_ms = PROGRESS_MS,
-    .probe_ms = PROBE_MS,
-    .settle_ms = SETTLE_MS,
-    .idle_ms = IDLE_MS,
-    .report_ms = REPORT_MS,
-    .propose_ms = PROPOSE_MS,
+    .connect_ms = CONNECT_TIMEOUT_MS,
+    .progress_ms = PROGRESS_TIMEOUT_MS,
+    .probe_ms = PROBE_TIMEOUT_MS,
+    .settle_ms = STRIKE_SETTLE_MS,
+    .idle_ms = IDLE_CONNECTION_MS,
+    .report_ms = REPORT_INTERVAL_MS,
+    .propose_ms = PROPOSE_TIMEOUT_MS,
     .loads_ms = PU_ENTRY_LOADS_MS,
-    .ttl_s = TTL_S,
+    .ttl_s = ENTRIES_TTL_S,
   };
 }
 
-/* --- requests by path --- */
+/* --- dispatch by path --- */
 
+/* Whether HTTP has METHOD; otherwise it is refused.  */
 static bool
-is_method (pu_http_request_t *http, const char *method)
+require_method (pu_http_request_t *http, const char *method)
 {
   static const pu_refusal_t refusal = { 405, "method", PU_NOT_RUN, 0 };
 
   if (strcmp (pu_http_request_method (http), method) == 0)
     return true;
   pu_answer_error (http, pu_http_request_header (http, "x-request-id"),
-                   &refusal, "This path takes another method.");
+                   &refusal, "The method is not allowed on this path.");
   return false;
 }
 
+/* Whether the view, and the document if NEEDS_DOCUMENT, can be served from;
+   otherwise HTTP is refused.  */
 static bool
-is_ready (pu_entry_t *en, pu_http_request_t *http, bool needs_document)
+require_ready (pu_entry_t *en, pu_http_request_t *http, bool needs_document)
 {
   static const pu_refusal_t refusal
-      = { 503, "starting", PU_NOT_RUN, STARTING_RETRY_MS };
+      = { 503, "starting", PU_NOT_RUN, STARTING_RETRY_AFTER_MS };
 
   if (en->o.hooks.ready (en->o.hooks.data)
       && (en->document != NULL || !needs_document))
@@ -76,14 +79,14 @@
 }
 
 static void
-completion (pu_entry_t *en, pu_http_request_t *http, bool chat)
+handle_completion (pu_entry_t *en, pu_http_request_t *http, bool chat)
 {
-  if (is_method (http, "POST") && is_ready (en, http, true))
+  if (require_method (http, "POST") && require_ready (en, http, true))
     pu_exchange_begin_model (en, http, chat);
 }
 
 static void
-not_found (pu_http_request_t *http)
+respond_not_found (pu_http_request_t *http)
 {
   static const pu_refusal_t refusal = { 404, "not_found", PU_NOT_RUN, 0 };
 
@@ -92,36 +95,36 @@
 }
 
 static void
-on_own_request (pu_entry_t *en, pu_http_request_t *http)
+on_builtin_request (pu_entry_t *en, pu_http_request_t *http)
 {
   const char *path = pu_http_request_path (http);
 
   if (strcmp (path, "/v1/chat/completions") == 0)
     {
-      completion (en, http, true);
+      handle_completion (en, http, true);
     }
   else if (strcmp (path, "/v1/completions") == 0)
     {
-      completion (en, http, false);
+      handle_completion (en, http, false);
     }
   else if (g_str_has_prefix (path, "/services/"))
     {
-      if (is_ready (en, http, true))
+      if (require_ready (en, http, true))
         pu_exchange_begin_plain (en, http);
     }
   else if (strcmp (path, "/v1/entries") == 0)
     {
-      if (is_method (http, "GET") && is_ready (en, http, false))
+      if (require_method (http, "GET") && require_ready (en, http, false))
         pu_path_entries (en, http);
     }
   else if (strcmp (path, "/v1/backends/announce") == 0)
     {
-      if (is_method (http, "POST") && is_ready (en, http, false))
+      if (require_method (http, "POST") && require_ready (en, http, false))
         pu_path_announce (en, http);
     }
   else if (strcmp (path, "/v1/models") == 0)
     {
-      if (is_method (http, "GET") && is_ready (en, http, true))
+      if (require_method (http, "GET") && require_ready (en, http, true))
         pu_path_models (en, http);
     }
   else if (strcmp (path, "/healthz") == 0)
@@ -130,7 +133,7 @@
     }
   else
     {
-      not_found (http);
+      respond_not_found (http);
     }
 }
 
@@ -141,18 +144,18 @@
 
   if (pu_entry_has_own_front (en))
     {
-      on_own_request (en, http);
+      on_builtin_request (en, http);
     }
   else
     {
-      pu_exchange_begin_front (en, http);
+      pu_exchange_begin_frontend (en, http);
     }
 }
 
-/* --- the router's clock --- */
+/* --- timers --- */
 
 static void
-decisions_carry_out (pu_entry_t *en, const GArray *decisions)
+decisions_apply (pu_entry_t *en, const GArray *decisions)
 {
   for (guint i = 0; i < decisions->len; i++)
     {
@@ -166,7 +169,7 @@
 }
 
 static void
-on_wake (uv_timer_t *t)
+on_router_timer (uv_timer_t *t)
 {
   pu_entry_t *en = t->data;
   GArray *decisions
@@ -175,18 +178,18 @@
   guint64 at;
 
   pu_router_next (en->router, now, decisions);
-  decisions_carry_out (en, decisions);
+  decisions_apply (en, decisions);
   g_array_free (decisions, TRUE);
   at = pu_router_wake_at (en->router);
   if (at != G_MAXUINT64 && !uv_is_active ((uv_handle_t *)t))
-    uv_timer_start (t, on_wake, at > now ? at - now : 1, 0);
+    uv_timer_start (t, on_router_timer, at > now ? at - now : 1, 0);
 }
 
 void
 pu_router_due (pu_entry_t *en)
 {
   if (!en->freed)
-    uv_timer_start (&en->wake, on_wake, 0, 0);
+    uv_timer_start (&en->router_timer, on_router_timer, 0, 0);
 }
 
 static void
@@ -202,18 +205,18 @@
   pu_exchanges_tick (en, now);
   pu_startup_tick (en, now);
   pu_rates_tick (en, now);
-  if (now - en->flushed >= LOADS_MS)
+  if (now - en->loads_sent_at >= LOADS_CHECK_MS)
     {
-      en->flushed = now;
+      en->loads_sent_at = now;
       pu_spread_tick (en, now);
     }
   pu_entry_check (en);
 }
 
-/* --- life --- */
+/* --- construction --- */
 
 static void
-cores_make (pu_entry_t *en)
+components_init (pu_entry_t *en)
 {
   pu_router_options_t router;
   pu_directory_options_t directory;
@@ -224,7 +227,7 @@
   router.seed = en->o.seed;
   router.region = en->region;
   router.zone = en->zone;
-  router.block_tokens = BLOCK_TOKENS;
+  router.block_tokens = PREFIX_BLOCK_TOKENS;
   if (pu_break_active (PU_BREAK_DRAINING_USED))
     router.test_break = PU_ROUTER_BREAK_DRAINING;
   en->router = pu_router_new (&router);
@@ -240,7 +243,7 @@
 }
 
 static char **
-keys_copy (const pu_entry_options_t *o)
+backend_keys_copy (const pu_entry_options_t *o)
 {
   GPtrArray *keys = g_ptr_array_new ();
 
@@ -251,7 +254,7 @@
 }
 
 static void
-tables_make (pu_entry_t *en)
+tables_init (pu_entry_t *en)
 {
   en->servers
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, pu_server_free);
@@ -260,12 +263,13 @@
   en->others_view = G_MAXUINT64;
   en->reporters = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
                                          pu_reporter_free);
-  en->struck
+  en->suspect_fingerprints
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, NULL);
   en->strikes = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL,
                                        pu_strike_free);
   en->rates = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  en->run_ms = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  en->mean_run_ms
+      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   en->counts = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   en->claims = g_hash_table_new (NULL, NULL);
   en->tickets = g_hash_table_new (g_int64_hash, g_int64_equal);
@@ -273,52 +277,53 @@
   en->listeners = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
                                          pu_listener_free);
   en->load_ids = g_hash_table_new (g_int64_hash, g_int64_equal);
-  en->wants
-      = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, pu_want_free);
+  en->model_waits = g_hash_table_new_full (g_str_hash, g_str_equal, NULL,
+                                           pu_model_wait_free);
 }
 
 static pu_http_server_t *
-server_make (pu_entry_t *en, pu_error_t *e)
+http_server_start (pu_entry_t *en, pu_error_t *e)
 {
   const pu_entry_options_t *o = &en->o;
-  pu_http_server_options_t server
-      = { .loop = o->loop,
-          .host = o->host,
-          .port = o->port,
-          .certificate = o->certificate,
-          .key = o->key,
-          .header_max = o->header_max,
-          .body_max = o->body_max,
-          .connections_max = o->connections_max,
-          .strict = o->front != NULL,
-          .refusal_header = "x-outcome",
-          .refusal_value = "not-run",
-          .refusal_body
-          = "{\"error\":{\"message\":\"The request breaks a rule of HTTP or a "
-            "limit of size.\",\"type\":\"invalid_request\",\"outcome\":"
-            "\"not-run\"}}",
-          .handler = on_request,
-          .data = en };
+  pu_http_server_options_t server = {
+    .loop = o->loop,
+    .host = o->host,
+    .port = o->port,
+    .certificate = o->certificate,
+    .key = o->key,
+    .header_max = o->header_max,
+    .body_max = o->body_max,
+    .connections_max = o->connections_max,
+    .strict = o->front != NULL,
+    .refusal_header = "x-outcome",
+    .refusal_value = "not-run",
+    .refusal_body
+    = "{\"error\":{\"message\":\"The request is malformed or exceeds a size "
+      "limit.\",\"type\":\"invalid_request\",\"outcome\":"
+      "\"not-run\"}}",
+    .handler = on_request,
+    .data = en
+  };
 
   return pu_http_server_new (&server, e);
 }
 
 static void
-timers_make (pu_entry_t *en)
+timers_start (pu_entry_t *en)
 {
-  uv_timer_init (en->o.loop, &en->tick);
-  uv_timer_init (en->o.loop, &en->wake);
-  en->tick.data = en;
-  en->wake.data = en;
-  en->handles = 2;
-  uv_timer_start (&en->tick, on_tick, TICK_MS, TICK_MS);
+  uv_timer_init (en->o.loop, &en->tick_timer);
+  uv_timer_init (en->o.loop, &en->router_timer);
+  en->tick_timer.data = en;
+  en->router_timer.data = en;
+  en->open_handles = 2;
+  uv_timer_start (&en->tick_timer, on_tick, TICK_MS, TICK_MS);
 }
 
-/* Frees what needs no loop.  */
+/* Frees EN if pu_entry_free was called and no handle or callback is left.  */
 static void
-entry_release (pu_entry_t *en)
+entry_destroy_if_idle (pu_entry_t *en)
 {
-  if (!en->freed || en->handles > 0 || en->pending > 0)
+  if (!en->freed || en->open_handles > 0 || en->pending > 0)
     return;
   pu_router_free (en->router);
   pu_directory_free (en->directory);
@@ -327,15 +332,15 @@
   pu_document_unref (en->document);
   g_hash_table_destroy (en->listeners);
   g_hash_table_destroy (en->load_ids);
-  g_hash_table_destroy (en->wants);
+  g_hash_table_destroy (en->model_waits);
   g_hash_table_destroy (en->waiting);
   g_ptr_array_free (en->others, TRUE);
   g_hash_table_destroy (en->servers);
   g_hash_table_destroy (en->reporters);
   g_hash_table_destroy (en->strikes);
-  g_hash_table_destroy (en->struck);
+  g_hash_table_destroy (en->suspect_fingerprints);
   g_hash_table_destroy (en->rates);
-  g_hash_table_destroy (en->run_ms);
+  g_hash_table_destroy (en->mean_run_ms);
   g_hash_table_destroy (en->counts);
   g_hash_table_destroy (en->claims);
   g_hash_table_destroy (en->tickets);
@@ -365,26 +370,26 @@
     }
   else
     {
-      pu_entry_own_front (&en->front);
+      pu_entry_builtin_frontend (&en->front);
     }
   en->name = g_strdup (o->name);
   en->region = g_strdup (o->region);
   en->zone = g_strdup (o->zone);
   en->peer_key = g_strdup (o->peer_key);
-  en->backend_keys = keys_copy (o);
+  en->backend_keys = backend_keys_copy (o);
   en->random = g_rand_new_with_seed (o->seed);
-  tables_make (en);
-  cores_make (en);
-  en->server = server_make (en, e);
+  tables_init (en);
+  components_init (en);
+  en->server = http_server_start (en, e);
   if (en->server == NULL)
     {
       en->freed = true;
-      entry_release (en);
+      entry_destroy_if_idle (en);
       return NULL;
     }
   en->client = pu_http_client_new (&client);
   en->second = uv_now (o->loop);
-  timers_make (en);
+  timers_start (en);
   pu_view_sync (en);
   return en;
 }
@@ -393,7 +398,7 @@
 pu_entry_reload (pu_entry_t *en, const pu_entry_options_t *o)
 {
   g_strfreev (en->backend_keys);
-  en->backend_keys = keys_copy (o);
+  en->backend_keys = backend_keys_copy (o);
   en->o.header_max = o->header_max;
   en->o.body_max = o->body_max;
   en->o.announcement_max = o->announcement_max;
@@ -403,7 +408,7 @@
 }
 
 static gsize
-lesser (gsize own, guint32 declared)
+limit_min (gsize own, guint32 declared)
 {
   return declared == 0 ? own : MIN (own, declared);
 }
@@ -416,8 +421,8 @@
       = en->document != NULL ? pu_document_callers (en->document) : &none;
 
   pu_http_server_set_limits (
-      en->server, lesser (en->o.header_max, l->max_header_bytes),
-      lesser (en->o.body_max, l->max_body_bytes), en->o.connections_max);
+      en->server, limit_min (en->o.header_max, l->max_header_bytes),
+      limit_min (en->o.body_max, l->max_body_bytes), en->o.connections_max);
   pu_http_server_set_times (en->server, l->header_timeout_ms,
                             l->idle_timeout_ms);
 }
@@ -461,7 +466,7 @@
 
   if (en->freed)
     {
-      entry_release (en);
+      entry_destroy_if_idle (en);
       return;
     }
   if (!en->stopping || !en->server_stopped || cb == NULL
@@ -500,8 +505,8 @@
 {
   pu_entry_t *en = h->data;
 
-  en->handles--;
-  entry_release (en);
+  en->open_handles--;
+  entry_destroy_if_idle (en);
 }
 
 void
@@ -515,8 +520,8 @@
   en->freed = true;
   pu_http_client_free (en->client);
   pu_http_server_free (en->server);
-  uv_close ((uv_handle_t *)&en->tick, on_handle_closed);
-  uv_close ((uv_handle_t *)&en->wake, on_handle_closed);
+  uv_close ((uv_handle_t *)&en->tick_timer, on_handle_closed);
+  uv_close ((uv_handle_t *)&en->router_timer, on_handle_closed);
 }
 
 int
@@ -559,7 +564,7 @@
   return json_pack (
       "{s:b, s:i, s:i, s:i, s:i, s:i, s:i, s:i, s:I, s:I, s:o, s:o}",
       "leaving", en->leaving, "requests", (int)en->open.length,
-      "before_document", (int)en->startup.length, "caller_connections",
+      "before_document", (int)en->startup_queue.length, "caller_connections",
       (int)pu_http_server_connections (en->server), "backend_connections",
       (int)pu_http_client_open (en->client), "idle_connections",
       (int)pu_http_client_idle (en->client), "claims_at_work",
--- a/libplantainusher/entry/entry.h
+++ b/libplantainusher/entry/entry.h
@@ -17,51 +17,54 @@
 /*
  * entry - a daemon's listener for callers and backend servers.
  *
- * It answers which entries serve a service, takes the reports of backend
- * servers, and carries each request to a backend server, or one hop to an
- * entry that serves the service.  What it needs of the rest of the daemon
- * comes through hooks, and the daemon tells it when the view has changed.
- * docs/design/relay.md says what happens to a request.
+ * It answers which entries serve a service, receives the reports of backend
+ * servers, and sends each request to a backend server or relays it to an entry
+ * that serves the service.  It uses the rest of the daemon through hooks, and
+ * the daemon notifies it when the view has changed.
+ * docs/design/relay.md describes how a request is processed.
  */
 
 typedef struct pu_entry pu_entry_t;
 
-/* A load report that goes from entry to entry.  */
+/* A load report as sent between entries.  */
 typedef struct
 {
-  guint64 id; /* of the backend server, see pu_entry_load_id */
+  guint64 id; /* of the backend server's incarnation: pu_entry_load_id */
   guint64 seq;
   guint running;
   guint waiting;
-  guint age_ms; /* since the backend server's report came */
-  guint64 at;   /* loop time of that; of no meaning to another entry */
+  guint age_ms; /* since the backend server's report was received */
+  guint64 at;   /* loop time of that; not sent to other entries */
 } pu_entry_load_t;
 
-/* pu_entry_load_id - what stands for an incarnation of a backend server in
-   load reports between entries.  Two that have the same id (one of 2^64) would
-   take each other's loads, which are hints.  */
+/* pu_entry_load_id - the id of an incarnation of a backend server in load
+   reports between entries, a hash of 64 bits.  After a collision (probability
+   1 in 2^64 for two servers) each would also get the loads of the other, which
+   is harmless because loads are hints.  */
 guint64 pu_entry_load_id (const char *backend, guint64 incarnation);
 
-/* pu_entry_done_fn - the same as pu_agent_done_fn.  */
+/* pu_entry_done_fn - as pu_agent_done_fn.  */
 typedef void pu_entry_done_fn (void *data, const pu_reply *r,
                                const pu_error_t *e);
 
-/* pu_entry_json_fn - the same as pu_agent_json_fn.  */
+/* pu_entry_json_fn - as pu_agent_json_fn.  */
 typedef void pu_entry_json_fn (void *data, json_t *result,
                                const pu_error_t *e);
 
-/* What the daemon does for the entry.  Each gets DATA first.  */
+/* Functions that the daemon provides to the entry.  The first argument of each
+   is DATA.  */
 typedef struct
 {
-  /* The public copy of the state; never NULL.  */
+  /* The local copy of the replicated state; never NULL.  */
   const pu_state_t *(*view) (void *data);
-  /* Whether the view may be served from.  */
+  /* Whether requests may be served from the view.  */
   bool (*ready) (void *data);
-  /* Whether what is renewed here reaches the leader.  */
+  /* Whether the renewals made here reach the leader.  */
   bool (*in_touch) (void *data);
-  /* The incarnation of this daemon, owner of its claims.  */
+  /* The incarnation of this daemon, which owns its claims.  */
   guint64 (*incarnation) (void *data);
-  /* As pu_agent_propose: FN exactly once, never from within.  */
+  /* As pu_agent_propose: FN is called exactly once, never before the return.
+   */
   void (*propose) (void *data, const pu_command *c, guint timeout_ms,
                    pu_entry_done_fn *fn, void *fn_data);
   /* As pu_agent_renew and pu_agent_demand.  */
@@ -71,147 +74,160 @@
   /* As pu_agent_want; may be NULL.  */
   void (*want) (void *data, const char *model, guint timeout_ms,
                 pu_entry_json_fn *fn, void *fn_data);
-  /* Sends N loads to the daemon whose peers' address is ADDRESS; they hold
-     until the next, for LIFE_MS at most.  May be NULL.  */
+  /* Sends N load reports to the daemon with the peer address ADDRESS.  They
+     are valid until the next ones, for LIFE_MS at most.  May be NULL.  */
   void (*loads) (void *data, const char *address, const pu_entry_load_t *loads,
                  guint n, guint life_ms);
-  /* Tells the daemon whose peers' address is ADDRESS that the copy of MODEL on
-     the backend server with the load id ID gets nothing more for LIFE_MS.  May
-     be NULL.  */
+  /* Tells the daemon with the peer address ADDRESS to send no new requests to
+     the copy of MODEL on the backend server with the load id ID for LIFE_MS.
+     May be NULL.  */
   void (*withdraw) (void *data, const char *address, guint64 id,
                     const char *model, guint life_ms);
   void *data;
 } pu_entry_hooks_t;
 
-/* Deliberate faults for the tests that show the checks can fail.  */
+/* Injected faults for the tests that show that the checks can fail.  */
 typedef enum
 {
-  PU_ENTRY_BREAK_REPLAY = 1,  /* pass a replay on from its start */
-  PU_ENTRY_BREAK_REPEAT = 2,  /* try again what may run once */
-  PU_ENTRY_BREAK_OUTCOME = 4, /* tell every failure as not run */
-  PU_ENTRY_BREAK_WHOLE = 8    /* end a truncated stream as if whole */
+  PU_ENTRY_BREAK_REPLAY = 1,  /* forward a replay from its start */
+  PU_ENTRY_BREAK_REPEAT = 2,  /* retry requests that may run only once */
+  PU_ENTRY_BREAK_OUTCOME = 4, /* report every failure as not run */
+  PU_ENTRY_BREAK_WHOLE = 8    /* end a truncated stream as if complete */
 } pu_entry_break_t;
 
+/* The options of an entry.  The numbers in the comments are the defaults that
+   pu_entry_options_init sets.  */
 typedef struct
 {
   uv_loop_t *loop;
   const char *name; /* of this instance */
   const char *region;
   const char *zone;
-  const char *host; /* IP number of the callers' address */
+  const char *host; /* IP address to listen on for callers */
   int port;
   const char *certificate; /* PEM files; NULL: no TLS */
   const char *key;
-  const char *peer_key;            /* marks a request relayed by an entry */
-  const char *const *backend_keys; /* any of them opens the announce path */
+  const char *peer_key;            /* authenticates requests that another entry
+                                      relayed */
+  const char *const *backend_keys; /* each of them authorizes reports of
+                                      backend servers */
   guint n_backend_keys;
   pu_counters_t *counters; /* may be NULL */
   guint32 seed;
-  gsize header_max;        /* bytes; 0 here and below: the default */
-  gsize body_max;          /* 8 MiB; also the longest whole answer */
-  gsize announcement_max;  /* 1 MiB */
-  guint connections_max;   /* 4096 */
-  guint requests_max;      /* 4096: in progress at once */
-  guint connect_ms;        /* 1000 */
-  guint progress_ms;       /* 10000: a stream without a byte is silent */
-  guint settle_ms;         /* 1000: a strike is known everywhere after this */
-  guint probe_ms;          /* 1000: second opinion on a new connection */
-  guint idle_ms;           /* 4000: life of an idle pooled connection */
-  guint report_ms;         /* 1000: asked of backend servers */
-  guint propose_ms;        /* 2000: a claim that takes longer is refused */
-  guint loads_ms;          /* 1000: least time between two messages of loads to
-                              another entry */
-  bool loads_to_all;       /* not only to entries of the same services */
-  guint ttl_s;             /* 10: how long callers keep an answer */
-  guint test_breaks;       /* pu_entry_break_t; 0 outside tests */
-  const pu_front_t *front; /* copied; NULL: the entry's own */
+  gsize header_max;       /* 32 KiB; 0: the default of the HTTP server, as
+                              for connections_max */
+  gsize body_max;         /* 8 MiB; also of a buffered response */
+  gsize announcement_max; /* 1 MiB */
+  guint connections_max;  /* 4096 */
+  guint requests_max;     /* 4096: concurrent requests */
+  guint connect_ms;       /* 1000 */
+  guint progress_ms;      /* 10000: timeout of a stream that sends no byte */
+  guint settle_ms;        /* 1000: time until all entries know of a strike */
+  guint probe_ms;         /* 1000: timeout of the health probe that follows a
+                             broken attempt, on a new connection */
+  guint idle_ms;          /* 4000: lifetime of an idle pooled connection */
+  guint report_ms;   /* 1000: report interval requested of backend servers */
+  guint propose_ms;  /* 2000: timeout of a proposal to the log; a claim that
+                        takes longer is refused */
+  guint loads_ms;    /* 1000: minimum interval between two load messages to
+                        another entry */
+  bool loads_to_all; /* send loads to all entries, not only to those of the
+                        same services */
+  guint ttl_s;       /* 10: how long callers cache a list of entries */
+  guint test_breaks; /* pu_entry_break_t; 0 outside tests */
+  const pu_front_t *front; /* copied; NULL: the built-in frontend */
   pu_entry_hooks_t hooks;
 } pu_entry_options_t;
 
 /* pu_entry_options_init - fills O with the defaults.  */
 void pu_entry_options_init (pu_entry_options_t *o);
 
-/* pu_entry_new - listens.  The strings of O are copied.  NULL and E as of
-   pu_http_server_new.  */
+/* pu_entry_new - creates an entry that listens on the address in O.  The
+   strings of O are copied.  Returns NULL with E as pu_http_server_new does. */
 pu_entry_t *pu_entry_new (const pu_entry_options_t *o, pu_error_t *e);
 
-/* pu_entry_reload - takes the backend keys and the limits (the fields that end
-   in _max) of O over; all else of O is ignored.  Strings are copied.  What is
-   in progress goes on.  */
+/* pu_entry_reload - applies the backend keys and the limits (the fields that
+   end in _max) of O; the rest of O is ignored.  Strings are copied.  Requests
+   in progress are not affected.  */
 void pu_entry_reload (pu_entry_t *en, const pu_entry_options_t *o);
 
-/* pu_entry_view_changed - call after each change of the view, and once when
-   it is first ready.  */
+/* pu_entry_view_changed - applies the view.  Call it after each change of the
+   view, and when the view is ready for the first time.  */
 void pu_entry_view_changed (pu_entry_t *en);
 
-/* pu_entry_load - the backend server NAME, as it is known here, has LOAD, of
-   which SEQ rises: the other entries are told.  */
+/* pu_entry_load - reports LOAD of the known incarnation of the backend server
+   NAME to the router and forwards it to the other entries.  The `seq` of LOAD
+   must rise from call to call.  */
 void pu_entry_load (pu_entry_t *en, const char *name,
                     const pu_router_report_t *load);
 
 /* pu_entry_withdraw - the copy of MODEL on the backend server NAME is about to
-   be unloaded: this entry and all others send nothing more there.  Without
-   that each of them learns of it by a refusal of its own.  */
+   be unloaded: this entry and all others stop sending it requests.  Otherwise
+   each entry would notice only when a request of its own is refused.  */
 void pu_entry_withdraw (pu_entry_t *en, const char *name, const char *model);
 
-/* pu_entry_withdrawn - the same, as another entry tells it.  */
+/* pu_entry_withdrawn - receives such a withdrawal from another entry.  It is
+   valid for LIFE_MS.  */
 void pu_entry_withdrawn (pu_entry_t *en, guint64 id, const char *model,
                          guint life_ms);
 
-/* pu_entry_loads_in - N loads that another entry sent, good for LIFE_MS.  */
+/* pu_entry_loads_in - receives N load reports from another entry.  They are
+   valid for LIFE_MS.  */
 void pu_entry_loads_in (pu_entry_t *en, const pu_entry_load_t *loads, guint n,
                         guint life_ms);
 
-/* pu_entry_takes_reports - whether a report that comes now may be
-   acknowledged. One that is acknowledged by an instance that is cut off from
-   the voters renews no lease: in five seconds the backend server is down
-   everywhere else, though it runs and would have reported to another instance.
- */
+/* pu_entry_takes_reports - whether a report received now may be acknowledged.
+   If an instance without contact to the voters acknowledged it, no lease would
+   be renewed: after five seconds all other instances would take the backend
+   server for down, although it runs and could have reported to another
+   instance.  */
 bool pu_entry_takes_reports (const pu_entry_t *en);
 
-/* pu_entry_report - a front has read what a backend server says of itself:
-   RECORD (copied) with the number SEQ, which rises within its incarnation.
-   False: it is no newer than what is known, and changes nothing.  */
+/* pu_entry_report - applies a report that a frontend has read: RECORD (copied)
+   with the sequence number SEQ, which rises within an incarnation.  Returns
+   false, and changes nothing, if the report is not newer than the last.  */
 bool pu_entry_report (pu_entry_t *en, const pu_backend_record *record,
                       guint64 seq);
 
-/* pu_entry_report_end - backend server NAME says that it ends: it gets nothing
-   new from here on.  */
+/* pu_entry_report_end - backend server NAME reports that it shuts down: it
+   gets no new requests.  */
 void pu_entry_report_end (pu_entry_t *en, const char *name);
 
 /* pu_entry_document - the document in force here, or NULL.  */
 const pu_document_t *pu_entry_document (const pu_entry_t *en);
 
-/* pu_entry_document_version - the version of that document; 0: there is
-   none.  */
+/* pu_entry_document_version - the version of the document in force, or 0.  */
 guint64 pu_entry_document_version (const pu_entry_t *en);
 
-/* pu_entry_leaving - whether a planned stop has begun.  */
+/* pu_entry_leaving - whether pu_entry_leave or pu_entry_stop was called.  */
 bool pu_entry_leaving (const pu_entry_t *en);
 
-/* pu_entry_leave - from now on /healthz and /v1/entries no longer name this
-   entry.  Requests are still served.  */
+/* pu_entry_leave - /healthz reports that this entry is leaving, and
+   /v1/entries no longer lists it.  Requests are still served.  */
 void pu_entry_leave (pu_entry_t *en);
 
-/* pu_entry_stop - the planned stop: accepts no connections, finishes what is
-   open and then calls CB.  */
+/* pu_entry_stop - graceful stop: accepts no more connections, completes the
+   open requests and then calls CB.  */
 void pu_entry_stop (pu_entry_t *en, void (*cb) (void *data), void *data);
 
-/* pu_entry_abort - gives up what is still open, for a stop that takes too
-   long.  CB of pu_entry_stop still comes.  */
+/* pu_entry_abort - fails the requests that are still open, for a stop that
+   takes too long.  CB of pu_entry_stop is still called.  */
 void pu_entry_abort (pu_entry_t *en);
 
-/* pu_entry_free - after the callback of stop.  The loop must run until the
-   handles are closed.  */
+/* pu_entry_free - frees EN after the callback of pu_entry_stop.  The loop must
+   run until the handles are closed.  */
 void pu_entry_free (pu_entry_t *en);
 
+/* pu_entry_port - the port that EN listens on.  */
 int pu_entry_port (const pu_entry_t *en);
 
-/* pu_entry_open - requests in progress and outcomes not yet recorded.  */
+/* pu_entry_open - the number of requests in progress and of at-most-once calls
+   whose outcome is not yet recorded.  */
 guint pu_entry_open (const pu_entry_t *en);
 
-/* pu_entry_dump - a new object with the requests, the router, the backend
-   servers that report here and the pools.  The caller owns it.  */
+/* pu_entry_dump - returns a new object with the state of the requests, the
+   router, the backend servers that report here and the connection pools.  The
+   caller owns it.  */
 json_t *pu_entry_dump (const pu_entry_t *en);
 
 G_END_DECLS
--- a/libplantainusher/entry/entry_private.h
+++ b/libplantainusher/entry/entry_private.h
@@ -14,22 +14,26 @@
 #include "suspects/suspects.h"
 
 /*
- * entry_private - the entry's tables and one request, shared by its files.
+ * entry_private - the entry's tables and the state of one request, shared by
+ * the source files of the entry.
+ *
+ * "Loop time" is uv_now of the entry's loop, in milliseconds.
  */
 
 G_BEGIN_DECLS
 
 #define PU_ENTRY_PART "entry"
 
-/* A request is relayed once to an entry of its service, and once more when it
-   became a suspect there: suspects of a model run at one entry alone.  */
+/* The most relays of one request: one to an entry of its service, and one more
+   if it became a suspect there, because the suspects of a model are run by a
+   single entry.  */
 #define PU_RELAY_HOPS_MAX 2
 
 typedef struct pu_exchange pu_exchange_t;
-typedef struct pu_reading pu_reading_t;
+typedef struct pu_document_parse pu_document_parse_t;
 
-/* A strike on its way into the log: its request must not run before the log
-   has said whether it is convicted.  */
+/* A strike that is being proposed to the log.  Its request must not run until
+   the log has decided whether the request is convicted.  */
 typedef struct
 {
   pu_entry_t *en;
@@ -37,14 +41,15 @@
   char *model;
   char *backend;
   guint64 incarnation;
-  bool apart;       /* it ran there as a suspect */
-  guint64 position; /* of the log, once it is in; 0: not yet */
-  guint64 due;      /* loop time to propose it again; 0: it is proposed */
-  guint64 until;    /* loop time when it is given up */
-  guint64 settled;  /* loop time when all entries have it; 0: not yet in */
+  bool apart;       /* the request ran there as a suspect */
+  guint64 position; /* in the log; 0: not committed yet */
+  guint64 due;      /* loop time of the next proposal; 0: none is due */
+  guint64 until;    /* loop time when the strike is abandoned */
+  guint64 settled;  /* loop time when all entries have received it; 0: the
+                       log position is not in the view yet */
 } pu_strike_t;
 
-/* A backend server, as the view or its own reports tell.  */
+/* A backend server as described by the view and by its own reports.  */
 typedef struct
 {
   char *name;
@@ -52,125 +57,133 @@
   guint64 incarnation;
   guint64 load_id;            /* of the incarnation */
   pu_router_backend_t handle; /* PU_ROUTER_NONE when down */
-  guint number;               /* of the suspects' table; never used again */
+  guint number;               /* key in the suspects' table; never reused */
   bool leaving;
-  bool plain;
-  bool down;       /* by the view, or found dead here */
-  guint suspects;  /* that run there from here: nothing else is sent */
-  guint cut_apart; /* of these, cut: they may be killing it */
-  GPtrArray *held; /* of pu_exchange_t: wait for the probe's answer */
+  bool plain;      /* serves a plain service, not models */
+  bool down;       /* according to the view, or found dead by this entry */
+  guint suspects;  /* suspects that this entry runs there; while there are any,
+                      it sends nothing else */
+  guint cut_apart; /* those of the suspects that were cancelled or broke off:
+                      they may still crash the server */
+  GPtrArray *held; /* of pu_exchange_t: wait for the result of the probe */
   pu_entry_t *en;
   pu_http_call_t *probe;
-  guint refused;       /* probes in a row that nobody listened to */
-  guint64 probe_at;    /* loop time of the next one; 0: none */
-  guint64 apart_until; /* loop time: those that were cut count until then */
-  guint64 dead_until;  /* loop time: found dead here, whatever the view says;
-                          0: not */
-  GHashTable *extras;  /* model -> extra_t: copies that were told of, or found
-                          missing, since its last report */
+  guint refused;       /* consecutive probes that were refused or closed */
+  guint64 probe_at;    /* loop time of the next probe; 0: none */
+  guint64 apart_until; /* loop time until which cut_apart is still counted in
+                          suspects */
+  guint64 dead_until;  /* loop time until which the server is taken for dead,
+                          whatever the view says; 0: not found dead */
+  GHashTable *extras;  /* model -> extra_t: copies known to be present, or
+                          found missing, contrary to the last report */
 } pu_server_t;
 
 /* A backend server that reports to this entry.  */
 typedef struct
 {
   pu_entry_t *en;
-  pu_backend_record *record;   /* as reported so far */
-  pu_backend_record *accepted; /* as the log has it from here; NULL: not */
-  pu_backend_record *proposed; /* with the log now; NULL: none */
-  guint64 seq;
+  pu_backend_record *record;   /* all that was reported so far */
+  pu_backend_record *accepted; /* last one that the log accepted from this
+                                  entry; NULL: none */
+  pu_backend_record *proposed; /* proposal in progress; NULL: none */
+  guint64 seq;                 /* of the last report */
 } pu_reporter_t;
 
 typedef enum
 {
-  PU_X_WAITING,  /* for its like, or for a suspect to leave a copy */
-  PU_X_CLAIMING, /* its key is with the log */
-  PU_X_QUEUED,   /* in the router */
-  PU_X_RUNNING,  /* at a backend server or another entry */
-  PU_X_HELD,     /* its attempt broke: the backend server is probed */
-} pu_x_phase_t;
+  PU_X_WAITING,  /* for an identical request, for a suspect to release a copy,
+                    or for its model to be loaded */
+  PU_X_CLAIMING, /* the claim of its key is being proposed or recorded */
+  PU_X_QUEUED,   /* in the router's queue */
+  PU_X_RUNNING,  /* sent to a backend server or relayed to another entry */
+  PU_X_HELD,     /* its attempt broke off and the backend server is probed */
+} pu_exchange_phase_t;
 
 /* One attempt at a backend server or another entry.  */
 typedef struct
 {
   pu_http_call_t *call;
-  pu_server_t *server; /* NULL: another entry */
+  pu_server_t *server; /* NULL: relayed to another entry */
   guint64 incarnation; /* of the backend server */
   guint64 sent_at;     /* loop time */
   char *entry;         /* name of the other entry */
   int status;
   pu_answer_t answer;
-  GPtrArray *passed; /* names and values of its headers that are passed on;
-                        NULL: none are */
-  bool streaming;    /* the answer is a stream of events */
-  bool answered;     /* the head came */
-  bool begun;        /* a token came: the suspects' table knows */
-  bool counted;      /* the router knows of the first token */
-  bool noted;        /* with the suspects' table */
-  bool apart;        /* as a suspect */
+  GPtrArray *passed; /* alternating names and values of the response headers to
+                        forward; NULL: none */
+  bool streaming;    /* the response is a stream of events */
+  bool answered;     /* the response head was received */
+  bool begun;        /* the first token was reported to the suspects' table */
+  bool counted;      /* the first token was reported to the router */
+  bool noted;        /* the attempt is recorded in the suspects' table */
+  bool apart;        /* the attempt runs as a suspect */
   char *content_type;
-  char *outcome;               /* X-Outcome of another entry's answer */
-  char *retry_after;           /* of the same */
-  GByteArray *whole;           /* body of an answer that is not a stream */
+  char *outcome;               /* X-Outcome of the response */
+  char *retry_after;           /* Retry-After of the response */
+  GByteArray *whole;           /* body of a buffered response */
   pu_stream_t *stream;         /* PU_ANSWER_TOKENS */
   pu_events_t *events;         /* PU_ANSWER_EVENTS */
-  bool overflow;               /* the whole answer is too large */
-  bool done;                   /* the stream\'s end mark came */
-  bool broken;                 /* the stream can\'t go on */
-  pu_router_failure_t failure; /* why it is held */
+  bool overflow;               /* the buffered response is too large */
+  bool done;                   /* the end mark of the stream was received */
+  bool broken;                 /* the stream can't be continued */
+  pu_router_failure_t failure; /* why the exchange is in PU_X_HELD */
 } pu_attempt_t;
 
-/* A failure that a backend server answered, while the request was tried
-   elsewhere: its caller gets it unless another attempt does better.  */
+/* An error response of a backend server, kept while the request is retried
+   elsewhere.  The caller gets it if no later attempt does better.  */
 typedef struct
 {
-  int status; /* 0: none is kept */
+  int status; /* 0: no response is kept */
   GPtrArray *passed;
   GByteArray *whole;
 } pu_kept_t;
 
-/* One request of a caller.  */
+/* One request of a caller, from its admission to its final response.  */
 struct pu_exchange
 {
   pu_entry_t *en;
-  pu_http_request_t *http; /* NULL: the caller has gone or has its answer */
-  GList link;              /* in the entry's open */
-  guint64 number;
+  pu_http_request_t *http; /* NULL: the caller disconnected or was answered */
+  GList link;              /* in the entry's queue `open` */
+  guint64 number;          /* unique within the entry */
   pu_request_t q;
-  char *key;         /* of an at-most-once call */
+  char *key;         /* Idempotency-Key; NULL: none */
   guint64 window_ms; /* how long its service keeps the result */
-  bool chat;
-  bool once;    /* its key is claimed before it is sent */
-  bool relayed; /* by another entry */
-  guint hops;   /* times that it was relayed */
-  pu_x_phase_t phase;
-  guint64 held_since; /* loop time: waits for its like's answer; 0: not yet */
-  guint held_from;    /* number of the backend server */
-  bool no_copy;       /* waits for a suspect to leave one */
+  bool chat;         /* a chat completion */
+  bool once;         /* at-most-once call: its key is claimed before sending */
+  bool relayed;      /* received from another entry */
+  guint hops;        /* number of relays so far */
+  pu_exchange_phase_t phase;
+  guint64 held_since; /* loop time since when it waits for an identical request
+                         that runs elsewhere; 0: it does not wait */
+  guint held_from;    /* number of the backend server that it is kept from */
+  bool no_copy;       /* waits for a suspect to release a copy */
   bool wants;         /* waits for its model to be loaded */
   pu_ticket_t ticket;
   pu_once_handle_t claim;
   guint attempts;
-  bool offered_anew; /* to the router, after it had tried every copy */
-  GPtrArray *avoid;  /* names of entries that failed */
+  bool offered_anew; /* was offered to the router again after every copy had
+                        been tried */
+  GPtrArray *avoid;  /* names of entries whose relay failed */
   pu_attempt_t at;
   pu_kept_t kept;
-  pu_sent_t sent;     /* what the caller has got of a stream of tokens */
-  guint64 last_event; /* number of the last event that the caller has got */
-  guint events;       /* that the caller has got from here */
-  guint64 event_at;   /* when the last of them came, loop time */
+  pu_sent_t sent;     /* the part of a token stream sent to the caller */
+  guint64 last_event; /* number of the last event that the caller received */
+  guint events;       /* number of events that this entry sent to the caller */
+  guint64 event_at;   /* loop time of the last of them */
   guint first_ms;     /* from the arrival to the first of them */
-  guint pause_ms;     /* the longest between two of them */
-  guint resumed;      /* tokens that the other entry's caller had before */
+  guint pause_ms;     /* the longest gap between two of them */
+  guint resumed;      /* tokens that the caller had received through the entry
+                         that relayed the request here */
   bool head_sent;
   bool may_have_run;
-  bool demand_told;
-  guint predicted_ms; /* time to the first token, by the router */
+  bool demand_reported; /* to the leader */
+  guint predicted_ms;   /* time to the first token estimated by the router */
 };
 
 struct pu_entry
 {
   pu_entry_options_t o;
-  pu_front_t front; /* the one in the options, else our own */
+  pu_front_t front; /* from the options, or the built-in one */
   char *name;
   char *region;
   char *zone;
@@ -184,45 +197,45 @@
   pu_suspects_t *suspects;
   pu_document_t *document;
   guint64 document_version;
-  guint64 refused_version; /* of the document that could not be read */
-  pu_reading_t *reading;   /* of the next document; NULL: none is read */
-  guint64 changes;         /* of the view, as taken in */
-  GPtrArray *others;       /* peers' addresses of all other entries */
-  guint64 others_view;     /* of the view's members, as they are in there */
-  GHashTable *servers;     /* name -> pu_server_t */
-  GHashTable *waiting;     /* set of pu_server_t of which something ends with
-                              time */
-  GHashTable *reporters;   /* name -> pu_reporter_t */
-  GHashTable *strikes;     /* &fingerprint -> pu_strike_t */
-  GHashTable *struck;      /* set of &fingerprint, as in the view */
-  GHashTable *rates;       /* service -> double: requests a second */
-  GHashTable *counts;      /* service -> guint in this second */
-  GHashTable *run_ms;      /* model -> double: mean time of a request */
+  guint64 rejected_version;     /* of the last document that was invalid */
+  pu_document_parse_t *parsing; /* next document; NULL: none is being parsed */
+  guint64 changes;       /* change count of the view that was last applied */
+  GPtrArray *others;     /* peer addresses of all other entries */
+  guint64 others_view;   /* version of the member view that `others` is from */
+  GHashTable *servers;   /* name -> pu_server_t */
+  GHashTable *waiting;   /* set of pu_server_t that have a timer pending */
+  GHashTable *reporters; /* name -> pu_reporter_t */
+  GHashTable *strikes;   /* &fingerprint -> pu_strike_t */
+  GHashTable *suspect_fingerprints; /* set of &fingerprint, as in the view */
+  GHashTable *rates;  /* service -> double: requests per second */
+  GHashTable *counts; /* service -> guint: requests in the current second */
+  GHashTable *mean_run_ms; /* model -> double: mean run time of a request */
   GHashTable *claims;      /* once handle -> pu_exchange_t */
   GHashTable *tickets;     /* &ticket -> pu_exchange_t */
   GHashTable *numbers;     /* &number -> pu_exchange_t */
   GQueue open;             /* of pu_exchange_t */
-  GQueue startup;          /* of held_t of startup.c */
-  gsize startup_bytes;     /* of their bodies */
-  GHashTable *listeners;   /* peers' address -> listener_t of spread.c */
+  GQueue startup_queue;    /* of held_request_t of startup.c */
+  gsize startup_bytes;     /* total size of their bodies */
+  GHashTable *listeners;   /* peer address -> listener_t of spread.c */
   GHashTable *load_ids;    /* &load_id -> pu_server_t */
-  GHashTable *wants;       /* model -> want_t of wants.c */
-  uv_timer_t tick;
-  uv_timer_t wake; /* the router's next decision */
-  guint handles;   /* open */
-  guint pending;   /* proposals and readings that will call back */
+  GHashTable *model_waits; /* model -> model_wait_t of model_wait.c */
+  uv_timer_t tick_timer;
+  uv_timer_t router_timer; /* next call of pu_router_next */
+  guint open_handles;      /* of libuv */
+  guint pending; /* callbacks of proposals, load requests and parses to come */
   guint64 last_number;
   guint last_server;
-  guint64 second;    /* loop time of the last rates */
-  guint64 flushed;   /* loop time when loads were sent on */
-  guint64 recounted; /* loop time when the listeners' loads were counted */
+  guint64 second;        /* loop time when the rates were last updated */
+  guint64 loads_sent_at; /* loop time of the last pu_spread_tick */
+  guint64 recounted; /* loop time when the backend servers that each listener
+                        hears of were last counted */
   guint64 bad_announcements;
   guint64 bad_logged;
   GRand *random;
   bool leaving;
   bool stopping;
   bool server_stopped;
-  bool pumping; /* the actions of `once` are being carried out */
+  bool pumping; /* pu_claim_pump is running: it is not reentrant */
   bool freed;
   void (*stop_cb) (void *data);
   void *stop_data;
@@ -230,12 +243,12 @@
 
 /* --- announcement.c: the reports of backend servers --- */
 
-/* A report; what it did not say is not set.  */
+/* A parsed report.  Members that the report left out are not set.  */
 typedef struct
 {
-  bool whole; /* it says where the backend server listens */
+  bool whole; /* it gives the address of the backend server */
   guint64 seq;
-  pu_backend_record *record; /* all that is known of it now */
+  pu_backend_record *record; /* the base record with the report applied */
   bool has_load;
   pu_router_report_t load;
   bool has_events;
@@ -244,189 +257,214 @@
   GArray *removed; /* of guint64 */
 } pu_announcement_t;
 
-/* pu_announcement_name - reads what each report says of its sender.  False
-   with findings.  NAME belongs to ROOT.  */
+/* pu_announcement_name - reads the name and the incarnation of the sender,
+   which every report has.  Returns false with findings in F.  NAME belongs to
+   ROOT.  */
 bool pu_announcement_name (const json_t *root, const char **name,
                            guint64 *incarnation, pu_findings_t *f);
 
-/* pu_announcement_read - reads ROOT over BASE, the last report of the same
-   incarnation, or NULL.  Returns false with findings; A is to be cleared in
-   either case.  */
+/* pu_announcement_read - reads the report ROOT as a change of BASE, the record
+   of the same incarnation, or NULL if there is none.  Returns false with
+   findings in F.  A must be cleared in either case.  */
 bool pu_announcement_read (pu_announcement_t *a, const json_t *root,
                            const pu_backend_record *base, pu_findings_t *f);
 void pu_announcement_clear (pu_announcement_t *a);
 
-/* --- answer.c: what callers are told --- */
+/* --- answer.c: JSON and error responses --- */
 
+/* pu_outcome_word - the value of X-Outcome for O.  */
 const char *pu_outcome_word (pu_outcome_word_t o);
 
-/* pu_answer_error - answers HTTP with a refusal; ID may be NULL.  */
+/* pu_answer_error - responds to HTTP with the error R.  ID is the request id
+   and may be NULL.  */
 void pu_answer_error (pu_http_request_t *http, const char *id,
                       const pu_refusal_t *r, const char *message);
 
-/* pu_answer_json - answers with V, which is consumed.  */
+/* pu_answer_json - responds with V, whose reference is consumed.  */
 void pu_answer_json (pu_http_request_t *http, int status, json_t *v);
 
-/* pu_error_text - the JSON text of an error; free it with g_free.  */
+/* pu_error_text - returns the JSON text of an error.  Free it with g_free.  */
 char *pu_error_text (const pu_refusal_t *r, const char *message);
 
-/* --- entries.c, announce.c: paths that take no backend server --- */
+/* --- entries.c, announce.c: requests that the entry answers itself --- */
 
 void pu_path_entries (pu_entry_t *en, pu_http_request_t *http);
 void pu_path_models (pu_entry_t *en, pu_http_request_t *http);
 void pu_path_health (pu_entry_t *en, pu_http_request_t *http);
 void pu_path_announce (pu_entry_t *en, pu_http_request_t *http);
 
-/* pu_service_size - entries in the set of SERVICE at the present demand.  */
+/* pu_service_size - the number of entries that serve SERVICE at its current
+   request rate.  */
 guint pu_service_size (const pu_entry_t *en, const char *service);
+
+/* pu_rates_count - counts one request for SERVICE; pu_rates_tick updates the
+   mean rates from the counts.  */
 void pu_rates_count (pu_entry_t *en, const char *service);
 void pu_rates_tick (pu_entry_t *en, guint64 now);
 
 void pu_reporter_free (gpointer reporter);
 
-/* --- startup.c: requests that come before there is a document --- */
+/* --- startup.c: requests received before the first document --- */
 
-/* pu_startup_hold - HTTP waits for the document; false: it does not, as too
-   much waits.  After all instances were killed at once each of them has no
-   document for a second, and a caller that is refused then has often no more
-   tries: a twentieth of a minute's requests.  */
+/* pu_startup_hold - queues HTTP until there is a document.  Returns false if
+   the queue is full or the entry is stopping.  When all instances restart at
+   the same time, each has no document for about a second.  Refusing requests
+   in that second lost a twentieth of a minute's requests, because callers
+   often have no retries left by then.  */
 bool pu_startup_hold (pu_entry_t *en, pu_http_request_t *http);
 
-/* pu_startup_admit - what waits goes on, once there is a document.  */
+/* pu_startup_admit - begins the queued requests if there is a document.  */
 void pu_startup_admit (pu_entry_t *en);
 
-/* pu_startup_tick - what has waited too long is refused; all, when EN stops.
- */
+/* pu_startup_tick - refuses queued requests that have waited too long, or all
+   of them if EN is stopping.  */
 void pu_startup_tick (pu_entry_t *en, guint64 now);
 
-/* --- wants.c: requests for a model that no backend server has --- */
+/* --- model_wait.c: requests for a model without a ready copy --- */
 
-void pu_want_free (gpointer want);
+void pu_model_wait_free (gpointer wait);
 
-/* pu_want_may - whether the model of X can be asked for.  */
+/* pu_want_may - whether X may wait while the leader has its model loaded.  */
 bool pu_want_may (const pu_exchange_t *x);
 
-/* pu_want_begin - X waits while its model is asked for.  */
+/* pu_want_begin - makes X wait, and asks the leader to load its model. Refuses
+   X if a retry by the caller would be served no later.  */
 void pu_want_begin (pu_exchange_t *x);
 
-/* pu_want_tick - X waits: goes on with it when there is a copy, asks again
-   when it is time.  */
+/* pu_want_tick - for a waiting X: offers it to the router once there is a
+   ready copy, refuses it when its caller is about to leave, or asks the leader
+   again.  */
 void pu_want_tick (pu_exchange_t *x, guint64 now);
 
-/* --- demand.c: what the leader hears of demand --- */
+/* --- demand.c: demand reported to the leader --- */
 
-/* pu_demand_arrived - X is offered to the router here: tells of it once.  */
+/* pu_demand_arrived - reports the demand of X to the leader, once for each
+   request.  Call it when X is offered to the router.  */
 void pu_demand_arrived (pu_exchange_t *x);
 
-/* pu_demand_ran - the answer to X is whole: learns how long one takes.  */
+/* pu_demand_ran - updates the mean run time of the model of X.  Call it when X
+   has been answered successfully.  */
 void pu_demand_ran (pu_exchange_t *x);
 
-/* --- spread.c: loads that go on to other entries --- */
+/* --- spread.c: load reports forwarded to other entries --- */
 
-/* pu_spread_interval_ms - how often an entry that hears of HEARD backend
-   servers is told of each: it grows with them, so that the bytes do not.  */
+/* pu_spread_interval_ms - the interval between load reports to an entry that
+   receives those of HEARD backend servers.  It grows with HEARD, so that the
+   traffic does not.  */
 guint pu_spread_interval_ms (guint heard);
 
-/* pu_spread_life_ms - how long a load holds that is told every INTERVAL_MS. */
+/* pu_spread_life_ms - how long a load report that is sent every INTERVAL_MS
+   stays valid.  */
 guint pu_spread_life_ms (guint interval_ms);
 
-/* The unit of loads_ms: what pu_spread_interval_ms gives at least.  */
+/* The smallest result of pu_spread_interval_ms and the default of loads_ms,
+   which scales the intervals relative to this value.  */
 #define PU_ENTRY_LOADS_MS 1000
 
-/* pu_spread_add - queues the load R of INCARNATION of the backend server NAME
-   for the other entries that route to it; a newer one takes the place of an
-   older.  */
+/* pu_spread_add - queues the load report R of INCARNATION of the backend
+   server NAME for the other entries that route to it.  It replaces an older
+   report that is still queued.  */
 void pu_spread_add (pu_entry_t *en, const char *name, guint64 incarnation,
                     const pu_router_report_t *r);
 
-/* pu_spread_tick - sends what is queued to those whose time has come.  */
+/* pu_spread_tick - sends the queued load reports to the entries whose interval
+   has passed.  */
 void pu_spread_tick (pu_entry_t *en, guint64 now);
 void pu_listener_free (gpointer listener);
 
-/* --- servers.c: backend servers in the router, probes, deaths --- */
+/* --- servers.c: backend servers in the router, probes, crashes --- */
 
 pu_server_t *pu_server_find (const pu_entry_t *en, const char *name);
 void pu_server_free (gpointer server);
 
-/* pu_servers_sync - takes in the backend servers that changed after the view's
-   count of changes was SINCE; 0: all.  */
+/* pu_servers_sync - applies the backend servers that changed after the view's
+   change count was SINCE; 0: all of them.  */
 void pu_servers_sync (pu_entry_t *en, guint64 since);
 
-/* pu_server_apply - puts B into the router.  */
+/* pu_server_apply - updates the backend server of B, here and in the router.
+   An older incarnation than the known one changes nothing.  */
 pu_server_t *pu_server_apply (pu_entry_t *en, const pu_backend_record *b);
 
-/* pu_server_hold - X waits until S is known to be alive or dead.  */
+/* pu_server_hold - makes X wait until a probe shows whether S is alive.  */
 void pu_server_hold (pu_server_t *s, pu_exchange_t *x);
 
-/* pu_server_doubt - nobody listened at S: looks again.  */
+/* pu_server_doubt - probes S after a connection to it has failed.  */
 void pu_server_doubt (pu_server_t *s);
 
-/* pu_server_extra - S has MODEL, whatever its reports say, until loop time
-   UNTIL.  */
+/* pu_server_extra - treats S as having a ready copy of MODEL, whatever its
+   reports say, until loop time UNTIL.  */
 void pu_server_extra (pu_server_t *s, const char *model, guint64 until);
 
-/* pu_server_lacks - S has not got MODEL, whatever its reports say, until loop
-   time UNTIL.  */
+/* pu_server_lacks - treats S as having no copy of MODEL, whatever its reports
+   say, until loop time UNTIL.  */
 void pu_server_lacks (pu_server_t *s, const char *model, guint64 until);
 
-/* pu_server_withdraw - the copy of MODEL on S, and those of its adapters, get
-   nothing more until loop time UNTIL.  */
+/* pu_server_withdraw - sends no new requests to the copy of MODEL on S and to
+   those of its adapters until loop time UNTIL.  */
 void pu_server_withdraw (pu_server_t *s, const char *model, guint64 until);
 
-/* pu_server_is_withdrawn - whether the copy of MODEL on S gets nothing more
-   until loop time UNTIL at least.  */
+/* pu_server_is_withdrawn - whether the copy of MODEL on S gets no new requests
+   until loop time UNTIL or later.  */
 bool pu_server_is_withdrawn (const pu_server_t *s, const char *model,
                              guint64 until);
 
-/* pu_server_replaced - another process has the address of S now.  */
+/* pu_server_replaced - marks S as down because another process has its
+   address.  */
 void pu_server_replaced (pu_server_t *s);
 void pu_servers_tick (pu_entry_t *en, guint64 now);
+
+/* pu_server_unhold - X no longer waits for the probe of its backend server. */
 void pu_server_unhold (pu_exchange_t *x);
 
-/* pu_server_apart - one more (or less) suspect runs at S.  */
+/* pu_server_apart - a suspect begins, or else ends, to run at S.  While
+   suspects run there, this entry sends S nothing else.  */
 void pu_server_apart (pu_entry_t *en, pu_server_t *s, bool begins);
 
-/* pu_servers_apart - whether a backend server with a copy of MODEL gets
-   nothing just because a suspect runs there from here.  */
+/* pu_servers_apart - whether there is a backend server with a copy of MODEL to
+   which this entry sends nothing only because it runs a suspect there.  */
 bool pu_servers_apart (const pu_entry_t *en, const char *model);
 
-/* pu_server_apart_cut - one that runs at S was cut: it counts a little
-   longer.  */
+/* pu_server_apart_cut - a suspect at S was cancelled or broke off.  It counts
+   as running for settle_ms more.  */
 void pu_server_apart_cut (pu_server_t *s);
 
 /* --- strikes.c: strikes against requests --- */
 
-/* pu_strike_begin - proposes ONE, a strike for the death of S.  */
+/* pu_strike_begin - proposes ONE, a strike for the crash of S, to the log.  */
 void pu_strike_begin (pu_entry_t *en, const pu_server_t *s,
                       const pu_suspects_strike_t *one);
 
-/* pu_strike_pending - whether the log has yet to say what a strike against
-   FINGERPRINT leads to.  */
+/* pu_strike_pending - whether a strike against FINGERPRINT is not yet settled:
+   its request must not run.  */
 bool pu_strike_pending (const pu_entry_t *en, guint64 fingerprint);
 
-/* pu_strikes_tick - ends those that the view has, proposes others again.  */
+/* pu_strikes_tick - removes the settled strikes and proposes the others again
+   when that is due.  */
 void pu_strikes_tick (pu_entry_t *en, guint64 now);
 void pu_strike_free (gpointer strike);
 
 /* --- document.c: a new document comes into force --- */
 
-/* pu_document_sync - reads the document in RECORD when that is another than
-   the one in force: a short one now, then true; a long one in the thread pool,
-   with a pu_view_sync at its end.  */
-bool pu_document_sync (pu_entry_t *en, const pu_doc_record *record);
+/* pu_entry_document_sync - parses the document in RECORD if it is not the one
+   in force.  A short document is parsed at once, and the result is true if it
+   is now in force.  A long one is parsed in the thread pool, with a call of
+   pu_view_sync at the end.  */
+bool pu_entry_document_sync (pu_entry_t *en, const pu_doc_record *record);
 
 /* --- view.c --- */
 
+/* pu_view_sync - applies the changes of the view to the entry's tables.  */
 void pu_view_sync (pu_entry_t *en);
 
-/* pu_entry_has_own_front - whether callers speak the completions interface. */
+/* pu_entry_has_own_front - whether the built-in frontend is used: callers
+   speak the completions interface.  */
 static inline bool
 pu_entry_has_own_front (const pu_entry_t *en)
 {
   return en->front.read == NULL;
 }
 
-/* pu_entry_breaks - whether RULE is broken on purpose; tests only.  */
+/* pu_entry_breaks - whether the fault RULE is injected.  Tests only.  */
 static inline bool
 pu_entry_breaks (const pu_entry_t *en, pu_entry_break_t rule)
 {
@@ -435,136 +473,155 @@
 
 /* --- parse.c: from HTTP to an exchange --- */
 
-/* pu_exchange_parse_model, pu_exchange_parse_plain - fill X; on false the
-   caller is answered and X is to be freed.  */
+/* pu_exchange_parse_model, pu_exchange_parse_plain - fill X from its HTTP
+   request.  On false the caller was sent an error, and X must be freed.  */
 bool pu_exchange_parse_model (pu_exchange_t *x, bool chat);
 bool pu_exchange_parse_plain (pu_exchange_t *x);
 
-/* pu_exchange_resume_body - the body of X with what the caller has got, as
-   the member "resume_text".  */
+/* pu_exchange_resume_body - the request body of X with the text that the
+   caller has received, as the member "resume_text".  */
 GBytes *pu_exchange_resume_body (const pu_exchange_t *x);
 
-/* --- admit.c: from a request to its exchange --- */
+/* --- admit.c: admission of requests --- */
 
-/* When a caller comes back that is refused for what lasts a moment, ms: by
-   then it has asked which entries to use again.  */
+/* Retry-After of a refusal for a short-lived reason, ms.  By then the caller
+   has asked again which entries to use.  */
 #define PU_BUSY_RETRY_MS 1000
 
-/* The instance stops: what is new, and what can't end in time, is told so.  */
+/* The refusal of new requests, and of those that can't end in time, while the
+   instance stops.  */
 extern const pu_refusal_t pu_refusal_stopping;
 
-/* pu_exchange_begin_model, _plain - take HTTP for a model or a plain service,
-   or answer it.  */
+/* pu_exchange_begin_model, pu_exchange_begin_plain - begin the exchange of
+   HTTP, a request for a model or for a plain service, or respond with an
+   error.  */
 void pu_exchange_begin_model (pu_entry_t *en, pu_http_request_t *http,
                               bool chat);
 void pu_exchange_begin_plain (pu_entry_t *en, pu_http_request_t *http);
 
-/* pu_exchange_begin_front - the same for a request that the given front
-   reads.  */
-void pu_exchange_begin_front (pu_entry_t *en, pu_http_request_t *http);
+/* pu_exchange_begin_frontend - the same for a request that the frontend given
+   in the options reads.  Without a document HTTP is queued.  */
+void pu_exchange_begin_frontend (pu_entry_t *en, pu_http_request_t *http);
 
-/* pu_exchange_begin_held - the same, with a document, for one that ARRIVED
-   then.  */
-void pu_exchange_begin_held (pu_entry_t *en, pu_http_request_t *http,
-                             guint64 arrived);
+/* pu_exchange_begin_arrived - the same for a request that arrived at loop time
+   ARRIVED.  There must be a document.  */
+void pu_exchange_begin_arrived (pu_entry_t *en, pu_http_request_t *http,
+                                guint64 arrived);
 
-/* pu_exchange_refuse_starting - HTTP is answered that there is no document. */
+/* pu_exchange_refuse_starting - refuses HTTP because there is no document.  */
 void pu_exchange_refuse_starting (pu_entry_t *en, pu_http_request_t *http);
 
 /* --- exchange.c: one request from its admission to its end --- */
 
-/* pu_exchange_free - frees X, which holds nothing of a router or a caller.  */
+/* pu_exchange_free - frees X, which must hold no ticket, attempt or HTTP
+   request.  */
 void pu_exchange_free (pu_exchange_t *x);
 
-/* pu_exchange_route - decides where X goes now: another entry, the router's
-   queue, a backend server, or a refusal.  */
+/* pu_exchange_route - decides what happens to X now: relay to another entry,
+   offer to the router, wait, or refusal.  */
 void pu_exchange_route (pu_exchange_t *x);
 
-/* pu_exchange_offer - the same, but here.  */
+/* pu_exchange_offer - offers X to the router of this entry, without a relay.
+ */
 void pu_exchange_offer (pu_exchange_t *x);
 
-/* pu_exchange_fail - the final answer is R; X is freed.  */
+/* pu_exchange_fail - ends X with the error R.  X is freed.  */
 void pu_exchange_fail (pu_exchange_t *x, const pu_refusal_t *r,
                        const char *message);
 
-/* pu_exchange_refused - the same for a refusal of the router's.  */
+/* pu_exchange_refused - ends X with the refusal D of the router.  X is freed.
+ */
 void pu_exchange_refused (pu_exchange_t *x, const pu_router_decision_t *d);
 
-/* pu_exchange_again - the attempt of X is over without an answer: tries
-   again, or fails.  */
+/* pu_exchange_again - the attempt of X ended without a response: retries X or
+   fails it.  */
 void pu_exchange_again (pu_exchange_t *x, pu_router_failure_t failure);
 
-/* pu_exchange_done - X has its answer; it is freed.  */
+/* pu_exchange_done - ends X after its caller was answered or has gone.  X is
+   freed.  */
 void pu_exchange_done (pu_exchange_t *x);
 
-/* pu_exchange_decide - carries out a decision of the router.  */
+/* pu_exchange_decide - carries out the decision D of the router about X.  */
 void pu_exchange_decide (pu_exchange_t *x, const pu_router_decision_t *d);
 
-/* pu_exchanges_tick - deadlines, and suspects that may run now.  */
+/* pu_exchanges_tick - fails the exchanges whose deadline has passed and
+   resumes those whose wait is over.  */
 void pu_exchanges_tick (pu_entry_t *en, guint64 now);
+
+/* pu_exchanges_abort - fails all open exchanges because the entry stops.  */
 void pu_exchanges_abort (pu_entry_t *en);
 
-/* pu_entry_limits_set - what a caller may send: the least of what the options
-   and the document in force allow.  */
+/* pu_entry_limits_set - sets the limits of requests to the lower of those in
+   the options and in the document in force.  */
 void pu_entry_limits_set (pu_entry_t *en);
 
-/* pu_entry_check - after a request has ended or a callback has come: whether
-   a stop or the freeing of the entry is complete.  */
+/* pu_entry_check - completes the stop or the freeing of the entry if nothing
+   is open any more.  Call it when a request has ended or a callback was
+   called.
+ */
 void pu_entry_check (pu_entry_t *en);
 
-/* pu_router_due - the router is asked for its next decisions soon.  */
+/* pu_router_due - schedules pu_router_next for the next loop iteration.  */
 void pu_router_due (pu_entry_t *en);
 
-/* --- own_front.c: the completions interface --- */
+/* --- builtin_frontend.c: the completions interface --- */
 
-/* pu_entry_own_front - the entry's own front; its `read` is NULL, see
-   parse.c.  */
-void pu_entry_own_front (pu_front_t *f);
+/* pu_entry_builtin_frontend - fills F with the built-in frontend.  Its `read`
+   is NULL: parse.c reads the requests.  */
+void pu_entry_builtin_frontend (pu_front_t *f);
 
-/* pu_own_head - what the head of an attempt of X says.  */
+/* pu_own_head - adds the headers of an attempt of X to H.  */
 void pu_own_head (const pu_exchange_t *x, pu_head_t *h);
 
-/* pu_own_answer - reads the head R of the answer to an attempt of X.  */
+/* pu_own_answer - classifies the response head R of the attempt of X.  */
 void pu_own_answer (pu_exchange_t *x, const pu_http_response_t *r);
 
-/* --- attempt.c: one try at a backend server or another entry --- */
+/* --- attempt.c: one attempt at a backend server or another entry --- */
 
+/* pu_attempt_start - sends X to S; pu_attempt_relay relays it to the entry TO.
+   False: the call could not be started.  */
 bool pu_attempt_start (pu_exchange_t *x, pu_server_t *s);
 bool pu_attempt_relay (pu_exchange_t *x, const pu_directory_entry_t *to);
 
-/* pu_kept_clear - nothing is kept from here on.  */
+/* pu_kept_clear - frees the kept response.  */
 void pu_kept_clear (pu_kept_t *k);
 
-/* pu_attempt_clear - ends the attempt of X: cancels what runs.  */
+/* pu_attempt_clear - ends the attempt of X and cancels its call.  */
 void pu_attempt_clear (pu_exchange_t *x);
 
-/* --- deliver.c: an attempt's answer on its way to the caller --- */
+/* --- deliver.c: forwards the response of an attempt to the caller --- */
 
-/* pu_deliver_tokens, pu_deliver_events - a pu_stream_cb and a pu_events_cb,
-   DATA being the exchange.  */
+/* pu_deliver_tokens, pu_deliver_events - a pu_stream_cb and a pu_events_cb.
+   DATA is the exchange.  */
 void pu_deliver_tokens (void *data, const char *bytes, gsize len,
                         guint tokens);
 void pu_deliver_events (void *data, const char *bytes, gsize len, guint n);
 
-/* pu_deliver_stream_end - the stream is whole.  */
+/* pu_deliver_stream_end - ends the caller's stream, which is complete.  */
 void pu_deliver_stream_end (pu_exchange_t *x);
 
-/* pu_deliver_whole - the answer that is held whole goes to the caller.  */
+/* pu_deliver_whole - sends the buffered response to the caller.  */
 void pu_deliver_whole (pu_exchange_t *x);
 
-/* pu_deliver_kept - passes the kept failure of a backend server on.  */
+/* pu_deliver_kept - sends the kept error response of a backend server to the
+   caller.  */
 void pu_deliver_kept (pu_exchange_t *x);
 
-/* pu_deliver_claimed - the same for an at-most-once call; frees X.  */
+/* pu_deliver_claimed - ends an at-most-once call with its buffered response. X
+   must not be used afterwards: it may be freed.  */
 void pu_deliver_claimed (pu_exchange_t *x);
 
 /* --- claim.c: at-most-once calls --- */
 
+/* pu_claim_begin - starts to claim the key of X in the log.  */
 void pu_claim_begin (pu_exchange_t *x);
-/* pu_claim_finished - the dispatched call X ended; frees X.  RESULT goes
-   with PU_ONCE_RAN.  */
+
+/* pu_claim_finished - the dispatched call X ended with OUTCOME.  RESULT is for
+   PU_ONCE_RAN.  X must not be used afterwards: it may be freed.  */
 void pu_claim_finished (pu_exchange_t *x, pu_once_outcome_t outcome,
                         const pu_once_result_t *result);
+
+/* pu_claim_pump - carries out the pending actions of pu_once_next.  */
 void pu_claim_pump (pu_entry_t *en);
 
 G_END_DECLS
--- a/libplantainusher/entry/front.h
+++ b/libplantainusher/entry/front.h
@@ -9,15 +9,16 @@
 G_BEGIN_DECLS
 
 /*
- * front - the protocol of callers and backend servers, as far as the request
- * core has to know it.
+ * front - the frontend: the adapter between the protocol of callers and
+ * backend servers and the request core.
  *
- * The entry has a front of its own (own_front.c: the completions interface).
- * Another one is given in pu_entry_options_t; then all requests at the
- * callers' address are read by it.  A front translates and decides nothing.
+ * The entry has a built-in frontend (builtin_frontend.c: the completions
+ * interface).  If pu_entry_options_t gives another one, that one reads all
+ * requests at the callers' address.  A frontend only translates; decisions are
+ * made by the request core.
  */
 
-/* Which outcome a refusal or failure tells.  */
+/* The outcome that an error response states: whether the request ran.  */
 typedef enum
 {
   PU_NOT_RUN,
@@ -28,58 +29,60 @@
 typedef struct
 {
   int status;
-  const char *type; /* a word for programs */
+  const char *type; /* machine-readable error type */
   pu_outcome_word_t outcome;
-  guint retry_after_ms; /* 0: no header */
+  guint retry_after_ms; /* 0: no Retry-After */
 } pu_refusal_t;
 
-/* What a backend server is to be told with one attempt.  */
+/* The parameters of one attempt for the headers of its request.  */
 typedef struct
 {
   const pu_request_t *request;
-  const char *server; /* name of the backend server that is meant */
+  const char *server; /* name of the backend server that the attempt is for */
   guint64 left_ms;    /* until the deadline */
-  guint64 after;      /* number of the last event that the caller has */
+  guint64 after;      /* number of the last event that the caller received */
 } pu_attempt_facts_t;
 
-/* The head of a message in the making.  */
+/* A list of headers under construction.  */
 typedef struct
 {
   GArray *headers;  /* of pu_http_header_t */
-  GPtrArray *owned; /* strings that live as long as the head */
+  GPtrArray *owned; /* strings that live as long as the list */
 } pu_head_t;
 
 void pu_head_init (pu_head_t *h);
 void pu_head_clear (pu_head_t *h);
 
-/* pu_head_add - NAME and VALUE are not copied.  */
+/* pu_head_add - appends a header.  NAME and VALUE are not copied and must
+   outlive H.  */
 void pu_head_add (pu_head_t *h, const char *name, const char *value);
 void pu_head_add_number (pu_head_t *h, const char *name, guint64 value);
 
-/* What the head of a backend server's answer says.  */
+/* What the response head of a backend server says.  */
 typedef struct
 {
-  bool foreign;   /* it answers another request */
-  bool not_run;   /* it says that this request did not run */
-  bool absent;    /* not run, for want of the model or adapter */
+  bool foreign;   /* the response is to another request */
+  bool not_run;   /* the request did not run */
+  bool absent;    /* not run: the server lacks the model or adapter */
   bool elsewhere; /* not run: another process has the address now */
-  bool stream;    /* its body is a stream of events */
-  bool failed;    /* it ran the request and failed */
+  bool stream;    /* the body is a stream of events */
+  bool failed;    /* the server failed to serve the request */
 } pu_answer_t;
 
 typedef struct
 {
-  /* Reads HTTP into Q, which is empty; false: HTTP is answered.  */
+  /* Reads HTTP into Q, which is empty.  On false HTTP was sent an error.  */
   bool (*read) (void *data, const pu_document_t *d, pu_http_request_t *http,
                 pu_request_t *q);
-  /* The id that HTTP brings, or NULL.  */
+  /* The request id in HTTP, or NULL.  */
   const char *(*id) (void *data, pu_http_request_t *http);
-  /* Answers HTTP, of the request ID (may be NULL), with a refusal.  */
+  /* Responds to HTTP with the error R.  ID is the request id and may be NULL.
+   */
   void (*refuse) (void *data, pu_http_request_t *http, const char *id,
                   const pu_refusal_t *r, const char *message);
-  /* Adds what an attempt's head says beside the headers that are passed on. */
+  /* Adds the headers of an attempt to those forwarded from the caller.  */
   void (*head) (void *data, const pu_attempt_facts_t *f, pu_head_t *h);
-  /* Reads the head R of an answer to Q by the backend server SERVER.  */
+  /* Classifies the response head R to Q of the backend server SERVER.  */
   void (*answer) (void *data, const pu_request_t *q, const char *server,
                   const pu_http_response_t *r, pu_answer_t *a);
   void *data;
--- /dev/null
+++ b/libplantainusher/entry/model_wait.c
@@ -0,0 +1,237 @@
+/* Requests for a model without a ready copy wait while the leader is asked to
+   have it loaded.  */
+
+#include "entry/entry_private.h"
+#include "entry/trace.h"
+
+#include <string.h>
+
+enum
+{
+  LOAD_REQUEST_TIMEOUT_MS = 900, /* then the leader is asked again */
+  LOAD_REQUEST_BACKOFF_MS = 100, /* pause after a reply */
+  /* Within this time a backend server reports a copy that the leader named. */
+  UNREPORTED_COPY_MS = 4000,
+  READY_ESTIMATE_TTL_MS = 1000, /* then a new estimate is requested */
+  /* A caller that is about to disconnect is refused with a Retry-After this
+     long before: a first event would hardly reach it in that time.  */
+  CALLER_LEAVE_MARGIN_MS = 100,
+  /* Callers honour a Retry-After of up to this fraction of the time they have
+     left, as the users' protocol specifies.  */
+  RETRY_AFTER_DIVISOR = 3,
+  DEFAULT_RETRY_AFTER_MS = 1000, /* if it is not known when a copy is ready */
+  STATUS_UNAVAILABLE = 503,
+};
+
+/* A model that the leader is asked to load.  */
+typedef struct
+{
+  pu_entry_t *en;
+  char *model;
+  bool in_flight;       /* a load request to the leader */
+  guint64 retry_at;     /* loop time of the next load request */
+  guint64 ready_at;     /* loop time before which no copy is ready */
+  guint64 estimated_at; /* loop time when ready_at was received; 0: it is not
+                           known */
+} model_wait_t;
+
+void
+pu_model_wait_free (gpointer wait)
+{
+  model_wait_t *w = wait;
+
+  g_free (w->model);
+  g_free (w);
+}
+
+bool
+pu_want_may (const pu_exchange_t *x)
+{
+  const pu_entry_t *en = x->en;
+
+  return en->o.hooks.want != NULL && !x->q.plain && x->q.here
+         && pu_document_find_model (en->document, x->q.model)
+                != PU_HANDLE_NONE;
+}
+
+/* When the caller of X disconnects if it has received nothing.  */
+static guint64
+caller_leaves_at (const pu_exchange_t *x)
+{
+  return x->q.leaves != 0 ? x->q.leaves : x->q.deadline;
+}
+
+/* Whether the caller of X is served no worse by retrying later than by waiting
+   here.  This needs a current estimate that no copy will be ready before the
+   caller disconnects.  Then a retry is no worse if no copy will be ready
+   before the deadline, or if the caller, retrying after a third of the time it
+   has left, would return no sooner than it would disconnect.  */
+static bool
+is_retry_no_worse (const pu_exchange_t *x, const model_wait_t *w, guint64 now)
+{
+  guint64 left = x->q.deadline - MIN (x->q.deadline, now);
+  guint64 returns_at = now + left / RETRY_AFTER_DIVISOR;
+
+  if (w->estimated_at == 0 || now >= w->estimated_at + READY_ESTIMATE_TTL_MS
+      || w->ready_at <= caller_leaves_at (x))
+    return false;
+  return w->ready_at > x->q.deadline || returns_at >= caller_leaves_at (x);
+}
+
+/* Refuses X with a Retry-After of when a copy can be ready.  */
+static void
+wait_refuse (pu_exchange_t *x, const model_wait_t *w, guint64 now)
+{
+  const pu_refusal_t r = { STATUS_UNAVAILABLE, "copy", PU_NOT_RUN,
+                           w->ready_at > now ? (guint)(w->ready_at - now)
+                                             : DEFAULT_RETRY_AFTER_MS };
+
+  x->wants = false;
+  pu_exchange_fail (x, &r,
+                    "The model is not loaded on any backend server yet.");
+}
+
+typedef void waiting_fn (pu_exchange_t *x, const model_wait_t *w, guint64 now);
+
+/* Calls FN for each exchange that waits for the model of W.  FN may end
+   exchanges.  */
+static void
+waiting_exchanges_each (const model_wait_t *w, waiting_fn *fn)
+{
+  pu_entry_t *en = w->en;
+  GArray *numbers = g_array_new (FALSE, FALSE, sizeof (guint64));
+
+  for (GList *l = en->open.head; l != NULL; l = l->next)
+    {
+      const pu_exchange_t *x = l->data;
+
+      if (x->wants && strcmp (x->q.model, w->model) == 0)
+        g_array_append_val (numbers, x->number);
+    }
+  for (guint i = 0; i < numbers->len; i++)
+    {
+      pu_exchange_t *x = g_hash_table_lookup (
+          en->numbers, &g_array_index (numbers, guint64, i));
+
+      if (x != NULL && x->wants)
+        fn (x, w, uv_now (en->o.loop));
+    }
+  g_array_free (numbers, TRUE);
+}
+
+/* Ends the wait of X by offering it to the router again.  */
+static void
+wait_end (pu_exchange_t *x, const model_wait_t *w, guint64 now)
+{
+  (void)w;
+  (void)now;
+  x->wants = false;
+  pu_exchange_offer (x);
+}
+
+static void
+wait_refuse_if_useless (pu_exchange_t *x, const model_wait_t *w, guint64 now)
+{
+  if (is_retry_no_worse (x, w, now))
+    wait_refuse (x, w, now);
+}
+
+static void
+ready_estimate_set (model_wait_t *w, const json_t *due)
+{
+  guint64 now = uv_now (w->en->o.loop);
+
+  w->estimated_at = json_is_integer (due) ? now : 0;
+  w->ready_at = now + (guint64)MAX (0, json_integer_value (due));
+}
+
+static void
+on_load_reply (void *data, json_t *reply, const pu_error_t *e)
+{
+  model_wait_t *w = data;
+  pu_entry_t *en = w->en;
+  const char *name = json_string_value (json_object_get (reply, "backend"));
+  pu_server_t *s = name != NULL ? pu_server_find (en, name) : NULL;
+
+  (void)e;
+  en->pending--;
+  w->in_flight = false;
+  w->retry_at = uv_now (en->o.loop) + LOAD_REQUEST_BACKOFF_MS;
+  ready_estimate_set (w, json_object_get (reply, "due_ms"));
+  if (s != NULL && !s->down && !en->freed)
+    {
+      pu_server_extra (s, w->model, uv_now (en->o.loop) + UNREPORTED_COPY_MS);
+      waiting_exchanges_each (w, wait_end);
+    }
+  else if (!en->freed)
+    {
+      waiting_exchanges_each (w, wait_refuse_if_useless);
+    }
+  pu_entry_check (en);
+}
+
+static void
+load_request_send (model_wait_t *w)
+{
+  pu_entry_t *en = w->en;
+
+  w->in_flight = true;
+  en->pending++;
+  en->o.hooks.want (en->o.hooks.data, w->model, LOAD_REQUEST_TIMEOUT_MS,
+                    on_load_reply, w);
+}
+
+static model_wait_t *
+model_wait_get (pu_entry_t *en, const char *model)
+{
+  model_wait_t *w = g_hash_table_lookup (en->model_waits, model);
+
+  if (w != NULL)
+    return w;
+  w = g_new0 (model_wait_t, 1);
+  w->en = en;
+  w->model = g_strdup (model);
+  g_hash_table_insert (en->model_waits, w->model, w);
+  return w;
+}
+
+void
+pu_want_begin (pu_exchange_t *x)
+{
+  pu_entry_t *en = x->en;
+  guint64 now = uv_now (en->o.loop);
+  model_wait_t *w = model_wait_get (en, x->q.model);
+
+  if (is_retry_no_worse (x, w, now))
+    {
+      wait_refuse (x, w, now);
+      return;
+    }
+  x->phase = PU_X_WAITING;
+  x->wants = true;
+  pu_trace_wants (x);
+  if (!w->in_flight && now >= w->retry_at)
+    load_request_send (w);
+}
+
+void
+pu_want_tick (pu_exchange_t *x, guint64 now)
+{
+  pu_entry_t *en = x->en;
+  model_wait_t *w = model_wait_get (en, x->q.model);
+  pu_router_model_t m = pu_router_find_model (en->router, x->q.model);
+
+  if (m != PU_ROUTER_NONE && pu_router_ready_copies (en->router, m) > 0)
+    {
+      wait_end (x, w, now);
+    }
+  else if (now + CALLER_LEAVE_MARGIN_MS >= caller_leaves_at (x)
+           || is_retry_no_worse (x, w, now))
+    {
+      wait_refuse (x, w, now);
+    }
+  else if (!w->in_flight && now >= w->retry_at)
+    {
+      load_request_send (w);
+    }
+}
--- a/libplantainusher/entry/request.h
+++ b/libplantainusher/entry/request.h
@@ -9,69 +9,74 @@
 G_BEGIN_DECLS
 
 /*
- * request - what a caller asks, as a front has read it.
+ * request - a caller's request as read by a frontend.
  *
- * The request core works on this alone: how it came in, and how a backend
- * server is told of it, is the front's matter (front.h).
+ * The request core works on this alone.  The protocol in which the request
+ * arrived, and that of the backend servers, are known to the frontend only
+ * (front.h).
  */
 
-/* How an answer is passed on.  */
+/* How a response is forwarded.  */
 typedef enum
 {
-  PU_ANSWER_TOKENS, /* a completion: a stream of events that hold tokens as
-                       JSON, or a whole answer */
-  PU_ANSWER_EVENTS, /* a stream of numbered events whose content is the
-                       caller's matter, or a whole answer */
-  PU_ANSWER_WHOLE   /* gathered, then passed on as it is */
-} pu_answer_kind_t;
+  PU_ANSWER_TOKENS, /* a completion: a stream of events with tokens in JSON, or
+                       a buffered response */
+  PU_ANSWER_EVENTS, /* a stream of numbered events with opaque content, or a
+                       buffered response */
+  PU_ANSWER_WHOLE   /* buffered, then forwarded unchanged */
+} pu_response_kind_t;
 
 typedef struct
 {
   char *id;
   char *method;
-  char *target;  /* path and query at the backend server */
-  char *service; /* whose backend servers run it */
-  char *route;   /* whose limits, targets and retries count for it: a row of
-                    the router's services */
-  char *model;   /* "" for a plain service */
-  GPtrArray *headers; /* names and values to pass on, in turn */
+  char *target;       /* path and query at the backend server */
+  char *service;      /* whose backend servers run it */
+  char *route;        /* name of the router's service whose limits, targets and
+                         retries apply; NULL: `service` */
+  char *model;        /* "" for a plain service */
+  GPtrArray *headers; /* alternating names and values to forward */
   GBytes *body;
-  pu_answer_kind_t answer;
-  bool plain;         /* to a plain service */
+  pu_response_kind_t answer;
+  bool plain;         /* for a plain service */
   bool stream;        /* the caller wants a stream */
   bool repeatable;    /* may run more than once */
-  bool resumable;     /* a cut stream may go on at another backend server */
-  bool here;          /* any entry serves it: it is never relayed */
+  bool resumable;     /* a broken stream may be resumed at another backend
+                         server */
+  bool here;          /* is never relayed: any entry serves it */
   guint priority;     /* 0..9, 9 first */
-  guint attempts_max; /* backend servers that it may be sent to; 0: as the
-                         router has it */
+  guint attempts_max; /* backend servers that it may be sent to; 0: the
+                         router's default */
   guint64 arrived;    /* loop time, ms */
-  guint64 deadline;   /* loop time, ms: an answer after it is of no use */
-  guint64 leaves;     /* loop time, ms: the caller goes then if it has had no
-                         first event; 0: at the deadline */
-  guint target_ms;    /* to the first event or the whole answer; 0: none */
-  guint gap_ms;       /* longest pause between events on target; 0: none */
+  guint64 deadline;   /* loop time, ms: a later response is useless */
+  guint64 leaves;  /* loop time, ms, when the caller disconnects if it has not
+                      received a first event; 0: at the deadline */
+  guint target_ms; /* for the first event or a buffered response; 0: none */
+  guint gap_ms;    /* target for the longest gap between events; 0: none */
   guint prompt_tokens;
   guint max_tokens;
   guint64 prefix[PU_ROUTER_PREFIX_MAX];      /* chained hashes of the prompt */
-  guint prefix_tokens[PU_ROUTER_PREFIX_MAX]; /* of the prompt up to the end of
-                                                each; unset where all blocks
-                                                are of one size */
+  guint prefix_tokens[PU_ROUTER_PREFIX_MAX]; /* tokens of the prompt up to
+                                                the end of each block; not set
+                                                if all blocks have one size */
   guint n_prefix;
   bool sized;          /* prefix_tokens is set */
-  guint64 fingerprint; /* of what makes two requests the same */
-  guint shared_tokens; /* that the prompts of one affinity begin with */
-  guint64 affinity;    /* of what it shares with others: such requests go to
-                          the same copy where it is as good as any; 0: the
-                          fingerprint */
-  guint64 after;       /* number of the last event that the caller has had */
+  guint64 fingerprint; /* equal for identical requests */
+  guint shared_tokens; /* length of the prompt prefix that requests with the
+                          same affinity share */
+  guint64 affinity; /* hash of the shared prefix: requests with the same value
+                       go to the same copy unless another is better; 0: the
+                       fingerprint is used */
+  guint64 after;    /* number of the last event that the caller received */
 } pu_request_t;
 
-/* pu_request_header_keep - one header more to pass on.  */
+/* pu_request_header_keep - adds a header to forward.  Copies NAME and VALUE.
+ */
 void pu_request_header_keep (pu_request_t *q, const char *name,
                              const char *value);
 
-/* pu_request_init, pu_request_clear - an empty request, and its end.  */
+/* pu_request_init - makes Q an empty request; pu_request_clear frees what it
+   owns.  */
 void pu_request_init (pu_request_t *q);
 void pu_request_clear (pu_request_t *q);
 
--- a/libplantainusher/entry/view.c
+++ b/libplantainusher/entry/view.c
@@ -8,12 +8,12 @@
 {
   const pu_entry_t *en;
   GArray *found; /* of pu_directory_member_t */
-} members_t;
+} members_sync_t;
 
 static void
-member_add (const pu_member_record *m, void *data)
+member_append (const pu_member_record *m, void *data)
 {
-  members_t *members = data;
+  members_sync_t *members = data;
   bool self = strcmp (m->name, members->en->name) == 0;
   pu_directory_member_t one
       = { .name = m->name,
@@ -30,10 +30,10 @@
 static void
 members_sync (pu_entry_t *en, const pu_state_t *view)
 {
-  members_t members
+  members_sync_t members
       = { en, g_array_new (FALSE, FALSE, sizeof (pu_directory_member_t)) };
 
-  pu_state_each_member (view, member_add, &members);
+  pu_state_each_member (view, member_append, &members);
   pu_directory_set_members (
       en->directory, pu_state_view (view),
       (const pu_directory_member_t *)(void *)members.found->data,
@@ -44,38 +44,40 @@
 typedef struct
 {
   pu_entry_t *en;
-  GHashTable *struck; /* set of &fingerprint */
-} struck_t;
+  GHashTable *suspect_fingerprints; /* set of &fingerprint */
+} suspects_sync_t;
 
 static void
-suspect_put (const pu_suspect_record *s, void *data)
+suspect_apply (const pu_suspect_record *s, void *data)
 {
-  struck_t *all = data;
+  suspects_sync_t *all = data;
   guint64 fingerprint = s->fingerprint;
 
   pu_suspects_put (all->en->suspects, s->fingerprint, s->strikes,
                    s->convicted);
-  g_hash_table_add (all->struck, g_memdup2 (&fingerprint, sizeof fingerprint));
+  g_hash_table_add (all->suspect_fingerprints,
+                    g_memdup2 (&fingerprint, sizeof fingerprint));
 }
 
-/* What the view no longer names was lifted.  */
+/* A suspect that the view no longer contains was lifted.  */
 static void
 suspects_sync (pu_entry_t *en, const pu_state_t *view)
 {
-  struck_t all = { en, g_hash_table_new_full (g_int64_hash, g_int64_equal,
-                                              g_free, NULL) };
+  suspects_sync_t all
+      = { en,
+          g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, NULL) };
   GHashTableIter it;
   gpointer fingerprint;
 
-  pu_state_each_suspect (view, suspect_put, &all);
-  g_hash_table_iter_init (&it, en->struck);
+  pu_state_each_suspect (view, suspect_apply, &all);
+  g_hash_table_iter_init (&it, en->suspect_fingerprints);
   while (g_hash_table_iter_next (&it, &fingerprint, NULL))
     {
-      if (!g_hash_table_contains (all.struck, fingerprint))
+      if (!g_hash_table_contains (all.suspect_fingerprints, fingerprint))
         pu_suspects_lift (en->suspects, *(const guint64 *)fingerprint);
     }
-  g_hash_table_destroy (en->struck);
-  en->struck = all.struck;
+  g_hash_table_destroy (en->suspect_fingerprints);
+  en->suspect_fingerprints = all.suspect_fingerprints;
 }
 
 void
@@ -89,7 +91,7 @@
       || (en->changes == pu_state_changes (view) && en->changes != 0))
     return;
   en->changes = pu_state_changes (view);
-  if (record != NULL && pu_document_sync (en, record))
+  if (record != NULL && pu_entry_document_sync (en, record))
     since = 0;
   members_sync (en, view);
   suspects_sync (en, view);
