--- a/libplantainusher/entry/entry.h
+++ b/libplantainusher/entry/entry.h
@@ -120,7 +120,8 @@
   gsize announcement_max; /* 1 MiB */
   guint connections_max;  /* 4096 */
   guint requests_max;     /* 4096: concurrent requests */
-  guint connect_ms;       /* 1000 */
+  guint connect_ms;       /* 1000; 0: the default of the HTTP client, as for
+                             progress_ms and idle_ms */
   guint progress_ms;      /* 10000: timeout of a stream that sends no byte */
   guint settle_ms;        /* 1000: time until all entries know of a strike */
   guint probe_ms;         /* 1000: timeout of the health probe that follows a
--- a/libplantainusher/entry/entry_private.h
+++ b/libplantainusher/entry/entry_private.h
@@ -228,7 +228,7 @@
   guint64 second;        /* loop time when the rates were last updated */
   guint64 loads_sent_at; /* loop time of the last pu_spread_tick */
   guint64 recounted; /* loop time when the backend servers that each listener
-                        hears of were last counted */
+                        receives loads of were last counted */
   guint64 bad_announcements;
   guint64 bad_logged;
   GRand *random;
