--- a/bench/placement_bench.cc
+++ b/bench/placement_bench.cc
@@ -213,12 +213,13 @@
     o.planner.moves_weight = m.s.user.moves_weight;
     /* One more than run at full speed: the end of a load shows a report
        later, and the store should not wait for that.  */
-    o.planner.max_coming = m.s.user.full_speed + 1;
+    o.planner.max_concurrent_loads = m.s.user.full_speed + 1;
     o.orders.loads_per_s = m.s.user.loads_per_s;
-    o.orders.loads_at_once = m.s.user.full_speed + 1;
-    o.orders.per_engine = 4;
+    o.orders.max_store_loads = m.s.user.full_speed + 1;
+    o.orders.max_orders_per_engine = 4;
     o.committed = [] (void *data, guint32 backend) {
-      return pu_ledger_committed (static_cast<pu_ledger_t *> (data), backend);
+      return pu_ledger_committed_mb (static_cast<pu_ledger_t *> (data),
+                                     backend);
     };
     o.data = ledger_;
     pl_ = pu_placement_new (&o, 0);
@@ -234,7 +235,7 @@
         t.min_copies = 1;
         t.max_copies = m.s.engines;
         t.importance = m.items[i].importance;
-        pu_placement_name_copy (pl_, i, i, 0);
+        pu_placement_map_copy (pl_, i, i, 0);
         pu_planner_set_item (pu_placement_planner (pl_), i, &t);
       }
   }
@@ -260,8 +261,8 @@
   {
     for (guint32 i = 0; i < requests_.size (); i++)
       if (requests_[i] > 0)
-        pu_planner_demand (pu_placement_planner (pl_), i, requests_[i],
-                           work_[i]);
+        pu_planner_add_demand (pu_placement_planner (pl_), i, requests_[i],
+                               work_[i]);
     std::fill (requests_.begin (), requests_.end (), 0);
     std::fill (work_.begin (), work_.end (), 0);
     for (int i = 0; i < m.s.engines; i++)
@@ -295,7 +296,7 @@
   report (Sim &m, guint32 engine)
   {
     const Engine &e = m.engines[engine];
-    std::vector<pu_ledger_held_t> held;
+    std::vector<pu_ledger_copy_t> held;
     pu_ledger_report_t r = {};
     GArray *closed = g_array_new (FALSE, FALSE, sizeof (guint64));
 
@@ -316,8 +317,10 @@
     else
       pu_ledger_backend_down (ledger_, engine, 1);
     for (guint i = 0; i < closed->len; i++)
-      pu_placement_closed (pl_, g_array_index (closed, guint64, i), ms (m));
-    pu_placement_backend (pl_, &r, !e.alive, e.zone, m.s.streams, ms (m));
+      pu_placement_handle_closed (pl_, g_array_index (closed, guint64, i),
+                                  ms (m));
+    pu_placement_update_backend (pl_, &r, !e.alive, e.zone, m.s.streams,
+                                 ms (m));
     g_array_unref (closed);
   }
 
@@ -326,25 +329,26 @@
   {
     const pu_orders_order_t &o = a.order;
 
-    if (a.what == PU_ORDERS_DO_RESERVE)
+    if (a.what == PU_ORDERS_ACTION_RESERVE)
       {
         pu_ledger_order_t l
-            = { ++position_,        o.wish.kind, o.wish.backend,
-                o.wish.incarnation, o.wish.copy, o.wish.memory_mb };
+            = { ++position_,        o.spec.kind, o.spec.backend,
+                o.spec.incarnation, o.spec.copy, o.spec.memory_mb };
         bool accepted = pu_ledger_reserve (ledger_, &l, nullptr);
-        pu_placement_reserved (pl_, o.id, accepted, l.token, ms (m));
+        pu_placement_handle_reserved (pl_, o.id, accepted, l.token, ms (m));
       }
-    if (a.what == PU_ORDERS_DO_SEND)
+    if (a.what == PU_ORDERS_ACTION_SEND)
       {
-        token_[o.wish.backend] = std::max (token_[o.wish.backend], o.token);
-        if (o.wish.kind == PU_LEDGER_LOAD)
-          m.load (o.wish.backend, o.wish.copy);
+        token_[o.spec.backend] = std::max (token_[o.spec.backend], o.token);
+        if (o.spec.kind == PU_LEDGER_LOAD)
+          m.load (o.spec.backend, o.spec.copy);
         else
-          m.unload (o.wish.backend, o.wish.copy);
-        pu_placement_answer (pl_, o.token, PU_ORDERS_ACCEPTED, ms (m));
+          m.unload (o.spec.backend, o.spec.copy);
+        pu_placement_handle_answer (pl_, o.token, PU_ORDERS_ACCEPTED, ms (m));
       }
-    if (a.what == PU_ORDERS_DO_RELEASE && pu_ledger_release (ledger_, o.token))
-      pu_placement_closed (pl_, o.token, ms (m));
+    if (a.what == PU_ORDERS_ACTION_RELEASE
+        && pu_ledger_release (ledger_, o.token))
+      pu_placement_handle_closed (pl_, o.token, ms (m));
   }
 
   void
@@ -552,7 +556,7 @@
   pu_planner_options_t o;
   pu_planner_options_init (&o);
   o.moves_weight = moves_weight;
-  o.max_coming = 40;
+  o.max_concurrent_loads = 40;
   pu_planner_t *p = pu_planner_new (&o);
   std::mt19937 rng (seed);
 
@@ -589,7 +593,7 @@
     {
       double streams
           = 0.5 * 64 * engines / models * (rng () % 8 == 0 ? 4 : 0.6);
-      pu_planner_demand (p, i, guint (streams / 4) + 1, streams * 1000);
+      pu_planner_add_demand (p, i, guint (streams / 4) + 1, streams * 1000);
     }
 }
 
@@ -655,7 +659,7 @@
   pu_planner_step (q, 1000, moves); /* the same */
   g_array_set_size (moves, 0);
   auto from = Clock::now ();
-  pu_planner_full (q, 1000, moves);
+  pu_planner_plan_until_stable (q, 1000, moves);
   t.full = since_ms (from);
   pu_planner_free (q);
   apply (p, moves, held, 1000);
--- a/bench/route_bench.cc
+++ b/bench/route_bench.cc
@@ -174,7 +174,7 @@
   done (Request *q, int now) override
   {
     running_[q->entry].erase (q->ticket);
-    pu_router_finished (routers_[q->entry], q->ticket, PU_ROUTER_WHOLE,
+    pu_router_finished (routers_[q->entry], q->ticket, PU_ROUTER_COMPLETE,
                         time (now));
   }
 
@@ -225,7 +225,7 @@
     for (int i = 0; i < sim::kEntries; i++)
       {
         g_array_set_size (out_, 0);
-        pu_router_next (routers_[i], time (now), out_);
+        pu_router_schedule (routers_[i], time (now), out_);
         for (guint k = 0; k < out_->len; k++)
           {
             auto &d = g_array_index (out_, pu_router_decision_t, k);
--- a/bench/route_choice.h
+++ b/bench/route_choice.h
@@ -78,9 +78,9 @@
       if (!whole)
         state.PauseTiming ();
       pu_router_first_token (r, ring[(at + 1990) % 2000], now);
-      pu_router_finished (r, ring[at], PU_ROUTER_WHOLE, now);
+      pu_router_finished (r, ring[at], PU_ROUTER_COMPLETE, now);
       g_array_set_size (out, 0);
-      pu_router_next (r, now, out);
+      pu_router_schedule (r, now, out);
       /* Half of the prompts were seen before.  */
       guint64 prompt = rand () % 2 ? rand () % 5000 : rand ();
       for (guint64 i = 0; i < 64; i++)
--- a/libplantainusher/daemon/build.c
+++ b/libplantainusher/daemon/build.c
@@ -176,7 +176,7 @@
   pu_daemon_t *d = data;
 
   if (d->entry != NULL)
-    pu_entry_load (d->entry, engine, load);
+    pu_entry_add_load (d->entry, engine, load);
 }
 
 static void
@@ -185,7 +185,7 @@
   pu_daemon_t *d = data;
 
   if (d->entry != NULL)
-    pu_entry_withdraw (d->entry, engine, model);
+    pu_entry_withdraw_copy (d->entry, engine, model);
 }
 
 /* The platform's engines count their orders.  */
--- a/libplantainusher/entry/admit.c
+++ b/libplantainusher/entry/admit.c
@@ -55,7 +55,7 @@
   pu_http_request_watch (x->http, &events, x);
   g_queue_push_tail_link (&en->open, &x->link);
   g_hash_table_insert (en->numbers, &x->number, x);
-  pu_rates_count (en, x->q.service);
+  pu_rates_add_request (en, x->q.service);
   if (x->once)
     {
       pu_claim_begin (x);
--- a/libplantainusher/entry/announce.c
+++ b/libplantainusher/entry/announce.c
@@ -181,11 +181,12 @@
     record_propose (p);
   router_tell (en, a);
   if (a->has_load)
-    pu_spread_add (en, a->record->name, a->record->incarnation, &a->load);
+    pu_load_forward_queue (en, a->record->name, a->record->incarnation,
+                           &a->load);
 }
 
 bool
-pu_entry_takes_reports (const pu_entry_t *en)
+pu_entry_accepts_reports (const pu_entry_t *en)
 {
   return en->o.hooks.in_touch (en->o.hooks.data);
 }
@@ -201,7 +202,8 @@
 }
 
 bool
-pu_entry_report (pu_entry_t *en, const pu_backend_record *record, guint64 seq)
+pu_entry_add_report (pu_entry_t *en, const pu_backend_record *record,
+                     guint64 seq)
 {
   const pu_reporter_t *p = g_hash_table_lookup (en->reporters, record->name);
   pu_announcement_t a = { .seq = seq };
@@ -226,7 +228,7 @@
 }
 
 void
-pu_entry_report_end (pu_entry_t *en, const char *name)
+pu_entry_mark_leaving (pu_entry_t *en, const char *name)
 {
   const pu_backend_record *b = view_record (en, name);
   pu_command c = { .type = PU_COMMAND_BACKEND_LEAVING };
@@ -250,13 +252,13 @@
 {
   const pu_finding_t *first = pu_findings_get (f, 0);
 
-  en->bad_announcements++;
+  en->invalid_reports++;
   if (pu_log_limited (&en->bad_logged, now_of (en), LOG_PERIOD_MS))
     {
       pu_log_warn (PU_ENTRY_PART,
                    "%" G_GUINT64_FORMAT " bad reports so far; this one: '%s' "
                    "%s",
-                   en->bad_announcements, first->path, first->message);
+                   en->invalid_reports, first->path, first->message);
     }
   pu_answer_json (http, 400,
                   json_pack ("{s:s, s:s, s:o}", "error", "invalid", "message",
@@ -283,7 +285,7 @@
   static const pu_refusal_t cut_off = { 503, "cut-off", PU_NOT_RUN, 0 };
   json_t *v;
 
-  if (!pu_entry_takes_reports (en))
+  if (!pu_entry_accepts_reports (en))
     {
       pu_answer_error (http, NULL, &cut_off,
                        "This instance reaches no voter; report to another.");
@@ -337,7 +339,7 @@
 }
 
 void
-pu_path_announce (pu_entry_t *en, pu_http_request_t *http)
+pu_entry_serve_announce (pu_entry_t *en, pu_http_request_t *http)
 {
   static const pu_refusal_t denied = { 401, "denied", PU_NOT_RUN, 0 };
   const char *authorization = pu_http_request_header (http, "authorization");
@@ -355,7 +357,8 @@
     }
   f = pu_findings_new ();
   root = pu_json_load_document (body, len, en->o.announcement_max, f);
-  if (root == NULL || !pu_announcement_name (root, &name, &incarnation, f))
+  if (root == NULL
+      || !pu_announcement_read_sender (root, &name, &incarnation, f))
     {
       bad_report (en, http, f);
     }
--- a/libplantainusher/entry/attempt.c
+++ b/libplantainusher/entry/attempt.c
@@ -38,7 +38,7 @@
 
   if (at->noted && cut)
     {
-      pu_suspects_cut (suspects, x->number, now_of (x));
+      pu_suspects_aborted (suspects, x->number, now_of (x));
     }
   else if (at->noted)
     {
@@ -46,11 +46,11 @@
     }
   if (at->apart && cut)
     {
-      pu_server_apart_cut (at->server);
+      pu_server_suspect_aborted (at->server);
     }
   else if (at->apart)
     {
-      pu_server_apart (x->en, at->server, false);
+      pu_server_count_suspect (x->en, at->server, false);
     }
 }
 
@@ -71,7 +71,7 @@
 
   suspects_forget (x);
   if (x->phase == PU_X_HELD)
-    pu_server_unhold (x);
+    pu_server_remove_held (x);
   if (at->call != NULL)
     pu_http_call_cancel (at->call);
   g_free (at->entry);
@@ -110,7 +110,7 @@
     return;
   g_hash_table_remove (x->en->tickets, &x->ticket);
   x->ticket = 0;
-  pu_router_failed (x->en->router, ticket, PU_ROUTER_FAIL_ERROR, now_of (x));
+  pu_router_abandon (x->en->router, ticket, PU_ROUTER_FAIL_ERROR, now_of (x));
   pu_router_due (x->en);
 }
 
@@ -129,7 +129,7 @@
     }
   else
     {
-      router_finished (x, good ? PU_ROUTER_WHOLE : PU_ROUTER_REJECTED);
+      router_finished (x, good ? PU_ROUTER_COMPLETE : PU_ROUTER_REJECTED);
     }
   if (x->claim != 0)
     {
@@ -537,11 +537,11 @@
       attempt_broke (x, PU_ROUTER_FAIL_TRUNCATED);
       return;
     case END_ELSEWHERE:
-      pu_server_replaced (x->at.server);
+      pu_server_mark_replaced (x->at.server);
       pu_exchange_again (x, PU_ROUTER_FAIL_NOT_RUN);
       return;
     case END_ABSENT:
-      pu_server_lacks (x->at.server, x->q.model, now_of (x) + LACKS_MS);
+      pu_server_mark_absent (x->at.server, x->q.model, now_of (x) + LACKS_MS);
       pu_exchange_again (x, PU_ROUTER_FAIL_ABSENT);
       return;
     case END_NOT_RUN:
@@ -550,7 +550,7 @@
           pu_exchange_again (x, PU_ROUTER_FAIL_NOT_RUN);
           return;
         }
-      pu_server_lacks (x->at.server, x->q.model, now_of (x) + LACKS_MS);
+      pu_server_mark_absent (x->at.server, x->q.model, now_of (x) + LACKS_MS);
       pu_exchange_again (x, PU_ROUTER_FAIL_ABSENT);
       return;
     case END_ERROR:
@@ -600,7 +600,7 @@
 not_connected (pu_exchange_t *x)
 {
   if (x->at.server != NULL && pu_entry_has_own_front (x->en))
-    pu_server_doubt (x->at.server);
+    pu_server_probe (x->at.server);
   pu_exchange_again (x, PU_ROUTER_FAIL_CONNECT);
 }
 
@@ -731,7 +731,7 @@
   if (pu_suspects_is_suspect (suspects, x->q.fingerprint, now_of (x)))
     {
       x->at.apart = true;
-      pu_server_apart (x->en, s, true);
+      pu_server_count_suspect (x->en, s, true);
     }
   pu_suspects_started (suspects, x->number, x->q.fingerprint, s->number,
                        s->incarnation, now_of (x));
--- a/libplantainusher/entry/claim.c
+++ b/libplantainusher/entry/claim.c
@@ -80,7 +80,7 @@
     }
   else
     {
-      pu_claim_pump (en);
+      pu_claim_run_actions (en);
     }
 }
 
@@ -167,7 +167,7 @@
   pu_once_claimed (en->once, asked->handle, what, r != NULL ? r->position : 0,
                    what == PU_ONCE_KEPT ? &result : NULL, now_of (en));
   asked_over (asked);
-  pu_claim_pump (en);
+  pu_claim_run_actions (en);
   pu_entry_check (en);
 }
 
@@ -181,7 +181,7 @@
   /* Refused or seen: the log will not say anything else later.  */
   pu_once_recorded (en->once, asked->handle, r != NULL, now_of (en));
   asked_over (asked);
-  pu_claim_pump (en);
+  pu_claim_run_actions (en);
   pu_entry_check (en);
 }
 
@@ -337,13 +337,13 @@
 }
 
 void
-pu_claim_pump (pu_entry_t *en)
+pu_claim_run_actions (pu_entry_t *en)
 {
   pu_once_action_t a;
 
-  if (en->pumping)
+  if (en->claim_actions_running)
     return;
-  en->pumping = true;
+  en->claim_actions_running = true;
   while (pu_once_next (en->once, &a))
     {
       switch (a.type)
@@ -367,7 +367,7 @@
           break;
         }
     }
-  en->pumping = false;
+  en->claim_actions_running = false;
 }
 
 void
@@ -383,5 +383,5 @@
   x->phase = PU_X_CLAIMING;
   if (x->http == NULL)
     pu_exchange_done (x);
-  pu_claim_pump (en);
+  pu_claim_run_actions (en);
 }
--- a/libplantainusher/entry/entry.c
+++ b/libplantainusher/entry/entry.c
@@ -42,7 +42,7 @@
     .idle_ms = IDLE_CONNECTION_MS,
     .report_ms = REPORT_INTERVAL_MS,
     .propose_ms = PROPOSE_TIMEOUT_MS,
-    .loads_ms = PU_ENTRY_LOADS_MS,
+    .loads_ms = PU_ENTRY_LOADS_INTERVAL_MIN_MS,
     .ttl_s = ENTRIES_TTL_S,
   };
 }
@@ -115,21 +115,21 @@
   else if (strcmp (path, "/v1/entries") == 0)
     {
       if (require_method (http, "GET") && require_ready (en, http, false))
-        pu_path_entries (en, http);
+        pu_entry_serve_entries (en, http);
     }
   else if (strcmp (path, "/v1/backends/announce") == 0)
     {
       if (require_method (http, "POST") && require_ready (en, http, false))
-        pu_path_announce (en, http);
+        pu_entry_serve_announce (en, http);
     }
   else if (strcmp (path, "/v1/models") == 0)
     {
       if (require_method (http, "GET") && require_ready (en, http, true))
-        pu_path_models (en, http);
+        pu_entry_serve_models (en, http);
     }
   else if (strcmp (path, "/healthz") == 0)
     {
-      pu_path_health (en, http);
+      pu_entry_serve_health (en, http);
     }
   else
     {
@@ -177,10 +177,10 @@
   guint64 now = uv_now (t->loop);
   guint64 at;
 
-  pu_router_next (en->router, now, decisions);
+  pu_router_schedule (en->router, now, decisions);
   decisions_apply (en, decisions);
   g_array_free (decisions, TRUE);
-  at = pu_router_wake_at (en->router);
+  at = pu_router_next_timeout_at (en->router);
   if (at != G_MAXUINT64 && !uv_is_active ((uv_handle_t *)t))
     uv_timer_start (t, on_router_timer, at > now ? at - now : 1, 0);
 }
@@ -201,14 +201,14 @@
   pu_servers_tick (en, now);
   pu_strikes_tick (en, now);
   pu_once_tick (en->once, now);
-  pu_claim_pump (en);
+  pu_claim_run_actions (en);
   pu_exchanges_tick (en, now);
   pu_startup_tick (en, now);
   pu_rates_tick (en, now);
   if (now - en->loads_sent_at >= LOADS_CHECK_MS)
     {
       en->loads_sent_at = now;
-      pu_spread_tick (en, now);
+      pu_load_forward_tick (en, now);
     }
   pu_entry_check (en);
 }
@@ -275,7 +275,7 @@
   en->tickets = g_hash_table_new (g_int64_hash, g_int64_equal);
   en->numbers = g_hash_table_new (g_int64_hash, g_int64_equal);
   en->listeners = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
-                                         pu_listener_free);
+                                         pu_load_receiver_free);
   en->load_ids = g_hash_table_new (g_int64_hash, g_int64_equal);
   en->model_waits = g_hash_table_new_full (g_str_hash, g_str_equal, NULL,
                                            pu_model_wait_free);
@@ -569,8 +569,8 @@
       (int)pu_http_client_open (en->client), "idle_connections",
       (int)pu_http_client_idle (en->client), "claims_at_work",
       (int)pu_once_busy (en->once), "suspects_running",
-      (int)pu_suspects_running (en->suspects), "bad_announcements",
-      (json_int_t)en->bad_announcements, "document_version",
+      (int)pu_suspects_in_flight (en->suspects), "bad_announcements",
+      (json_int_t)en->invalid_reports, "document_version",
       (json_int_t)en->document_version, "reporters", reporters_json (en),
       "router", pu_router_dump (en->router));
 }
--- a/libplantainusher/entry/entry.h
+++ b/libplantainusher/entry/entry.h
@@ -156,43 +156,46 @@
    view, and when the view is ready for the first time.  */
 void pu_entry_view_changed (pu_entry_t *en);
 
-/* pu_entry_load - reports LOAD of the known incarnation of the backend server
-   NAME to the router and forwards it to the other entries.  The `seq` of LOAD
-   must rise from call to call.  */
-void pu_entry_load (pu_entry_t *en, const char *name,
-                    const pu_router_report_t *load);
-
-/* pu_entry_withdraw - the copy of MODEL on the backend server NAME is about to
-   be unloaded: this entry and all others stop sending it requests.  Otherwise
-   each entry would notice only when a request of its own is refused.  */
-void pu_entry_withdraw (pu_entry_t *en, const char *name, const char *model);
-
-/* pu_entry_withdrawn - receives such a withdrawal from another entry.  It is
-   valid for LIFE_MS.  */
-void pu_entry_withdrawn (pu_entry_t *en, guint64 id, const char *model,
-                         guint life_ms);
-
-/* pu_entry_loads_in - receives N load reports from another entry.  They are
-   valid for LIFE_MS.  */
-void pu_entry_loads_in (pu_entry_t *en, const pu_entry_load_t *loads, guint n,
-                        guint life_ms);
-
-/* pu_entry_takes_reports - whether a report received now may be acknowledged.
-   If an instance without contact to the voters acknowledged it, no lease would
-   be renewed: after five seconds all other instances would take the backend
-   server for down, although it runs and could have reported to another
-   instance.  */
-bool pu_entry_takes_reports (const pu_entry_t *en);
-
-/* pu_entry_report - applies a report that a frontend has read: RECORD (copied)
-   with the sequence number SEQ, which rises within an incarnation.  Returns
-   false, and changes nothing, if the report is not newer than the last.  */
-bool pu_entry_report (pu_entry_t *en, const pu_backend_record *record,
-                      guint64 seq);
-
-/* pu_entry_report_end - backend server NAME reports that it shuts down: it
+/* pu_entry_add_load - reports LOAD of the known incarnation of the backend
+   server NAME to the router and forwards it to the other entries.  The `seq`
+   of LOAD must rise from call to call.  */
+void pu_entry_add_load (pu_entry_t *en, const char *name,
+                        const pu_router_report_t *load);
+
+/* pu_entry_withdraw_copy - the copy of MODEL on the backend server NAME is
+   about to be unloaded: this entry and all others stop sending it requests.
+   Otherwise each entry would notice only when a request of its own is refused.
+ */
+void pu_entry_withdraw_copy (pu_entry_t *en, const char *name,
+                             const char *model);
+
+/* pu_entry_receive_withdrawal - receives such a withdrawal from another entry.
+   It is valid for LIFE_MS.  */
+void pu_entry_receive_withdrawal (pu_entry_t *en, guint64 id,
+                                  const char *model, guint life_ms);
+
+/* pu_entry_receive_loads - receives N load reports from another entry.  They
+   are valid for LIFE_MS.  */
+void pu_entry_receive_loads (pu_entry_t *en, const pu_entry_load_t *loads,
+                             guint n, guint life_ms);
+
+/* pu_entry_accepts_reports - whether a report received now may be
+   acknowledged. If an instance without contact to the voters acknowledged it,
+   no lease would be renewed: after five seconds all other instances would take
+   the backend server for down, although it runs and could have reported to
+   another instance.  */
+bool pu_entry_accepts_reports (const pu_entry_t *en);
+
+/* pu_entry_add_report - applies a report that a frontend has read: RECORD
+   (copied) with the sequence number SEQ, which rises within an incarnation.
+   Returns false, and changes nothing, if the report is not newer than the
+   last.  */
+bool pu_entry_add_report (pu_entry_t *en, const pu_backend_record *record,
+                          guint64 seq);
+
+/* pu_entry_mark_leaving - backend server NAME reports that it shuts down: it
    gets no new requests.  */
-void pu_entry_report_end (pu_entry_t *en, const char *name);
+void pu_entry_mark_leaving (pu_entry_t *en, const char *name);
 
 /* pu_entry_document - the document in force here, or NULL.  */
 const pu_document_t *pu_entry_document (const pu_entry_t *en);
--- a/libplantainusher/entry/entry_private.h
+++ b/libplantainusher/entry/entry_private.h
@@ -59,23 +59,24 @@
   pu_router_backend_t handle; /* PU_ROUTER_NONE when down */
   guint number;               /* key in the suspects' table; never reused */
   bool leaving;
-  bool plain;      /* serves a plain service, not models */
-  bool down;       /* according to the view, or found dead by this entry */
-  guint suspects;  /* suspects that this entry runs there; while there are any,
-                      it sends nothing else */
-  guint cut_apart; /* those of the suspects that were cancelled or broke off:
-                      they may still crash the server */
+  bool plain;     /* serves a plain service, not models */
+  bool down;      /* according to the view, or found dead by this entry */
+  guint suspects; /* suspects that this entry runs there; while there are any,
+                     it sends nothing else */
+  guint aborted_suspects; /* those of the suspects that were cancelled or broke
+                      off: they may still crash the server */
   GPtrArray *held; /* of pu_exchange_t: wait for the result of the probe */
   pu_entry_t *en;
   pu_http_call_t *probe;
-  guint refused;       /* consecutive probes that were refused or closed */
-  guint64 probe_at;    /* loop time of the next probe; 0: none */
-  guint64 apart_until; /* loop time until which cut_apart is still counted in
-                          suspects */
-  guint64 dead_until;  /* loop time until which the server is taken for dead,
-                          whatever the view says; 0: not found dead */
-  GHashTable *extras;  /* model -> extra_t: copies known to be present, or
-                          found missing, contrary to the last report */
+  guint refused;         /* consecutive probes that were refused or closed */
+  guint64 probe_at;      /* loop time of the next probe; 0: none */
+  guint64 aborted_until; /* loop time until which aborted_suspects is still
+                          counted in suspects */
+  guint64 local_down_until; /* loop time until which the server is taken for
+                         dead, whatever the view says; 0: not found dead */
+  GHashTable
+      *copy_overrides; /* model -> copy_override_t: copies known to be present,
+                  or found missing, contrary to the last report */
 } pu_server_t;
 
 /* A backend server that reports to this entry.  */
@@ -220,22 +221,23 @@
   GHashTable *load_ids;    /* &load_id -> pu_server_t */
   GHashTable *model_waits; /* model -> model_wait_t of model_wait.c */
   uv_timer_t tick_timer;
-  uv_timer_t router_timer; /* next call of pu_router_next */
+  uv_timer_t router_timer; /* next call of pu_router_schedule */
   guint open_handles;      /* of libuv */
   guint pending; /* callbacks of proposals, load requests and parses to come */
   guint64 last_number;
   guint last_server;
   guint64 second;        /* loop time when the rates were last updated */
-  guint64 loads_sent_at; /* loop time of the last pu_spread_tick */
-  guint64 recounted; /* loop time when the backend servers that each listener
-                        receives loads of were last counted */
-  guint64 bad_announcements;
+  guint64 loads_sent_at; /* loop time of the last pu_load_forward_tick */
+  guint64 receivers_counted_at; /* loop time when the backend servers that each
+                        listener receives loads of were last counted */
+  guint64 invalid_reports;
   guint64 bad_logged;
   GRand *random;
   bool leaving;
   bool stopping;
   bool server_stopped;
-  bool pumping; /* pu_claim_pump is running: it is not reentrant */
+  bool claim_actions_running; /* pu_claim_run_actions is running: it is not
+                                 reentrant */
   bool freed;
   void (*stop_cb) (void *data);
   void *stop_data;
@@ -257,11 +259,11 @@
   GArray *removed; /* of guint64 */
 } pu_announcement_t;
 
-/* pu_announcement_name - reads the name and the incarnation of the sender,
-   which every report has.  Returns false with findings in F.  NAME belongs to
-   ROOT.  */
-bool pu_announcement_name (const json_t *root, const char **name,
-                           guint64 *incarnation, pu_findings_t *f);
+/* pu_announcement_read_sender - reads the name and the incarnation of the
+   sender, which every report has.  Returns false with findings in F.  NAME
+   belongs to ROOT.  */
+bool pu_announcement_read_sender (const json_t *root, const char **name,
+                                  guint64 *incarnation, pu_findings_t *f);
 
 /* pu_announcement_read - reads the report ROOT as a change of BASE, the record
    of the same incarnation, or NULL if there is none.  Returns false with
@@ -288,18 +290,18 @@
 
 /* --- entries.c, announce.c: requests that the entry answers itself --- */
 
-void pu_path_entries (pu_entry_t *en, pu_http_request_t *http);
-void pu_path_models (pu_entry_t *en, pu_http_request_t *http);
-void pu_path_health (pu_entry_t *en, pu_http_request_t *http);
-void pu_path_announce (pu_entry_t *en, pu_http_request_t *http);
+void pu_entry_serve_entries (pu_entry_t *en, pu_http_request_t *http);
+void pu_entry_serve_models (pu_entry_t *en, pu_http_request_t *http);
+void pu_entry_serve_health (pu_entry_t *en, pu_http_request_t *http);
+void pu_entry_serve_announce (pu_entry_t *en, pu_http_request_t *http);
 
-/* pu_service_size - the number of entries that serve SERVICE at its current
-   request rate.  */
-guint pu_service_size (const pu_entry_t *en, const char *service);
+/* pu_service_entry_count - the number of entries that serve SERVICE at its
+   current request rate.  */
+guint pu_service_entry_count (const pu_entry_t *en, const char *service);
 
-/* pu_rates_count - counts one request for SERVICE; pu_rates_tick updates the
-   mean rates from the counts.  */
-void pu_rates_count (pu_entry_t *en, const char *service);
+/* pu_rates_add_request - counts one request for SERVICE; pu_rates_tick updates
+   the mean rates from the counts.  */
+void pu_rates_add_request (pu_entry_t *en, const char *service);
 void pu_rates_tick (pu_entry_t *en, guint64 now);
 
 void pu_reporter_free (gpointer reporter);
@@ -348,29 +350,29 @@
 
 /* --- spread.c: load reports forwarded to other entries --- */
 
-/* pu_spread_interval_ms - the interval between load reports to an entry that
-   receives those of HEARD backend servers.  It grows with HEARD, so that the
-   traffic does not.  */
-guint pu_spread_interval_ms (guint heard);
+/* pu_load_forward_interval_ms - the interval between load reports to an entry
+   that receives those of HEARD backend servers.  It grows with HEARD, so that
+   the traffic does not.  */
+guint pu_load_forward_interval_ms (guint heard);
 
-/* pu_spread_life_ms - how long a load report that is sent every INTERVAL_MS
-   stays valid.  */
-guint pu_spread_life_ms (guint interval_ms);
+/* pu_load_forward_lifetime_ms - how long a load report that is sent every
+   INTERVAL_MS stays valid.  */
+guint pu_load_forward_lifetime_ms (guint interval_ms);
 
-/* The smallest result of pu_spread_interval_ms and the default of loads_ms,
-   which scales the intervals relative to this value.  */
-#define PU_ENTRY_LOADS_MS 1000
+/* The smallest result of pu_load_forward_interval_ms and the default of
+   loads_ms, which scales the intervals relative to this value.  */
+#define PU_ENTRY_LOADS_INTERVAL_MIN_MS 1000
 
-/* pu_spread_add - queues the load report R of INCARNATION of the backend
-   server NAME for the other entries that route to it.  It replaces an older
-   report that is still queued.  */
-void pu_spread_add (pu_entry_t *en, const char *name, guint64 incarnation,
-                    const pu_router_report_t *r);
+/* pu_load_forward_queue - queues the load report R of INCARNATION of the
+   backend server NAME for the other entries that route to it.  It replaces an
+   older report that is still queued.  */
+void pu_load_forward_queue (pu_entry_t *en, const char *name,
+                            guint64 incarnation, const pu_router_report_t *r);
 
-/* pu_spread_tick - sends the queued load reports to the entries whose interval
-   has passed.  */
-void pu_spread_tick (pu_entry_t *en, guint64 now);
-void pu_listener_free (gpointer listener);
+/* pu_load_forward_tick - sends the queued load reports to the entries whose
+   interval has passed.  */
+void pu_load_forward_tick (pu_entry_t *en, guint64 now);
+void pu_load_receiver_free (gpointer listener);
 
 /* --- servers.c: backend servers in the router, probes, crashes --- */
 
@@ -388,16 +390,16 @@
 /* pu_server_hold - makes X wait until a probe shows whether S is alive.  */
 void pu_server_hold (pu_server_t *s, pu_exchange_t *x);
 
-/* pu_server_doubt - probes S after a connection to it has failed.  */
-void pu_server_doubt (pu_server_t *s);
+/* pu_server_probe - probes S after a connection to it has failed.  */
+void pu_server_probe (pu_server_t *s);
 
-/* pu_server_extra - treats S as having a ready copy of MODEL, whatever its
-   reports say, until loop time UNTIL.  */
-void pu_server_extra (pu_server_t *s, const char *model, guint64 until);
+/* pu_server_mark_present - treats S as having a ready copy of MODEL, whatever
+   its reports say, until loop time UNTIL.  */
+void pu_server_mark_present (pu_server_t *s, const char *model, guint64 until);
 
-/* pu_server_lacks - treats S as having no copy of MODEL, whatever its reports
-   say, until loop time UNTIL.  */
-void pu_server_lacks (pu_server_t *s, const char *model, guint64 until);
+/* pu_server_mark_absent - treats S as having no copy of MODEL, whatever its
+   reports say, until loop time UNTIL.  */
+void pu_server_mark_absent (pu_server_t *s, const char *model, guint64 until);
 
 /* pu_server_withdraw - sends no new requests to the copy of MODEL on S and to
    those of its adapters until loop time UNTIL.  */
@@ -408,25 +410,27 @@
 bool pu_server_is_withdrawn (const pu_server_t *s, const char *model,
                              guint64 until);
 
-/* pu_server_replaced - marks S as down because another process has its
+/* pu_server_mark_replaced - marks S as down because another process has its
    address.  */
-void pu_server_replaced (pu_server_t *s);
+void pu_server_mark_replaced (pu_server_t *s);
 void pu_servers_tick (pu_entry_t *en, guint64 now);
 
-/* pu_server_unhold - X no longer waits for the probe of its backend server. */
-void pu_server_unhold (pu_exchange_t *x);
+/* pu_server_remove_held - X no longer waits for the probe of its backend
+ * server. */
+void pu_server_remove_held (pu_exchange_t *x);
 
-/* pu_server_apart - a suspect begins, or else ends, to run at S.  While
+/* pu_server_count_suspect - a suspect begins, or else ends, to run at S. While
    suspects run there, this entry sends S nothing else.  */
-void pu_server_apart (pu_entry_t *en, pu_server_t *s, bool begins);
+void pu_server_count_suspect (pu_entry_t *en, pu_server_t *s, bool begins);
 
-/* pu_servers_apart - whether there is a backend server with a copy of MODEL to
-   which this entry sends nothing only because it runs a suspect there.  */
-bool pu_servers_apart (const pu_entry_t *en, const char *model);
+/* pu_servers_copy_isolated - whether there is a backend server with a copy of
+   MODEL to which this entry sends nothing only because it runs a suspect
+   there.  */
+bool pu_servers_copy_isolated (const pu_entry_t *en, const char *model);
 
-/* pu_server_apart_cut - a suspect at S was cancelled or broke off.  It counts
-   as running for settle_ms more.  */
-void pu_server_apart_cut (pu_server_t *s);
+/* pu_server_suspect_aborted - a suspect at S was cancelled or broke off.  It
+   counts as running for settle_ms more.  */
+void pu_server_suspect_aborted (pu_server_t *s);
 
 /* --- strikes.c: strikes against requests --- */
 
@@ -561,7 +565,7 @@
  */
 void pu_entry_check (pu_entry_t *en);
 
-/* pu_router_due - schedules pu_router_next for the next loop iteration.  */
+/* pu_router_due - schedules pu_router_schedule for the next loop iteration. */
 void pu_router_due (pu_entry_t *en);
 
 /* --- builtin_frontend.c: the completions interface --- */
@@ -621,8 +625,8 @@
 void pu_claim_finished (pu_exchange_t *x, pu_once_outcome_t outcome,
                         const pu_once_result_t *result);
 
-/* pu_claim_pump - carries out the pending actions of pu_once_next.  */
-void pu_claim_pump (pu_entry_t *en);
+/* pu_claim_run_actions - carries out the pending actions of pu_once_next.  */
+void pu_claim_run_actions (pu_entry_t *en);
 
 G_END_DECLS
 
--- a/libplantainusher/entry/exchange.c
+++ b/libplantainusher/entry/exchange.c
@@ -253,7 +253,7 @@
     return PU_SUSPECTS_RUN;
   if (pu_strike_pending (x->en, x->q.fingerprint))
     return PU_SUSPECTS_WAIT;
-  return pu_suspects_judge (x->en->suspects, x->q.fingerprint,
+  return pu_suspects_check (x->en->suspects, x->q.fingerprint,
                             uv_now (x->en->o.loop));
 }
 
@@ -286,8 +286,8 @@
     }
   else
     {
-      away = next_hop (x, x->q.service, pu_service_size (x->en, x->q.service),
-                       1, &to);
+      away = next_hop (x, x->q.service,
+                       pu_service_entry_count (x->en, x->q.service), 1, &to);
     }
   if (verdict == PU_SUSPECTS_WAIT
       && (!away || pu_strike_pending (x->en, x->q.fingerprint)))
@@ -348,8 +348,8 @@
 stays_away (const pu_exchange_t *x, guint server)
 {
   return is_watched (x)
-         && pu_suspects_stays (x->en->suspects, x->q.fingerprint, server,
-                               x->held_since, uv_now (x->en->o.loop));
+         && pu_suspects_must_avoid (x->en->suspects, x->q.fingerprint, server,
+                                    x->held_since, uv_now (x->en->o.loop));
 }
 
 /* The same for S, which the router chose; from now on X waits.  */
@@ -407,7 +407,7 @@
          && pu_router_ready_copies (router,
                                     pu_router_find_model (router, x->q.model))
                 == 0
-         && pu_servers_apart (x->en, x->q.model);
+         && pu_servers_copy_isolated (x->en, x->q.model);
 }
 
 void
@@ -479,7 +479,7 @@
 
   if (!is_suspect (x))
     return false;
-  if (judge (x) != PU_SUSPECTS_APART)
+  if (judge (x) != PU_SUSPECTS_RUN_ISOLATED)
     return true;
   return !x->once && x->q.repeatable && !x->q.here && suspect_hop (x, &to);
 }
@@ -507,7 +507,7 @@
   pu_ticket_t ticket = x->ticket;
 
   ticket_set (x, 0);
-  pu_router_failed (x->en->router, ticket, failure, uv_now (x->en->o.loop));
+  pu_router_abandon (x->en->router, ticket, failure, uv_now (x->en->o.loop));
   pu_router_due (x->en);
   route_apart (x);
 }
@@ -579,7 +579,7 @@
     {
       if (now >= x->q.deadline
           && pu_once_give_up (x->en->once, x->number, now))
-        pu_claim_pump (x->en);
+        pu_claim_run_actions (x->en);
       return;
     }
   if (now >= x->q.deadline && x->phase != PU_X_QUEUED)
--- a/libplantainusher/entry/model_wait.c
+++ b/libplantainusher/entry/model_wait.c
@@ -160,7 +160,8 @@
   ready_estimate_set (w, json_object_get (reply, "due_ms"));
   if (s != NULL && !s->down && !en->freed)
     {
-      pu_server_extra (s, w->model, uv_now (en->o.loop) + UNREPORTED_COPY_MS);
+      pu_server_mark_present (s, w->model,
+                              uv_now (en->o.loop) + UNREPORTED_COPY_MS);
       waiting_exchanges_each (w, wait_end);
     }
   else if (!en->freed)
--- a/libplantainusher/entry/request_fuzz.cc
+++ b/libplantainusher/entry/request_fuzz.cc
@@ -240,7 +240,7 @@
 static void
 check_entries (pu_entry_t *en, pu_http_request_t *http)
 {
-  pu_path_entries (en, http);
+  pu_entry_serve_entries (en, http);
   require (http->answers == 1);
   require (http->status == 200 || http->status == 404);
 }
--- a/libplantainusher/entry/rig_test.cc
+++ b/libplantainusher/entry/rig_test.cc
@@ -193,7 +193,7 @@
   for (node &to : r.nodes)
     {
       if (to.address == address)
-        pu_entry_loads_in (to.entry, loads, n, life_ms);
+        pu_entry_receive_loads (to.entry, loads, n, life_ms);
     }
 }
 
@@ -207,7 +207,7 @@
   for (node &to : r.nodes)
     {
       if (to.address == address)
-        pu_entry_withdrawn (to.entry, id, model, life_ms);
+        pu_entry_receive_withdrawal (to.entry, id, model, life_ms);
     }
 }
 
--- a/libplantainusher/entry/view.c
+++ b/libplantainusher/entry/view.c
@@ -74,7 +74,7 @@
   while (g_hash_table_iter_next (&it, &fingerprint, NULL))
     {
       if (!g_hash_table_contains (all.suspect_fingerprints, fingerprint))
-        pu_suspects_lift (en->suspects, *(const guint64 *)fingerprint);
+        pu_suspects_remove (en->suspects, *(const guint64 *)fingerprint);
     }
   g_hash_table_destroy (en->suspect_fingerprints);
   en->suspect_fingerprints = all.suspect_fingerprints;
--- a/libplantainusher/placement/dispatcher.c
+++ b/libplantainusher/placement/dispatcher.c
@@ -171,7 +171,7 @@
 {
   pu_dispatcher_item_t *t = item_find (e, o->item);
 
-  if (t != NULL && t->phase == PU_DISPATCHER_LEAVING)
+  if (t != NULL && t->phase == PU_DISPATCHER_UNLOADING)
     t->phase = PU_DISPATCHER_READY;
   if (t != NULL && t->phase == PU_DISPATCHER_QUEUED)
     item_remove (e, o->item);
@@ -183,7 +183,7 @@
   pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
 
   order_undo (e, &order_first (e)->o);
-  order_end (d, engine, PU_DISPATCHER_DO_FAILED);
+  order_end (d, engine, PU_DISPATCHER_ACTION_FAILED);
 }
 
 /* The engine takes a model's order, so the unloads of models that it had
@@ -198,7 +198,7 @@
       const pu_dispatcher_item_t *t
           = &g_array_index (e->items, pu_dispatcher_item_t, i);
 
-      if (t->phase == PU_DISPATCHER_LEAVING && !t->adapter
+      if (t->phase == PU_DISPATCHER_UNLOADING && !t->adapter
           && pu_dispatcher_order_for (e, t->item) == NULL)
         g_array_remove_index_fast (e->items, i);
     }
@@ -228,7 +228,7 @@
       unloads_over (e);
     }
   e->fetch_at = MIN (e->fetch_at, now + d->o.watch_ms);
-  order_end (d, engine, PU_DISPATCHER_DO_DONE);
+  order_end (d, engine, PU_DISPATCHER_ACTION_ACCEPTED);
 }
 
 /* What the first order asks for is so already, or without delay.  */
@@ -253,13 +253,13 @@
     {
       item_remove (e, o.item);
     }
-  order_end (d, engine, PU_DISPATCHER_DO_DONE);
+  order_end (d, engine, PU_DISPATCHER_ACTION_ACCEPTED);
 }
 
 /* --- engines --- */
 
 void
-pu_dispatcher_add (pu_dispatcher_t *d, guint32 engine, guint64 now)
+pu_dispatcher_add_engine (pu_dispatcher_t *d, guint32 engine, guint64 now)
 {
   pu_dispatcher_engine_t *e;
 
@@ -275,14 +275,14 @@
 }
 
 void
-pu_dispatcher_remove (pu_dispatcher_t *d, guint32 engine)
+pu_dispatcher_remove_engine (pu_dispatcher_t *d, guint32 engine)
 {
   pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
 
   if (e == NULL)
     return;
   while (order_first (e) != NULL)
-    order_end (d, engine, PU_DISPATCHER_DO_FAILED);
+    order_end (d, engine, PU_DISPATCHER_ACTION_FAILED);
   engine_clear (e);
   d->used--;
 }
@@ -309,8 +309,8 @@
 }
 
 bool
-pu_dispatcher_want (pu_dispatcher_t *d, guint32 engine,
-                    const pu_dispatcher_order_t *o, guint64 now)
+pu_dispatcher_enqueue (pu_dispatcher_t *d, guint32 engine,
+                       const pu_dispatcher_order_t *o, guint64 now)
 {
   pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
   pu_dispatcher_queued_t *mine;
@@ -325,7 +325,7 @@
                          mine);
   item_set (e, o->item,
             o->op == PU_DISPATCHER_LOAD ? PU_DISPATCHER_QUEUED
-                                        : PU_DISPATCHER_LEAVING)
+                                        : PU_DISPATCHER_UNLOADING)
       ->adapter
       = o->adapter;
   return true;
@@ -387,7 +387,7 @@
       e->accepted++;
       order_accepted (d, engine, true, now);
       return;
-    case PU_DISPATCHER_HOLDS:
+    case PU_DISPATCHER_COMPLETED:
       order_holds (d, engine, now);
       return;
     case PU_DISPATCHER_CONFLICT:
@@ -398,11 +398,11 @@
       order_fail (d, engine);
       return;
     case PU_DISPATCHER_REFUSED:
-    case PU_DISPATCHER_GONE:
+    case PU_DISPATCHER_MISDIRECTED:
       order_fail (d, engine);
       e->fetch_at = now;
       return;
-    case PU_DISPATCHER_LOST:
+    case PU_DISPATCHER_NO_ANSWER:
       e->doubt = true;
       e->not_before = now + d->o.refused_ms;
       e->fetch_at = MIN (e->fetch_at, now);
@@ -470,7 +470,7 @@
     {
       const pu_dispatcher_item_t *t = item_find (e, r->held[i]);
       bool leaving
-          = t != NULL && t->phase == PU_DISPATCHER_LEAVING
+          = t != NULL && t->phase == PU_DISPATCHER_UNLOADING
             && (r->busy || pu_dispatcher_order_for (e, t->item) != NULL);
 
       if (!leaving)
@@ -543,8 +543,8 @@
 }
 
 void
-pu_dispatcher_seen (pu_dispatcher_t *d, guint32 engine, guint32 item,
-                    guint64 now)
+pu_dispatcher_mark_loaded (pu_dispatcher_t *d, guint32 engine, guint32 item,
+                           guint64 now)
 {
   pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
   pu_dispatcher_item_t *t = e != NULL ? item_find (e, item) : NULL;
@@ -566,7 +566,7 @@
   pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
   pu_dispatcher_queued_t *o = order_first (e);
   pu_dispatcher_action_t a
-      = { .what = PU_DISPATCHER_DO_SEND, .engine = engine };
+      = { .what = PU_DISPATCHER_ACTION_SEND, .engine = engine };
   pu_dispatcher_fit_t fit;
 
   if (o == NULL || !e->known || e->fenced_out || now < e->not_before)
@@ -603,7 +603,7 @@
 {
   pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
   pu_dispatcher_action_t a
-      = { .what = PU_DISPATCHER_DO_FETCH, .engine = engine };
+      = { .what = PU_DISPATCHER_ACTION_FETCH, .engine = engine };
 
   if (e->fetching || now < e->fetch_at)
     return;
@@ -687,7 +687,7 @@
 }
 
 bool
-pu_dispatcher_known (const pu_dispatcher_t *d, guint32 engine)
+pu_dispatcher_accepts_orders (const pu_dispatcher_t *d, guint32 engine)
 {
   const pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
 
@@ -695,7 +695,7 @@
 }
 
 bool
-pu_dispatcher_busy (const pu_dispatcher_t *d, guint32 engine)
+pu_dispatcher_is_busy (const pu_dispatcher_t *d, guint32 engine)
 {
   const pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
 
@@ -703,7 +703,7 @@
 }
 
 bool
-pu_dispatcher_secret (const pu_dispatcher_t *d, guint32 engine)
+pu_dispatcher_has_unknown_order (const pu_dispatcher_t *d, guint32 engine)
 {
   const pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
 
@@ -714,7 +714,7 @@
       const pu_dispatcher_item_t *t
           = &g_array_index (e->items, pu_dispatcher_item_t, i);
 
-      if (t->phase == PU_DISPATCHER_LEAVING
+      if (t->phase == PU_DISPATCHER_UNLOADING
           || (t->phase == PU_DISPATCHER_LOADING && !t->adapter))
         return false;
     }
--- a/libplantainusher/placement/dispatcher.h
+++ b/libplantainusher/placement/dispatcher.h
@@ -59,35 +59,37 @@
   bool adapter; /* loads and unloads beside other orders */
 } pu_dispatcher_order_t;
 
-/* pu_dispatcher_add - ENGINE is there; nothing is known of it yet.  */
-void pu_dispatcher_add (pu_dispatcher_t *d, guint32 engine, guint64 now);
+/* pu_dispatcher_add_engine - ENGINE is there; nothing is known of it yet.  */
+void pu_dispatcher_add_engine (pu_dispatcher_t *d, guint32 engine,
+                               guint64 now);
 
-/* pu_dispatcher_remove - ENGINE is gone; its orders end.  */
-void pu_dispatcher_remove (pu_dispatcher_t *d, guint32 engine);
+/* pu_dispatcher_remove_engine - ENGINE is gone; its orders end.  */
+void pu_dispatcher_remove_engine (pu_dispatcher_t *d, guint32 engine);
 
-/* pu_dispatcher_set_item - ITEM takes MEMORY_MB of an engine's memory: 0 where
-   that is not known, or not counted.  */
-void pu_dispatcher_set_item (pu_dispatcher_t *d, guint32 item,
-                             guint32 memory_mb);
+/* pu_dispatcher_set_item_memory - ITEM takes MEMORY_MB of an engine's memory:
+   0 where that is not known, or not counted.  */
+void pu_dispatcher_set_item_memory (pu_dispatcher_t *d, guint32 item,
+                                    guint32 memory_mb);
 
 /* pu_dispatcher_set_adapter - ITEM is an adapter: it takes one of an engine's
    places for adapters, and has its memory there.  */
 void pu_dispatcher_set_adapter (pu_dispatcher_t *d, guint32 item);
 
-/* pu_dispatcher_set_room - ENGINE has ROOM_MB of memory for items; 0: no
+/* pu_dispatcher_set_capacity - ENGINE has ROOM_MB of memory for items; 0: no
  * limit.  */
-void pu_dispatcher_set_room (pu_dispatcher_t *d, guint32 engine,
-                             guint32 room_mb);
+void pu_dispatcher_set_capacity (pu_dispatcher_t *d, guint32 engine,
+                                 guint32 room_mb);
 
-/* pu_dispatcher_set_places - ENGINE has PLACES for adapters; 0: no limit.  */
-void pu_dispatcher_set_places (pu_dispatcher_t *d, guint32 engine,
-                               guint places);
+/* pu_dispatcher_set_adapter_slots - ENGINE has PLACES for adapters; 0: no
+ * limit.  */
+void pu_dispatcher_set_adapter_slots (pu_dispatcher_t *d, guint32 engine,
+                                      guint places);
 
-/* pu_dispatcher_want - queues O for ENGINE.  False when an order for the same
-   item is under way there, or it is there (or not) already, or ENGINE is not
-   known or refuses us.  */
-bool pu_dispatcher_want (pu_dispatcher_t *d, guint32 engine,
-                         const pu_dispatcher_order_t *o, guint64 now);
+/* pu_dispatcher_enqueue - queues O for ENGINE.  False when an order for the
+   same item is under way there, or it is there (or not) already, or ENGINE is
+   not known or refuses us.  */
+bool pu_dispatcher_enqueue (pu_dispatcher_t *d, guint32 engine,
+                            const pu_dispatcher_order_t *o, guint64 now);
 
 /* pu_dispatcher_drop - takes a queued order for ITEM back that was not sent
  * yet.  */
@@ -95,13 +97,13 @@
 
 typedef enum
 {
-  PU_DISPATCHER_ACCEPTED, /* it is being carried out */
-  PU_DISPATCHER_HOLDS,    /* what it asks for is so already */
-  PU_DISPATCHER_CONFLICT, /* another count, or another order is under way */
-  PU_DISPATCHER_FENCED,   /* a later leader has given orders */
-  PU_DISPATCHER_REFUSED,  /* it can't be carried out */
-  PU_DISPATCHER_GONE,     /* another engine answers */
-  PU_DISPATCHER_LOST      /* no answer: nothing is known */
+  PU_DISPATCHER_ACCEPTED,    /* it is being carried out */
+  PU_DISPATCHER_COMPLETED,   /* what it asks for is so already */
+  PU_DISPATCHER_CONFLICT,    /* another count, or another order is under way */
+  PU_DISPATCHER_FENCED,      /* a later leader has given orders */
+  PU_DISPATCHER_REFUSED,     /* it can't be carried out */
+  PU_DISPATCHER_MISDIRECTED, /* another engine answers */
+  PU_DISPATCHER_NO_ANSWER    /* no answer: nothing is known */
 } pu_dispatcher_answer_t;
 
 /* pu_dispatcher_answer - how the order that ENGINE was sent was answered.  */
@@ -125,19 +127,19 @@
                            const pu_dispatcher_report_t *r, guint64 asked,
                            guint64 now);
 
-/* pu_dispatcher_seen - ENGINE was heard to hold ITEM, by another way than a
-   report that was fetched.  */
-void pu_dispatcher_seen (pu_dispatcher_t *d, guint32 engine, guint32 item,
-                         guint64 now);
+/* pu_dispatcher_mark_loaded - ENGINE was heard to hold ITEM, by another way
+   than a report that was fetched.  */
+void pu_dispatcher_mark_loaded (pu_dispatcher_t *d, guint32 engine,
+                                guint32 item, guint64 now);
 
 typedef enum
 {
-  PU_DISPATCHER_DO_SEND,  /* send the order to the engine; answer by
-                       pu_dispatcher_answer */
-  PU_DISPATCHER_DO_FETCH, /* fetch the engine's report; answer by
-                             pu_dispatcher_report */
-  PU_DISPATCHER_DO_DONE,  /* the order was carried out, or is being */
-  PU_DISPATCHER_DO_FAILED /* it never will be */
+  PU_DISPATCHER_ACTION_SEND,     /* send the order to the engine; answer by
+                          pu_dispatcher_answer */
+  PU_DISPATCHER_ACTION_FETCH,    /* fetch the engine's report; answer by
+                                pu_dispatcher_report */
+  PU_DISPATCHER_ACTION_ACCEPTED, /* the order was carried out, or is being */
+  PU_DISPATCHER_ACTION_FAILED    /* it never will be */
 } pu_dispatcher_do_t;
 
 typedef struct
@@ -175,7 +177,7 @@
   PU_DISPATCHER_QUEUED,  /* a load is queued or sent */
   PU_DISPATCHER_LOADING, /* a load was accepted */
   PU_DISPATCHER_READY,
-  PU_DISPATCHER_LEAVING /* an unload is queued, sent or accepted */
+  PU_DISPATCHER_UNLOADING /* an unload is queued, sent or accepted */
 } pu_dispatcher_phase_t;
 
 /* One item at an engine.  */
@@ -194,16 +196,17 @@
 pu_dispatcher_phase_t pu_dispatcher_phase (const pu_dispatcher_t *d,
                                            guint32 engine, guint32 item);
 
-/* pu_dispatcher_known - whether a report of ENGINE has come and it takes our
-   orders.  */
-bool pu_dispatcher_known (const pu_dispatcher_t *d, guint32 engine);
+/* pu_dispatcher_accepts_orders - whether a report of ENGINE has come and it
+   takes our orders.  */
+bool pu_dispatcher_accepts_orders (const pu_dispatcher_t *d, guint32 engine);
 
-/* pu_dispatcher_busy - whether ENGINE is carrying a model's order out.  */
-bool pu_dispatcher_busy (const pu_dispatcher_t *d, guint32 engine);
+/* pu_dispatcher_is_busy - whether ENGINE is carrying a model's order out.  */
+bool pu_dispatcher_is_busy (const pu_dispatcher_t *d, guint32 engine);
 
-/* pu_dispatcher_secret - whether ENGINE is carrying an order out that we don't
-   know: it may come to hold anything.  */
-bool pu_dispatcher_secret (const pu_dispatcher_t *d, guint32 engine);
+/* pu_dispatcher_has_unknown_order - whether ENGINE is carrying an order out
+   that we don't know: it may come to hold anything.  */
+bool pu_dispatcher_has_unknown_order (const pu_dispatcher_t *d,
+                                      guint32 engine);
 
 G_END_DECLS
 
--- a/libplantainusher/placement/dispatcher_room.c
+++ b/libplantainusher/placement/dispatcher_room.c
@@ -11,7 +11,8 @@
 }
 
 void
-pu_dispatcher_set_item (pu_dispatcher_t *d, guint32 item, guint32 memory_mb)
+pu_dispatcher_set_item_memory (pu_dispatcher_t *d, guint32 item,
+                               guint32 memory_mb)
 {
   kind_of (d, item)->memory_mb = memory_mb;
 }
@@ -23,7 +24,8 @@
 }
 
 void
-pu_dispatcher_set_room (pu_dispatcher_t *d, guint32 engine, guint32 room_mb)
+pu_dispatcher_set_capacity (pu_dispatcher_t *d, guint32 engine,
+                            guint32 room_mb)
 {
   pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
 
@@ -32,7 +34,8 @@
 }
 
 void
-pu_dispatcher_set_places (pu_dispatcher_t *d, guint32 engine, guint places)
+pu_dispatcher_set_adapter_slots (pu_dispatcher_t *d, guint32 engine,
+                                 guint places)
 {
   pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
 
@@ -55,7 +58,7 @@
 
       /* One whose unload was accepted is gone when the engine takes another
          order: it refuses one while it still waits for the runs to end.  */
-      bool goes = e->unloads && t->phase == PU_DISPATCHER_LEAVING
+      bool goes = e->unloads && t->phase == PU_DISPATCHER_UNLOADING
                   && pu_dispatcher_order_for (e, t->item) == NULL;
 
       if (t->item != item && t->phase != PU_DISPATCHER_QUEUED && !goes)
@@ -82,7 +85,7 @@
         continue;
       taken++;
       comes = comes
-              || (t->phase == PU_DISPATCHER_LEAVING
+              || (t->phase == PU_DISPATCHER_UNLOADING
                   && pu_dispatcher_order_for (e, t->item) == NULL);
     }
   if (e->places == 0 || taken < e->places)
--- a/libplantainusher/placement/dispatcher_test.cc
+++ b/libplantainusher/placement/dispatcher_test.cc
@@ -70,7 +70,7 @@
     if (expected != accepted || Busy ())
       return PU_DISPATCHER_CONFLICT;
     if ((o.op == PU_DISPATCHER_LOAD) == (held.count (o.item) != 0))
-      return PU_DISPATCHER_HOLDS;
+      return PU_DISPATCHER_COMPLETED;
     accepted++;
     loads = o.op == PU_DISPATCHER_LOAD;
     unloads = !loads;
@@ -110,7 +110,7 @@
     pu_dispatcher_options_init (&o);
     d = pu_dispatcher_new (&o);
     for (guint32 i = 0; i < 8; i++)
-      pu_dispatcher_set_item (d, i, Size (i));
+      pu_dispatcher_set_item_memory (d, i, Size (i));
   }
   Dispatcher (const Dispatcher &) = delete;
   Dispatcher &operator= (const Dispatcher &) = delete;
@@ -125,8 +125,8 @@
   void
   Add (guint64 now)
   {
-    pu_dispatcher_add (d, kEngine, now);
-    pu_dispatcher_set_room (d, kEngine, kRoom);
+    pu_dispatcher_add_engine (d, kEngine, now);
+    pu_dispatcher_set_capacity (d, kEngine, kRoom);
   }
 
   bool
@@ -134,7 +134,7 @@
   {
     pu_dispatcher_order_t o = { op, item, false };
 
-    return pu_dispatcher_want (d, kEngine, &o, now);
+    return pu_dispatcher_enqueue (d, kEngine, &o, now);
   }
 
   std::vector<pu_dispatcher_action_t>
@@ -173,7 +173,7 @@
   ASSERT_TRUE (k.Want (PU_DISPATCHER_LOAD, 1, 20));
   auto a = k.Step (20);
   ASSERT_EQ (a.size (), 1U);
-  EXPECT_EQ (a[0].what, PU_DISPATCHER_DO_SEND);
+  EXPECT_EQ (a[0].what, PU_DISPATCHER_ACTION_SEND);
   EXPECT_EQ (a[0].expected, 7U);
 }
 
@@ -193,10 +193,10 @@
   k.Tell ({ 7, false, {} }, 0, 10);
   k.Want (PU_DISPATCHER_LOAD, 1, 20);
   k.Step (20);
-  pu_dispatcher_answer (k.d, kEngine, PU_DISPATCHER_LOST, 320);
+  pu_dispatcher_answer (k.d, kEngine, PU_DISPATCHER_NO_ANSWER, 320);
   auto a = k.Step (600);
   ASSERT_FALSE (a.empty ());
-  EXPECT_EQ (a[0].what, PU_DISPATCHER_DO_SEND);
+  EXPECT_EQ (a[0].what, PU_DISPATCHER_ACTION_SEND);
   EXPECT_EQ (a[0].expected, 7U);
 }
 
@@ -211,7 +211,7 @@
   o.poll_ms = 400;
   d = pu_dispatcher_new (&o);
   for (guint32 i = 0; i < n; i++)
-    pu_dispatcher_add (d, i, 0);
+    pu_dispatcher_add_engine (d, i, 0);
   for (guint32 i = 0; i < n; i++)
     {
       const pu_dispatcher_report_t r = {};
@@ -253,7 +253,7 @@
   pu_dispatcher_t *d = DeskOf (3000);
 
   for (guint32 i = 20; i < 3000; i++)
-    pu_dispatcher_remove (d, i);
+    pu_dispatcher_remove_engine (d, i);
   EXPECT_EQ (20U, FetchesAt (d, 6000));
   for (guint32 i = 0; i < 20; i++)
     {
@@ -290,7 +290,7 @@
   k.Tell ({ 4, false, { 6 } }, 600, 610);
   auto a = k.Step (610);
   ASSERT_EQ (a.size (), 1U);
-  EXPECT_EQ (a[0].what, PU_DISPATCHER_DO_FAILED);
+  EXPECT_EQ (a[0].what, PU_DISPATCHER_ACTION_FAILED);
   EXPECT_EQ (pu_dispatcher_phase (k.d, kEngine, 7), PU_DISPATCHER_ABSENT);
 }
 
@@ -302,7 +302,7 @@
   Places () : k (2)
   {
     k.Add (0);
-    pu_dispatcher_set_places (k.d, kEngine, 2);
+    pu_dispatcher_set_adapter_slots (k.d, kEngine, 2);
     for (guint32 i = 1; i <= 3; i++)
       pu_dispatcher_set_adapter (k.d, i);
   }
@@ -312,7 +312,7 @@
   {
     pu_dispatcher_order_t o = { op, item, true };
 
-    return pu_dispatcher_want (k.d, kEngine, &o, now);
+    return pu_dispatcher_enqueue (k.d, kEngine, &o, now);
   }
 
   Dispatcher k;
@@ -324,12 +324,12 @@
 {
   k.Tell ({ 4, false, { 1 } }, 0, 10);
   ASSERT_TRUE (Want (PU_DISPATCHER_LOAD, 3, 20));
-  ASSERT_EQ (k.Step (20)[0].what, PU_DISPATCHER_DO_SEND);
+  ASSERT_EQ (k.Step (20)[0].what, PU_DISPATCHER_ACTION_SEND);
   pu_dispatcher_answer (k.d, kEngine, PU_DISPATCHER_CONFLICT, 30);
   k.Tell ({ 5, false, { 1, 2 } }, 600, 610);
   auto a = k.Step (1000);
   ASSERT_EQ (a.size (), 1U);
-  EXPECT_EQ (a[0].what, PU_DISPATCHER_DO_FAILED);
+  EXPECT_EQ (a[0].what, PU_DISPATCHER_ACTION_FAILED);
 }
 
 TEST_F (Places, AnAdapterWaitsForAPlaceThatIsBeingGivenUp)
@@ -341,13 +341,13 @@
   pu_dispatcher_answer (k.d, kEngine, PU_DISPATCHER_ACCEPTED, 30);
   for (auto const &a : k.Step (200))
     {
-      EXPECT_NE (a.what, PU_DISPATCHER_DO_SEND);
-      EXPECT_NE (a.what, PU_DISPATCHER_DO_FAILED);
+      EXPECT_NE (a.what, PU_DISPATCHER_ACTION_SEND);
+      EXPECT_NE (a.what, PU_DISPATCHER_ACTION_FAILED);
     }
   k.Tell ({ 5, false, { 2 } }, 600, 610);
   auto a = k.Step (610);
   ASSERT_FALSE (a.empty ());
-  EXPECT_EQ (a[0].what, PU_DISPATCHER_DO_SEND);
+  EXPECT_EQ (a[0].what, PU_DISPATCHER_ACTION_SEND);
   EXPECT_EQ (a[0].order.item, 3U);
 }
 
@@ -364,18 +364,18 @@
   bool sent = false;
   for (; !sent && now < 2000; now += 20)
     for (auto const &a : k.Step (now))
-      sent = sent || a.what == PU_DISPATCHER_DO_SEND;
+      sent = sent || a.what == PU_DISPATCHER_ACTION_SEND;
   ASSERT_TRUE (sent);
   pu_dispatcher_answer (k.d, kEngine, PU_DISPATCHER_ACCEPTED, now);
   now += 500;
-  pu_dispatcher_seen (k.d, kEngine, 5, now);
+  pu_dispatcher_mark_loaded (k.d, kEngine, 5, now);
   ASSERT_TRUE (Want (PU_DISPATCHER_LOAD, 3, now));
   for (auto const &a : k.Step (now))
-    EXPECT_NE (a.what, PU_DISPATCHER_DO_SEND);
+    EXPECT_NE (a.what, PU_DISPATCHER_ACTION_SEND);
   k.Tell ({ 6, false, { 2, 5 } }, now + 600, now + 610);
   sent = false;
   for (auto const &a : k.Step (now + 610))
-    sent = sent || (a.what == PU_DISPATCHER_DO_SEND && a.order.item == 3);
+    sent = sent || (a.what == PU_DISPATCHER_ACTION_SEND && a.order.item == 3);
   EXPECT_TRUE (sent);
 }
 
@@ -388,7 +388,7 @@
   k.Tell ({ 4, false, { 1, 2 } }, 600, 610);
   auto a = k.Step (610);
   ASSERT_FALSE (a.empty ());
-  EXPECT_EQ (a.back ().what, PU_DISPATCHER_DO_FAILED);
+  EXPECT_EQ (a.back ().what, PU_DISPATCHER_ACTION_FAILED);
   a = k.Step (620);
   ASSERT_FALSE (a.empty ());
   EXPECT_EQ (a[0].order.op, PU_DISPATCHER_UNLOAD);
@@ -413,13 +413,13 @@
 
   k.Add (0);
   k.Tell ({ 4, true, {} }, 0, 10);
-  EXPECT_TRUE (pu_dispatcher_secret (k.d, kEngine));
+  EXPECT_TRUE (pu_dispatcher_has_unknown_order (k.d, kEngine));
   k.Tell ({ 4, false, { 6 } }, 600, 610);
-  EXPECT_FALSE (pu_dispatcher_secret (k.d, kEngine));
+  EXPECT_FALSE (pu_dispatcher_has_unknown_order (k.d, kEngine));
   k.Want (PU_DISPATCHER_LOAD, 1, 620);
   k.Step (620);
   pu_dispatcher_answer (k.d, kEngine, PU_DISPATCHER_ACCEPTED, 630);
-  EXPECT_FALSE (pu_dispatcher_secret (k.d, kEngine));
+  EXPECT_FALSE (pu_dispatcher_has_unknown_order (k.d, kEngine));
 }
 
 TEST (Dispatcher, AReportOfBeforeTheAnswerTakesNothingBack)
@@ -433,7 +433,7 @@
   pu_dispatcher_answer (k.d, kEngine, PU_DISPATCHER_ACCEPTED, 1010);
   k.Tell ({ 7, false, {} }, 1005, 1020);
   EXPECT_EQ (pu_dispatcher_phase (k.d, kEngine, 1), PU_DISPATCHER_LOADING);
-  EXPECT_TRUE (pu_dispatcher_busy (k.d, kEngine));
+  EXPECT_TRUE (pu_dispatcher_is_busy (k.d, kEngine));
 }
 
 TEST (Dispatcher, ALaterLeaderEndsOurOrders)
@@ -445,7 +445,7 @@
   k.Want (PU_DISPATCHER_LOAD, 1, 20);
   k.Step (20);
   pu_dispatcher_answer (k.d, kEngine, PU_DISPATCHER_FENCED, 30);
-  EXPECT_FALSE (pu_dispatcher_known (k.d, kEngine));
+  EXPECT_FALSE (pu_dispatcher_accepts_orders (k.d, kEngine));
   EXPECT_FALSE (k.Want (PU_DISPATCHER_LOAD, 2, 40));
 }
 
@@ -510,7 +510,7 @@
   Act (const Dispatcher &k, const pu_dispatcher_action_t &a)
   {
     pu_fuzz_report::get ().steps++;
-    if (a.what == PU_DISPATCHER_DO_SEND)
+    if (a.what == PU_DISPATCHER_ACTION_SEND)
       {
         if (!Lost ())
           sent.push_back ({ a, k.term, now + Delay (), true });
@@ -518,7 +518,7 @@
           sent.push_back ({ a, k.term, now + 40 * Delay (), false });
         timeouts.push_back ({ a, k.term, now + 300, true });
       }
-    else if (a.what == PU_DISPATCHER_DO_FETCH)
+    else if (a.what == PU_DISPATCHER_ACTION_FETCH)
       {
         guint64 look = now + Delay ();
 
@@ -558,8 +558,8 @@
           }
         timeouts.erase (timeouts.begin () + (long)i);
         if (Find (s.term) != nullptr)
-          pu_dispatcher_answer (Find (s.term)->d, kEngine, PU_DISPATCHER_LOST,
-                                now);
+          pu_dispatcher_answer (Find (s.term)->d, kEngine,
+                                PU_DISPATCHER_NO_ANSWER, now);
       }
     for (size_t i = 0; i < fetched.size ();)
       {
@@ -649,7 +649,7 @@
       }
     for (auto const &[item, mb] : engine.held)
       held.insert (item);
-    if (!pu_dispatcher_known (desks.back ()->d, kEngine))
+    if (!pu_dispatcher_accepts_orders (desks.back ()->d, kEngine))
       return "the last leader is fenced";
     return shown == held ? "" : "shows what is not so";
   }
--- a/libplantainusher/placement/due.c
+++ b/libplantainusher/placement/due.c
@@ -37,15 +37,15 @@
   for (guint i = 0; i < n; i++)
     {
       const pu_due_engine_t *e = &engines[i];
-      bool quick = e->quick && t->quick_ms > 0;
-      guint32 takes = quick ? t->quick_ms : t->store_ms;
+      bool quick = e->quick && t->cached_load_ms > 0;
+      guint32 takes = quick ? t->cached_load_ms : t->store_ms;
       const pu_dispatcher_item_t *x = find_item (d, e->engine, item);
 
-      if (!pu_dispatcher_known (d, e->engine))
+      if (!pu_dispatcher_accepts_orders (d, e->engine))
         return 0;
       begun_now = MIN (begun_now, takes);
       if (x == NULL || x->phase == PU_DISPATCHER_ABSENT
-          || x->phase == PU_DISPATCHER_LEAVING)
+          || x->phase == PU_DISPATCHER_UNLOADING)
         continue;
       if (x->phase == PU_DISPATCHER_READY)
         return 0;
--- a/libplantainusher/placement/due.h
+++ b/libplantainusher/placement/due.h
@@ -16,8 +16,8 @@
 /* What a load takes, in milliseconds; 0: not told.  */
 typedef struct
 {
-  guint32 store_ms; /* from the weights store */
-  guint32 quick_ms; /* from what an engine has at hand */
+  guint32 store_ms;       /* from the weights store */
+  guint32 cached_load_ms; /* from what an engine has at hand */
 } pu_due_times_t;
 
 /* An engine in use.  */
--- a/libplantainusher/placement/due_test.cc
+++ b/libplantainusher/placement/due_test.cc
@@ -28,7 +28,7 @@
     d = pu_dispatcher_new (&o);
     for (guint32 i = 0; i < 2; i++)
       {
-        pu_dispatcher_add (d, i, now);
+        pu_dispatcher_add_engine (d, i, now);
         Report (i, {});
       }
   }
@@ -55,7 +55,7 @@
     GArray *actions
         = g_array_new (FALSE, FALSE, sizeof (pu_dispatcher_action_t));
 
-    ASSERT_TRUE (pu_dispatcher_want (d, engine, &o, now));
+    ASSERT_TRUE (pu_dispatcher_enqueue (d, engine, &o, now));
     pu_dispatcher_step (d, nullptr, nullptr, now, actions);
     pu_dispatcher_answer (d, engine, PU_DISPATCHER_ACCEPTED, now);
     g_array_unref (actions);
@@ -94,7 +94,7 @@
 
 TEST_F (Due, AnEngineThatMayHoldItIsWaitedFor)
 {
-  pu_dispatcher_add (d, 2, now);
+  pu_dispatcher_add_engine (d, 2, now);
   engines.push_back ({ 2, false });
   EXPECT_EQ (0u, Ms ());
 }
--- a/libplantainusher/placement/forecast.c
+++ b/libplantainusher/placement/forecast.c
@@ -28,13 +28,13 @@
   o->fast_s = DEFAULT_FAST_S;
   o->mid_s = DEFAULT_MID_S;
   o->slow_s = DEFAULT_SLOW_S;
-  o->held_s = DEFAULT_HELD_S;
-  o->lead_s = DEFAULT_LEAD_S;
+  o->peak_decay_s = DEFAULT_HELD_S;
+  o->horizon_s = DEFAULT_LEAD_S;
   o->sigmas = DEFAULT_SIGMAS;
 }
 
 static double
-believed_ms (const pu_forecast_t *f, const pu_forecast_common_t *c,
+believed_ms (const pu_forecast_t *f, const pu_forecast_request_stats_t *c,
              guint32 requests, double stream_ms)
 {
   double most = BELIEVED_MEANS * c->request_ms * requests;
@@ -46,7 +46,8 @@
 }
 
 static void
-common_learn (pu_forecast_common_t *c, guint32 requests, double stream_ms)
+common_learn (pu_forecast_request_stats_t *c, guint32 requests,
+              double stream_ms)
 {
   double mean = stream_ms / requests;
   double newest = requests / (requests + COMMON_REQUESTS);
@@ -57,8 +58,8 @@
 }
 
 void
-pu_forecast_add (pu_forecast_t *f, pu_forecast_common_t *c, guint32 requests,
-                 double stream_ms)
+pu_forecast_add (pu_forecast_t *f, pu_forecast_request_stats_t *c,
+                 guint32 requests, double stream_ms)
 {
   double ms;
 
@@ -77,16 +78,16 @@
   return 1.0 - exp (-period_s / constant_s);
 }
 
-pu_forecast_period_t
-pu_forecast_period (const pu_forecast_options_t *o, double period_s)
+pu_forecast_weights_t
+pu_forecast_get_weights (const pu_forecast_options_t *o, double period_s)
 {
-  pu_forecast_period_t p;
+  pu_forecast_weights_t p;
 
   p.period_s = period_s;
   p.fast = weight (period_s, o->fast_s);
   p.mid = weight (period_s, o->mid_s);
   p.slow = weight (period_s, o->slow_s);
-  p.held = weight (period_s, o->held_s);
+  p.held = weight (period_s, o->peak_decay_s);
   return p;
 }
 
@@ -110,7 +111,7 @@
 
 void
 pu_forecast_advance (pu_forecast_t *f, const pu_forecast_options_t *o,
-                     const pu_forecast_period_t *p)
+                     const pu_forecast_weights_t *p)
 {
   double sample = f->stream_s / p->period_s;
   double slope;
@@ -138,7 +139,7 @@
   f->expected = MAX (f->slow, f->fast - deviation (f, o));
   if (f->burst)
     {
-      double ahead = f->fast + MAX (0.0, slope) * o->lead_s;
+      double ahead = f->fast + MAX (0.0, slope) * o->horizon_s;
 
       f->expected = MIN (ahead, MOST_GROWTH * f->fast);
     }
--- a/libplantainusher/placement/forecast.h
+++ b/libplantainusher/placement/forecast.h
@@ -26,9 +26,9 @@
   double fast_s; /* time constants */
   double mid_s;  /* against which the trend is taken */
   double slow_s;
-  double held_s;
-  double lead_s; /* the trend is followed this far ahead: a load's time */
-  double sigmas; /* deviations of the fast average that make a burst */
+  double peak_decay_s;
+  double horizon_s; /* the trend is followed this far ahead: a load's time */
+  double sigmas;    /* deviations of the fast average that make a burst */
 } pu_forecast_options_t;
 
 typedef struct
@@ -50,7 +50,7 @@
 typedef struct
 {
   double request_ms; /* of stream, the mean; 0: none was seen */
-} pu_forecast_common_t;
+} pu_forecast_request_stats_t;
 
 /* The weights of one period, shared by all models.  */
 typedef struct
@@ -60,22 +60,22 @@
   double mid;
   double slow;
   double held;
-} pu_forecast_period_t;
+} pu_forecast_weights_t;
 
 void pu_forecast_options_init (pu_forecast_options_t *o);
 
 /* pu_forecast_add - REQUESTS arrived, which are told to need STREAM_MS in
    all.  C learns from them too.  */
-void pu_forecast_add (pu_forecast_t *f, pu_forecast_common_t *c,
+void pu_forecast_add (pu_forecast_t *f, pu_forecast_request_stats_t *c,
                       guint32 requests, double stream_ms);
 
-/* pu_forecast_period - the weights for a period of PERIOD_S seconds.  */
-pu_forecast_period_t pu_forecast_period (const pu_forecast_options_t *o,
-                                         double period_s);
+/* pu_forecast_get_weights - the weights for a period of PERIOD_S seconds.  */
+pu_forecast_weights_t pu_forecast_get_weights (const pu_forecast_options_t *o,
+                                               double period_s);
 
 /* pu_forecast_advance - closes a period: takes in what was added.  */
 void pu_forecast_advance (pu_forecast_t *f, const pu_forecast_options_t *o,
-                          const pu_forecast_period_t *p);
+                          const pu_forecast_weights_t *p);
 
 G_END_DECLS
 
--- a/libplantainusher/placement/fuzz_test.cc
+++ b/libplantainusher/placement/fuzz_test.cc
@@ -75,11 +75,14 @@
 INSTANTIATE_TEST_SUITE_P (
     Each, PlacementBreak,
     ::testing::Values (
-        Case{ "NoCheck", { PU_LEDGER_BREAK_NO_CHECK, 0, 0 }, kOver },
-        Case{ "OwnToken", { PU_LEDGER_BREAK_OWN_TOKEN, 0, 0 }, kOver },
-        Case{ "DownFrees", { PU_LEDGER_BREAK_DOWN_FREES, 0, 0 }, kOver },
+        Case{ "NoCheck", { PU_LEDGER_BREAK_NO_MEMORY_CHECK, 0, 0 }, kOver },
+        Case{ "OwnToken", { PU_LEDGER_BREAK_OWN_TOKEN_FENCES, 0, 0 }, kOver },
+        Case{
+            "DownFrees", { PU_LEDGER_BREAK_DOWN_CLOSES_ORDERS, 0, 0 }, kOver },
         Case{ "ReleaseOnLostAnswer", { 0, 0, PU_ORDERS_BREAK_LOST }, kOver },
-        Case{ "ReleaseOnTimeout", { 0, 0, PU_ORDERS_BREAK_TIMEOUT }, kOver },
+        Case{ "ReleaseOnTimeout",
+              { 0, 0, PU_ORDERS_BREAK_RELEASE_ON_TIMEOUT },
+              kOver },
         Case{
             "NewLeaderDoesNotWait", { 0, 0, PU_ORDERS_BREAK_NO_WAIT }, kOver },
         Case{
--- a/libplantainusher/placement/ledger.c
+++ b/libplantainusher/placement/ledger.c
@@ -12,7 +12,7 @@
   bool fenced;
   bool leaving;
   bool down;
-  GArray *held;   /* of pu_ledger_held_t */
+  GArray *held;   /* of pu_ledger_copy_t */
   GArray *orders; /* of pu_ledger_order_t, by rising token */
 } entry_t;
 
@@ -72,18 +72,18 @@
   n = g_new0 (entry_t, 1);
   n->backend = backend;
   n->down = true;
-  n->held = g_array_new (FALSE, FALSE, sizeof (pu_ledger_held_t));
+  n->held = g_array_new (FALSE, FALSE, sizeof (pu_ledger_copy_t));
   n->orders = g_array_new (FALSE, FALSE, sizeof (pu_ledger_order_t));
   g_hash_table_insert (l->entries, GUINT_TO_POINTER (backend), n);
   return n;
 }
 
-static pu_ledger_held_t *
+static pu_ledger_copy_t *
 find_held (const entry_t *n, guint32 copy)
 {
   for (guint i = 0; i < n->held->len; i++)
     {
-      pu_ledger_held_t *h = &g_array_index (n->held, pu_ledger_held_t, i);
+      pu_ledger_copy_t *h = &g_array_index (n->held, pu_ledger_copy_t, i);
 
       if (h->copy == copy)
         return h;
@@ -96,7 +96,7 @@
 static bool
 still_loading (const entry_t *n, const pu_ledger_order_t *o)
 {
-  const pu_ledger_held_t *h = find_held (n, o->copy);
+  const pu_ledger_copy_t *h = find_held (n, o->copy);
 
   return o->kind == PU_LEDGER_LOAD && h != NULL
          && h->phase == PU_LEDGER_LOADING;
@@ -107,7 +107,7 @@
 static bool
 fenced_off (const pu_ledger_t *l, const entry_t *n, const pu_ledger_order_t *o)
 {
-  bool own = (l->breaks & PU_LEDGER_BREAK_OWN_TOKEN) != 0;
+  bool own = (l->breaks & PU_LEDGER_BREAK_OWN_TOKEN_FENCES) != 0;
   bool later = o->token < n->token || (own && o->token == n->token);
 
   return (n->fenced || own) && later && !still_loading (n, o);
@@ -123,7 +123,7 @@
 static guint32
 copy_mb (const pu_ledger_t *l, const entry_t *n, guint32 copy)
 {
-  const pu_ledger_held_t *h = find_held (n, copy);
+  const pu_ledger_copy_t *h = find_held (n, copy);
   guint32 most = h != NULL ? h->memory_mb : 0;
 
   for (guint i = 0; i < n->orders->len; i++)
@@ -164,7 +164,7 @@
   guint64 sum = 0;
 
   for (guint i = 0; i < n->held->len; i++)
-    sum += copy_mb (l, n, g_array_index (n->held, pu_ledger_held_t, i).copy);
+    sum += copy_mb (l, n, g_array_index (n->held, pu_ledger_copy_t, i).copy);
   for (guint i = 0; i < n->orders->len; i++)
     {
       if (counts_alone (l, n, i))
@@ -230,14 +230,14 @@
 {
   for (guint i = 0; i < n->held->len; i++)
     {
-      pu_ledger_held_t *h = &g_array_index (n->held, pu_ledger_held_t, i);
+      pu_ledger_copy_t *h = &g_array_index (n->held, pu_ledger_copy_t, i);
 
       if (h->phase != PU_LEDGER_LOADING)
         h->phase = PU_LEDGER_UNLOADING;
     }
   for (guint i = 0; i < r->n_held; i++)
     {
-      pu_ledger_held_t *h = find_held (n, r->held[i].copy);
+      pu_ledger_copy_t *h = find_held (n, r->held[i].copy);
 
       if (h == NULL)
         {
@@ -250,7 +250,7 @@
     }
 }
 
-pu_ledger_verdict_t
+pu_ledger_report_result_t
 pu_ledger_backend_up (pu_ledger_t *l, const pu_ledger_report_t *r,
                       GArray *closed)
 {
@@ -282,7 +282,8 @@
   if (n == NULL || n->incarnation != incarnation)
     return false;
   n->down = true;
-  while ((l->breaks & PU_LEDGER_BREAK_DOWN_FREES) != 0 && n->orders->len > 0)
+  while ((l->breaks & PU_LEDGER_BREAK_DOWN_CLOSES_ORDERS) != 0
+         && n->orders->len > 0)
     close_order (l, n, 0);
   return true;
 }
@@ -300,7 +301,7 @@
 }
 
 bool
-pu_ledger_forget (pu_ledger_t *l, guint32 backend)
+pu_ledger_remove_backend (pu_ledger_t *l, guint32 backend)
 {
   entry_t *n = find_entry (l, backend);
 
@@ -342,7 +343,7 @@
 pu_ledger_reserve (pu_ledger_t *l, const pu_ledger_order_t *o, pu_error_t *e)
 {
   entry_t *n = find_entry (l, o->backend);
-  bool checked = (l->breaks & PU_LEDGER_BREAK_NO_CHECK) == 0;
+  bool checked = (l->breaks & PU_LEDGER_BREAK_NO_MEMORY_CHECK) == 0;
 
   if (o->token == 0)
     return pu_error_set (e, PU_ERROR_INVALID, "an order needs a token");
@@ -414,8 +415,8 @@
 }
 
 bool
-pu_ledger_backend (const pu_ledger_t *l, guint32 backend,
-                   pu_ledger_report_t *r, bool *down)
+pu_ledger_get_backend (const pu_ledger_t *l, guint32 backend,
+                       pu_ledger_report_t *r, bool *down)
 {
   const entry_t *n = find_entry (l, backend);
 
@@ -429,7 +430,7 @@
   r->memory_mb = n->memory_mb;
   r->fenced = n->fenced;
   r->leaving = n->leaving;
-  r->held = (const pu_ledger_held_t *)(void *)n->held->data;
+  r->held = (const pu_ledger_copy_t *)(void *)n->held->data;
   r->n_held = n->held->len;
   if (down != NULL)
     *down = n->down;
@@ -437,7 +438,7 @@
 }
 
 guint64
-pu_ledger_committed (const pu_ledger_t *l, guint32 backend)
+pu_ledger_committed_mb (const pu_ledger_t *l, guint32 backend)
 {
   const entry_t *n = find_entry (l, backend);
 
--- a/libplantainusher/placement/ledger.h
+++ b/libplantainusher/placement/ledger.h
@@ -20,9 +20,8 @@
  *
  * How the state machine uses it:
  *   BACKEND_UP      pu_ledger_backend_up; on PU_LEDGER_MERGED keep what
- *                   pu_ledger_backend gives, rather than the report, in the
- *                   backend record; drop the order records whose tokens come
- *                   back in CLOSED.
+ *                   pu_ledger_get_backend gives, rather than the report, in
+ * the backend record; drop the order records whose tokens come back in CLOSED.
  *   BACKEND_DOWN    pu_ledger_backend_down.  Keep the record, marked as down:
  *                   the process may be alive beyond a partition, and what
  *                   was known of it must outlive a snapshot.
@@ -80,7 +79,7 @@
   guint32 copy;
   guint32 memory_mb; /* on each accelerator */
   pu_ledger_phase_t phase;
-} pu_ledger_held_t;
+} pu_ledger_copy_t;
 
 /* What a backend server says of itself: always the whole list.  */
 typedef struct
@@ -94,7 +93,7 @@
   guint32 memory_mb; /* size of each accelerator */
   bool fenced;       /* refuses an order with an old token */
   bool leaving;
-  const pu_ledger_held_t *held;
+  const pu_ledger_copy_t *held;
   guint n_held;
 } pu_ledger_report_t;
 
@@ -116,15 +115,18 @@
   PU_LEDGER_MERGED,   /* the report contradicts a later token: only what it
                          adds is believed */
   PU_LEDGER_STALE     /* an old incarnation or an old report; nothing done */
-} pu_ledger_verdict_t;
+} pu_ledger_report_result_t;
 
 /* Deliberate faults for the tests that show the checks can fail.  */
 typedef enum
 {
   PU_LEDGER_BREAK_NONE = 0,
-  PU_LEDGER_BREAK_NO_CHECK = 1,  /* reserve without looking at the size */
-  PU_LEDGER_BREAK_OWN_TOKEN = 2, /* an order's own token fences it off */
-  PU_LEDGER_BREAK_DOWN_FREES = 4 /* a lost backend server closes its orders */
+  PU_LEDGER_BREAK_NO_MEMORY_CHECK
+  = 1, /* reserve without looking at the size */
+  PU_LEDGER_BREAK_OWN_TOKEN_FENCES
+  = 2, /* an order's own token fences it off */
+  PU_LEDGER_BREAK_DOWN_CLOSES_ORDERS
+  = 4 /* a lost backend server closes its orders */
 } pu_ledger_break_t;
 
 typedef struct
@@ -139,9 +141,9 @@
 /* pu_ledger_backend_up - takes in the report R.  The tokens (guint64) of the
    unload orders that it fences off, which are open no more, are appended to
    CLOSED; it may be NULL.  */
-pu_ledger_verdict_t pu_ledger_backend_up (pu_ledger_t *l,
-                                          const pu_ledger_report_t *r,
-                                          GArray *closed);
+pu_ledger_report_result_t pu_ledger_backend_up (pu_ledger_t *l,
+                                                const pu_ledger_report_t *r,
+                                                GArray *closed);
 
 /* pu_ledger_backend_down - its lease is over.  It takes no reservations until
    the next report; its memory and its open orders stay counted.  False when
@@ -153,9 +155,9 @@
 bool pu_ledger_backend_leaving (pu_ledger_t *l, guint32 backend,
                                 guint64 incarnation);
 
-/* pu_ledger_forget - removes a backend server that is down and has no open
-   order; false otherwise.  For names that will not come back.  */
-bool pu_ledger_forget (pu_ledger_t *l, guint32 backend);
+/* pu_ledger_remove_backend - removes a backend server that is down and has no
+   open order; false otherwise.  For names that will not come back.  */
+bool pu_ledger_remove_backend (pu_ledger_t *l, guint32 backend);
 
 /* pu_ledger_reserve - counts the order O from now on.  A token that is open
    already is accepted again.  Errors: PU_ERROR_NOT_FOUND (backend server not
@@ -176,14 +178,14 @@
                                 bool down);
 void pu_ledger_restore_order (pu_ledger_t *l, const pu_ledger_order_t *o);
 
-/* pu_ledger_backend - fills R with what is believed of BACKEND; held points
-   into the ledger until its next change.  DOWN may be NULL.  False when it is
-   not known.  */
-bool pu_ledger_backend (const pu_ledger_t *l, guint32 backend,
-                        pu_ledger_report_t *r, bool *down);
+/* pu_ledger_get_backend - fills R with what is believed of BACKEND; held
+   points into the ledger until its next change.  DOWN may be NULL.  False when
+   it is not known.  */
+bool pu_ledger_get_backend (const pu_ledger_t *l, guint32 backend,
+                            pu_ledger_report_t *r, bool *down);
 
-/* pu_ledger_committed - MB counted on each accelerator of BACKEND.  */
-guint64 pu_ledger_committed (const pu_ledger_t *l, guint32 backend);
+/* pu_ledger_committed_mb - MB counted on each accelerator of BACKEND.  */
+guint64 pu_ledger_committed_mb (const pu_ledger_t *l, guint32 backend);
 
 /* pu_ledger_free_mb - MB that a new copy may take on each accelerator; 0 when
    the backend server is down, leaving, not known or over its size.  */
--- a/libplantainusher/placement/ledger_test.cc
+++ b/libplantainusher/placement/ledger_test.cc
@@ -18,8 +18,8 @@
 
   ~Ledger () override { pu_ledger_free (l); }
 
-  pu_ledger_verdict_t
-  Report (guint64 seq, guint64 token, std::vector<pu_ledger_held_t> held,
+  pu_ledger_report_result_t
+  Report (guint64 seq, guint64 token, std::vector<pu_ledger_copy_t> held,
           bool fenced = true, guint64 incarnation = 1)
   {
     pu_ledger_report_t r = {};
@@ -47,7 +47,7 @@
   guint64
   Used ()
   {
-    return pu_ledger_committed (l, 1);
+    return pu_ledger_committed_mb (l, 1);
   }
 };
 
@@ -131,7 +131,7 @@
   Load (5, 7, 60);
   pu_ledger_backend_down (l, 1, 1);
   EXPECT_EQ (80u, Used ());
-  EXPECT_FALSE (pu_ledger_forget (l, 1));
+  EXPECT_FALSE (pu_ledger_remove_backend (l, 1));
   Report (1, 0, {}, true, 2);
   EXPECT_EQ (60u, Used ()) << "what was loaded is gone, the order is not";
   EXPECT_EQ (PU_LEDGER_STALE, Report (9, 9, {}, true, 1));
@@ -168,12 +168,12 @@
   Report (1, 4, { { 7, 60, PU_LEDGER_READY } });
   Load (5, 8, 30);
   pu_ledger_backend_down (l, 1, 1);
-  ASSERT_TRUE (pu_ledger_backend (l, 1, &r, &down));
+  ASSERT_TRUE (pu_ledger_get_backend (l, 1, &r, &down));
   GArray *orders = pu_ledger_orders (l);
   for (guint i = 0; i < orders->len; i++)
     pu_ledger_restore_order (m, &g_array_index (orders, pu_ledger_order_t, i));
   pu_ledger_restore_backend (m, &r, down);
-  EXPECT_EQ (90u, pu_ledger_committed (m, 1));
+  EXPECT_EQ (90u, pu_ledger_committed_mb (m, 1));
   EXPECT_EQ (0u, pu_ledger_free_mb (m, 1)) << "it is down";
   g_array_unref (orders);
   pu_ledger_free (m);
--- a/libplantainusher/placement/planner.c
+++ b/libplantainusher/placement/planner.c
@@ -35,7 +35,7 @@
   c->c.phase = PU_PLAN_LEAVING;
   c->since = r->now;
   emit (r, PU_MOVE_UNLOAD, engine, c, reason, for_item);
-  pu_planner_spread_item (r->p, c->c.item);
+  pu_planner_spread_item_demand (r->p, c->c.item);
 }
 
 /* Puts the copy C on ENGINE's list.  */
@@ -44,13 +44,13 @@
 {
   pu_planned_engine_t *e = pu_planned_engine (r->p, engine);
   pu_planned_item_t *t = pu_planned_item (r->p, c->c.item);
-  pu_place_t at = { engine, e->copies->len };
+  pu_copy_location_t at = { engine, e->copies->len };
 
   g_array_append_val (e->copies, *c);
   g_array_append_val (t->places, at);
   t->coming++;
   pu_planner_hold (r->p, engine, c->c.item);
-  pu_planner_spread_item (r->p, c->c.item);
+  pu_planner_spread_item_demand (r->p, c->c.item);
 }
 
 void
@@ -86,9 +86,9 @@
   c.gain = gain;
   c.price = price;
   t->no_room = false;
-  t->opens_until = 0;
+  t->evacuated_until = 0;
   if (r->v.slots->len == 0
-      && (pu_round_store_takes_urgent (r) || pu_planned_quick (e, item)))
+      && (pu_round_may_start_urgent_load (r) || pu_planned_quick (e, item)))
     {
       pu_round_emit_load (r, engine, &c);
       place (r, engine, &c);
@@ -97,32 +97,33 @@
   for (guint i = 0; i < r->v.slots->len; i++)
     {
       emit_unload (r, engine, g_array_index (r->v.slots, guint, i),
-                   PU_REASON_ROOM, item);
+                   PU_REASON_MAKE_ROOM, item);
     }
   c.promised = true;
   e->promised = true;
-  e->promise = c;
-  e->promise_until = r->now + PROMISE_MS;
+  e->deferred_load = c;
+  e->deferred_until = r->now + PROMISE_MS;
   r->p->promised++;
   place (r, engine, &c);
 }
 
 bool
-pu_round_store_takes_urgent (const pu_round_t *r)
+pu_round_may_start_urgent_load (const pu_round_t *r)
 {
-  return r->full || (r->p->coming < r->p->o.max_coming && r->p->store > 0);
+  return r->full
+         || (r->p->coming < r->p->o.max_concurrent_loads && r->p->store > 0);
 }
 
 bool
-pu_round_store_takes (const pu_round_t *r)
+pu_round_may_start_load (const pu_round_t *r)
 {
   return r->full
-         || (r->p->coming + r->p->promised < r->p->o.max_coming
+         || (r->p->coming + r->p->promised < r->p->o.max_concurrent_loads
              && r->p->promised < r->p->store);
 }
 
 bool
-pu_round_may_try (const pu_round_t *r, const pu_planned_item_t *t)
+pu_round_may_place (const pu_round_t *r, const pu_planned_item_t *t)
 {
   return t->declared && r->now >= t->not_before;
 }
@@ -145,13 +146,15 @@
   guint32 engine
       = pu_planner_choose (r->p, item, version, room, r->now, &r->v);
 
-  if (engine == PU_PLAN_NONE && room == PU_ROOM_MINIMUM && !r->p->waits_turn)
+  if (engine == PU_PLAN_NONE && room == PU_EVICT_TO_LAST
+      && !r->p->only_loading_engines_fit)
     {
-      r->p->lean = true;
+      r->p->ignore_adapters = true;
       engine = pu_planner_choose (r->p, item, version, room, r->now, &r->v);
-      r->p->lean = false;
+      r->p->ignore_adapters = false;
     }
-  if (engine == PU_PLAN_NONE && (r->p->quick_only || r->p->waits_turn))
+  if (engine == PU_PLAN_NONE
+      && (r->p->cached_only || r->p->only_loading_engines_fit))
     return false;
   if (engine == PU_PLAN_NONE)
     {
@@ -170,7 +173,7 @@
   guint old_any;
   guint new_ready;
   guint new_any;
-  pu_place_t old_place; /* of a ready copy of another version */
+  pu_copy_location_t old_place; /* of a ready copy of another version */
 } pu_versions_t;
 
 static pu_versions_t
@@ -181,7 +184,7 @@
 
   for (guint i = 0; i < t->places->len; i++)
     {
-      pu_place_t at = pu_item_place (t, i);
+      pu_copy_location_t at = pu_item_location (t, i);
       const pu_planned_copy_t *c
           = pu_planned_copy (pu_planned_engine (p, at.engine), at.slot);
       bool ready = c->c.phase == PU_PLAN_READY;
@@ -205,7 +208,7 @@
 /* Loads copies elsewhere of the adapters that keep the base in PLACE from
    being unloaded.  */
 static void
-free_adapters (pu_round_t *r, pu_place_t place)
+free_adapters (pu_round_t *r, pu_copy_location_t place)
 {
   const pu_planned_engine_t *e = pu_planned_engine (r->p, place.engine);
   guint32 base = pu_planned_copy (e, place.slot)->c.item;
@@ -217,19 +220,20 @@
 
       if (t->i.base != base || t->ready > 1 || t->coming > 0)
         continue;
-      if (pu_round_may_try (r, t) && pu_round_store_takes (r))
-        pu_round_try_load (r, item, PU_ROOM_MINIMUM, PU_REASON_VERSION);
+      if (pu_round_may_place (r, t) && pu_round_may_start_load (r))
+        pu_round_try_load (r, item, PU_EVICT_TO_LAST, PU_REASON_VERSION);
       e = pu_planned_engine (r->p, place.engine);
     }
 }
 
 /* Unloads the copy in PLACE with the adapters beside it, when they may.  */
 static bool
-unload_bundle (pu_round_t *r, pu_place_t place, pu_plan_reason_t reason)
+unload_bundle (pu_round_t *r, pu_copy_location_t place,
+               pu_plan_reason_t reason)
 {
   GArray *slots = g_array_new (FALSE, FALSE, sizeof (guint));
   bool may = pu_planner_bundle (r->p, place.engine, place.slot, PU_PLAN_NONE,
-                                PU_ROOM_MINIMUM, slots);
+                                PU_EVICT_TO_LAST, slots);
 
   for (guint i = 0; may && i < slots->len; i++)
     {
@@ -248,7 +252,7 @@
   guint64 watch = (guint64)(r->p->o.watch_s * MS_PER_S);
   bool watched = t->rolled_back || r->full
                  || (t->first_ready != 0 && r->now >= t->first_ready + watch);
-  guint keep = t->no_room ? least : MAX (least, t->copies_before);
+  guint keep = t->no_room ? least : MAX (least, t->copies_before_change);
 
   if (n->new_ready == 0 || n->old_ready == 0 || !watched)
     return;
@@ -270,18 +274,19 @@
   if (n.old_any == 0)
     {
       t->first_ready = 0;
-      t->copies_before = 0;
+      t->copies_before_change = 0;
       return;
     }
-  if (t->copies_before == 0)
-    t->copies_before = MAX (1, n.old_ready + n.new_ready);
+  if (t->copies_before_change == 0)
+    t->copies_before_change = MAX (1, n.old_ready + n.new_ready);
   if (n.new_ready > 0 && t->first_ready == 0)
     t->first_ready = r->now;
-  target = MIN (t->copies_before, t->i.max_copies);
-  if (n.new_any < target && t->coming == 0 && pu_round_may_try (r, t)
-      && pu_round_base_is_ready (r, t) && pu_round_store_takes (r))
+  target = MIN (t->copies_before_change, t->i.max_copies);
+  if (n.new_any < target && t->coming == 0 && pu_round_may_place (r, t)
+      && pu_round_base_is_ready (r, t) && pu_round_may_start_load (r))
     {
-      pu_room_t room = n.new_any == 0 ? PU_ROOM_MINIMUM : PU_ROOM_SPARE;
+      pu_room_t room
+          = n.new_any == 0 ? PU_EVICT_TO_LAST : PU_EVICT_ABOVE_MINIMUM;
 
       pu_round_try_load (r, item, room, reason);
     }
@@ -308,14 +313,15 @@
   for (guint32 i = 0; i < r->p->items->len; i++)
     {
       const pu_planned_item_t *t = pu_planned_item (r->p, i);
-      bool surplus = t->declared && t->coming == 0 && t->copies_before == 0
+      bool surplus = t->declared && t->coming == 0
+                     && t->copies_before_change == 0
                      && t->ready > MAX (1, t->i.max_copies);
 
       if (t->declared && !surplus)
         continue;
       for (guint k = 0; k < t->places->len; k++)
         {
-          pu_place_t at = pu_item_place (t, k);
+          pu_copy_location_t at = pu_item_location (t, k);
           const pu_planned_copy_t *c
               = pu_planned_copy (pu_planned_engine (r->p, at.engine), at.slot);
 
@@ -338,13 +344,13 @@
 advance (pu_planner_t *p, guint64 now)
 {
   guint64 ms = now - p->last_advance;
-  pu_forecast_period_t period;
+  pu_forecast_weights_t period;
 
-  if (p->last_advance != 0 && ms < p->o.advance_ms)
+  if (p->last_advance != 0 && ms < p->o.forecast_period_ms)
     return;
   if (p->last_advance == 0)
-    ms = p->o.advance_ms;
-  period = pu_forecast_period (&p->o.forecast, ms / (double)MS_PER_S);
+    ms = p->o.forecast_period_ms;
+  period = pu_forecast_get_weights (&p->o.forecast, ms / (double)MS_PER_S);
   for (guint i = 0; i < p->items->len; i++)
     {
       pu_forecast_advance (&pu_planned_item (p, i)->forecast, &p->o.forecast,
@@ -361,19 +367,19 @@
   pu_planner_index (r->p, r->now);
   pu_planner_spread (r->p);
   r->v.slots = g_array_new (FALSE, FALSE, sizeof (guint));
-  pu_round_keep_promises (r, false);
-  pu_round_repair_asked (r);
-  idle_first = r->full || r->p->grew || !pu_round_is_hot (r);
+  pu_round_start_deferred (r, false);
+  pu_round_repair_in_demand (r);
+  idle_first = r->full || r->p->grew || !pu_round_any_engine_hot (r);
   if (idle_first)
     pu_round_repair_idle (r);
   change_versions (r);
   unload_undeclared (r);
-  if (r->full || !r->lacking)
-    pu_round_follow_demand (r);
+  if (r->full || !r->missing_in_demand)
+    pu_round_scale_up (r);
   if (!idle_first)
     pu_round_repair_idle (r);
   if (r->full || !r->repairing)
-    pu_round_use_spare (r);
+    pu_round_fill_spare_memory (r);
   g_array_unref (r->v.slots);
 }
 
@@ -444,7 +450,8 @@
 }
 
 void
-pu_planner_full (const pu_planner_t *p, guint64 now, GArray *moves)
+pu_planner_plan_until_stable (const pu_planner_t *p, guint64 now,
+                              GArray *moves)
 {
   pu_planner_t *q = pu_planner_clone (p);
 
--- a/libplantainusher/placement/planner.h
+++ b/libplantainusher/placement/planner.h
@@ -82,11 +82,11 @@
   PU_REASON_VERSION,     /* the declared version differs */
   PU_REASON_ROLL_BACK,   /* the new version failed */
   PU_REASON_UNDECLARED,
-  PU_REASON_MAXIMUM, /* more copies than declared */
-  PU_REASON_DEMAND,  /* the forecast gain exceeds the price */
-  PU_REASON_SPARE,   /* free memory, one more copy for a burst or a loss */
-  PU_REASON_ROOM,    /* unloaded to make room for another item */
-  PU_REASON_FOUND    /* it was there when this planner began */
+  PU_REASON_MAXIMUM,    /* more copies than declared */
+  PU_REASON_DEMAND,     /* the forecast gain exceeds the price */
+  PU_REASON_SPARE,      /* free memory, one more copy for a burst or a loss */
+  PU_REASON_MAKE_ROOM,  /* unloaded to make room for another item */
+  PU_REASON_PREEXISTING /* it was there when this planner began */
 } pu_plan_reason_t;
 
 typedef enum
@@ -103,7 +103,7 @@
   guint32 version;
   guint32 memory_mb;
   pu_plan_reason_t reason;
-  guint32 for_item; /* PU_REASON_ROOM: what the room is for */
+  guint32 for_item; /* PU_REASON_MAKE_ROOM: what the room is for */
   double gain;      /* late stream-seconds saved over the pay-back time */
   double price;     /* in the same unit */
 } pu_move_t;
@@ -121,13 +121,14 @@
   double payback_s;    /* a move must pay within this time */
   double move_price;   /* late stream-seconds that a move is worth, at 0 */
   double min_stay_s;
-  double watch_s;     /* version change: ready until the old one goes */
-  guint max_failures; /* of loading a new version, until the roll-back */
-  guint advance_ms;   /* the forecast takes the demand in so often */
-  guint max_coming;   /* loads under way at once: the store's full speed */
-  double hot;         /* engines above this use are looked at */
+  double watch_s;           /* version change: ready until the old one goes */
+  guint max_failures;       /* of loading a new version, until the roll-back */
+  guint forecast_period_ms; /* the forecast takes the demand in so often */
+  guint max_concurrent_loads; /* loads under way at once: the store's full
+                                 speed */
+  double hot;                 /* engines above this use are looked at */
   bool zone_spread;
-  bool one_load; /* an engine carries out one load after the other: none is
+  bool serial_loads; /* an engine carries out one load after the other: none is
                     ordered only to wait there for another's end */
   pu_forecast_options_t forecast;
   guint test_breaks; /* pu_planner_break_t; 0 outside tests */
@@ -150,29 +151,29 @@
 void pu_planner_set_engine (pu_planner_t *p, guint32 engine,
                             const pu_plan_engine_t *e, guint64 now);
 
-/* pu_planner_set_quick - a copy of ITEM on ENGINE would not come from the
+/* pu_planner_set_cached - a copy of ITEM on ENGINE would not come from the
    weights store (QUICK): its disk or its host's memory has it.  Said of an
    engine before pu_planner_set_engine too; stands until it is said anew.  */
-void pu_planner_set_quick (pu_planner_t *p, guint32 engine, guint32 item,
-                           bool quick);
+void pu_planner_set_cached (pu_planner_t *p, guint32 engine, guint32 item,
+                            bool quick);
 
-/* pu_planner_set_store - the store lets N loads begin now: those most needed
-   are to get them, and none is ordered only to wait for the store.  Without
-   this call max_coming alone bounds them.  */
-void pu_planner_set_store (pu_planner_t *p, guint n);
+/* pu_planner_set_load_slots - the store lets N loads begin now: those most
+   needed are to get them, and none is ordered only to wait for the store.
+   Without this call max_concurrent_loads alone bounds them.  */
+void pu_planner_set_load_slots (pu_planner_t *p, guint n);
 
 /* pu_planner_set_item - declares ITEM; I NULL: it is no longer declared.  */
 void pu_planner_set_item (pu_planner_t *p, guint32 item,
                           const pu_plan_item_t *i);
 
-/* pu_planner_set_least - ITEM is to have at least LEAST copies from now on,
-   until it is declared anew.  */
-void pu_planner_set_least (pu_planner_t *p, guint32 item, guint32 least);
+/* pu_planner_set_min_copies - ITEM is to have at least LEAST copies from now
+   on, until it is declared anew.  */
+void pu_planner_set_min_copies (pu_planner_t *p, guint32 item, guint32 least);
 
-/* pu_planner_demand - REQUESTS for ITEM arrived since the last call, which
+/* pu_planner_add_demand - REQUESTS for ITEM arrived since the last call, which
    need STREAM_MS in all on engines that are not crowded.  */
-void pu_planner_demand (pu_planner_t *p, guint32 item, guint32 requests,
-                        double stream_ms);
+void pu_planner_add_demand (pu_planner_t *p, guint32 item, guint32 requests,
+                            double stream_ms);
 
 /* pu_planner_load_failed - a load of VERSION of ITEM on ENGINE was given up,
    or a ready copy was lost while the engine went on.  ENGINE is not tried
@@ -191,9 +192,10 @@
    by pu_planner_set_engine, before the next step, what became of each.  */
 void pu_planner_step (pu_planner_t *p, guint64 now, GArray *moves);
 
-/* pu_planner_full - all moves from here to where steps would end, were the
-   store without limits.  P itself is not changed.  */
-void pu_planner_full (const pu_planner_t *p, guint64 now, GArray *moves);
+/* pu_planner_plan_until_stable - all moves from here to where steps would end,
+   were the store without limits.  P itself is not changed.  */
+void pu_planner_plan_until_stable (const pu_planner_t *p, guint64 now,
+                                   GArray *moves);
 
 /* pu_planner_what_if - the same with other items: ITEMS[i] replaces item i of
    N; NULL stands for one that is not declared.  */
@@ -201,8 +203,8 @@
                          const pu_plan_item_t *const *items, guint n,
                          guint64 now, GArray *moves);
 
-/* pu_planner_ready - ready copies of ITEM on usable engines.  */
-guint pu_planner_ready (const pu_planner_t *p, guint32 item);
+/* pu_planner_ready_copies - ready copies of ITEM on usable engines.  */
+guint pu_planner_ready_copies (const pu_planner_t *p, guint32 item);
 
 /* How an item stands with its callers.  */
 typedef enum
@@ -220,8 +222,10 @@
                                        guint64 now);
 const char *pu_item_state_name (pu_item_state_t s);
 
-/* pu_planner_wants - whether ITEM should have VERSION and no copy is ready. */
-bool pu_planner_wants (const pu_planner_t *p, guint32 item, guint32 version);
+/* pu_planner_needs_version - whether ITEM should have VERSION and no copy is
+ * ready. */
+bool pu_planner_needs_version (const pu_planner_t *p, guint32 item,
+                               guint32 version);
 
 /* pu_planner_may_unload - whether another copy of ITEM is ready, so that the
    one on ENGINE may go, or that one is not ready.  Asked again whenever an
@@ -241,7 +245,7 @@
                               GString *out);
 
 /* pu_planner_copy_reason - why VERSION of ITEM came to ENGINE;
-   PU_REASON_FOUND when that is not known.  */
+   PU_REASON_PREEXISTING when that is not known.  */
 pu_plan_reason_t pu_planner_copy_reason (const pu_planner_t *p, guint32 engine,
                                          guint32 item, guint32 version);
 
--- a/libplantainusher/placement/planner_choose.c
+++ b/libplantainusher/placement/planner_choose.c
@@ -18,7 +18,7 @@
 #define MS_PER_S 1000
 
 guint32
-pu_planned_free (const pu_planned_engine_t *e)
+pu_planned_free_mb (const pu_planned_engine_t *e)
 {
   return e->committed_mb < e->memory_mb ? e->memory_mb - e->committed_mb : 0;
 }
@@ -26,7 +26,7 @@
 guint32
 pu_planned_room (const pu_planned_engine_t *e, const pu_planned_item_t *t)
 {
-  guint32 free = pu_planned_free (e);
+  guint32 free = pu_planned_free_mb (e);
   bool waits = t->i.base != PU_PLAN_NONE && t->ready == 0;
 
   if (waits)
@@ -39,7 +39,7 @@
 {
   guint32 need = t->i.memory_mb;
 
-  for (guint i = 0; !p->lean && i < t->adapters->len; i++)
+  for (guint i = 0; !p->ignore_adapters && i < t->adapters->len; i++)
     {
       guint32 a = g_array_index (t->adapters, guint32, i);
 
@@ -57,7 +57,7 @@
   memset (p->zone_copies, 0, p->n_zones * sizeof *p->zone_copies);
   for (guint i = 0; i < t->places->len; i++)
     {
-      pu_place_t at = pu_item_place (t, i);
+      pu_copy_location_t at = pu_item_location (t, i);
       const pu_planned_engine_t *e = pu_planned_engine (p, at.engine);
       const pu_planned_copy_t *c = pu_planned_copy (e, at.slot);
 
@@ -102,7 +102,7 @@
   if (!e->usable || e->closed || e->promised || need > e->memory_mb
       || e->accelerators < t->i.accelerators || p->mark[engine] == p->stamp)
     return false;
-  if (p->quick_only && !pu_planned_quick (e, item))
+  if (p->cached_only && !pu_planned_quick (e, item))
     return false;
   if (e->blocks->len > 0 && blocked (e, item))
     return false;
@@ -127,7 +127,7 @@
 
   for (guint i = 0; i < t->places->len; i++)
     {
-      pu_place_t at = pu_item_place (t, i);
+      pu_copy_location_t at = pu_item_location (t, i);
       const pu_planned_engine_t *e = pu_planned_engine (p, at.engine);
 
       if (pu_planned_copy (e, at.slot)->c.phase == PU_PLAN_READY)
@@ -145,7 +145,7 @@
   const pu_planned_item_t *t = pu_planned_item (p, c->c.item);
   const pu_planned_item_t *wants
       = item != PU_PLAN_NONE ? pu_planned_item (p, item) : NULL;
-  guint keep = room == PU_ROOM_MINIMUM ? 1 : MAX (1, t->i.min_copies);
+  guint keep = room == PU_EVICT_TO_LAST ? 1 : MAX (1, t->i.min_copies);
 
   if (c->c.phase != PU_PLAN_READY)
     return false;
@@ -153,7 +153,7 @@
     return false;
   if (!t->declared)
     return true;
-  if (room == PU_ROOM_SPARE && t->coming > 0 && grows (p, t))
+  if (room == PU_EVICT_ABOVE_MINIMUM && t->coming > 0 && grows (p, t))
     return false;
   if (c->c.item == item && c->c.version == pu_planned_version (t))
     return false;
@@ -219,7 +219,7 @@
       if (taken (v->slots, s))
         continue;
       g_array_append_val (v->slots, s);
-      v->young += is_young (p, c, now);
+      v->n_young += is_young (p, c, now);
       memory_mb += c->c.memory_mb;
       pu_planned_item (p, c->c.item)->ready--;
     }
@@ -237,11 +237,11 @@
   *mb = 0;
   for (guint i = 0; i < slots->len; i++)
     {
-      pu_place_t at = { engine, g_array_index (slots, guint, i) };
+      pu_copy_location_t at = { engine, g_array_index (slots, guint, i) };
       const pu_planned_copy_t *c = pu_planned_copy (e, at.slot);
 
       *mb += c->c.memory_mb;
-      if (room == PU_ROOM_MINIMUM)
+      if (room == PU_EVICT_TO_LAST)
         loss += DRAIN_LOSS * c->share;
       if (pu_planned_item (p, c->c.item)->declared)
         loss += pu_planner_loss (p, c->c.item, at, i + 1 < slots->len);
@@ -289,9 +289,9 @@
   GArray *best;
 
   v->loss = 0;
-  v->young = 0;
+  v->n_young = 0;
   g_array_set_size (v->slots, 0);
-  if (have >= need || room == PU_ROOM_NONE)
+  if (have >= need || room == PU_EVICT_NONE)
     return have >= need;
 
   best = g_array_new (FALSE, FALSE, sizeof (guint));
@@ -371,7 +371,7 @@
 static bool
 is_taken (const pu_planner_t *p, const pu_planned_engine_t *e)
 {
-  return p->o.one_load && e->loading > 0;
+  return p->o.serial_loads && e->loading > 0;
 }
 
 /* The engine with the lowest score that has NEED MB free, or PU_PLAN_NONE;
@@ -401,7 +401,7 @@
         continue;
       if (is_taken (p, e))
         {
-          p->waits_turn = p->waits_turn || free;
+          p->only_loading_engines_fit = p->only_loading_engines_fit || free;
           continue;
         }
       if (!free)
@@ -424,7 +424,8 @@
 static bool
 waits_for_turn (const pu_planner_t *p, guint32 item)
 {
-  return p->waits_turn && !pu_planned_asked (pu_planned_item (p, item));
+  return p->only_loading_engines_fit
+         && !pu_planned_in_demand (pu_planned_item (p, item));
 }
 
 guint32
@@ -432,24 +433,25 @@
                    pu_room_t room, guint64 now, pu_victims_t *v)
 {
   /* When nothing else would do, every engine is tried.  */
-  guint tries = room == PU_ROOM_MINIMUM ? p->engines->len : ROOM_TRIES;
+  guint tries = room == PU_EVICT_TO_LAST ? p->engines->len : ROOM_TRIES;
   guint32 engines[tries + 1];
   double scores[tries + 1];
-  ranked_t full = { engines, scores, 0, room == PU_ROOM_NONE ? 0 : tries };
+  ranked_t full = { engines, scores, 0, room == PU_EVICT_NONE ? 0 : tries };
   guint32 need = pu_planned_need (p, pu_planned_item (p, item));
   double least = 0;
   guint32 best;
 
   pu_planner_mark_item (p, item, version);
   v->loss = 0;
-  v->young = 0;
+  v->n_young = 0;
   g_array_set_size (v->slots, 0);
-  p->waits_turn = false;
+  p->only_loading_engines_fit = false;
   best = find_free (p, item, need, &least, &full);
-  p->waits_turn = p->waits_turn && best == PU_PLAN_NONE;
+  p->only_loading_engines_fit
+      = p->only_loading_engines_fit && best == PU_PLAN_NONE;
   if (waits_for_turn (p, item))
     return PU_PLAN_NONE;
-  if (best != PU_PLAN_NONE && (room == PU_ROOM_MINIMUM || !crowded (p, best)))
+  if (best != PU_PLAN_NONE && (room == PU_EVICT_TO_LAST || !crowded (p, best)))
     return best;
 
   for (guint i = 0; i < full.n; i++)
@@ -465,7 +467,7 @@
     }
   if (best != PU_PLAN_NONE)
     {
-      p->waits_turn = false;
+      p->only_loading_engines_fit = false;
       pu_planner_victims (p, best, item, room, now, v);
     }
   return best;
--- a/libplantainusher/placement/planner_explain.c
+++ b/libplantainusher/placement/planner_explain.c
@@ -24,9 +24,9 @@
       return "forecast demand";
     case PU_REASON_SPARE:
       return "spare memory";
-    case PU_REASON_ROOM:
+    case PU_REASON_MAKE_ROOM:
       return "room for another";
-    case PU_REASON_FOUND:
+    case PU_REASON_PREEXISTING:
       return "found there";
     }
   return "?";
@@ -160,7 +160,7 @@
   const pu_planned_engine_t *e;
 
   if (engine >= p->engines->len)
-    return PU_REASON_FOUND;
+    return PU_REASON_PREEXISTING;
   e = pu_planned_engine (p, engine);
   for (guint s = 0; s < e->copies->len; s++)
     {
@@ -169,7 +169,7 @@
       if (c->c.item == item && c->c.version == version)
         return c->reason;
     }
-  return PU_REASON_FOUND;
+  return PU_REASON_PREEXISTING;
 }
 
 void
@@ -181,7 +181,7 @@
                           item_name (p, m->item), m->version,
                           m->kind == PU_MOVE_LOAD ? "on" : "from", m->engine,
                           pu_plan_reason_name (m->reason));
-  if (m->reason == PU_REASON_ROOM)
+  if (m->reason == PU_REASON_MAKE_ROOM)
     g_string_append_printf (out, " (%s)", item_name (p, m->for_item));
   if (m->gain > 0)
     {
--- a/libplantainusher/placement/planner_grow.c
+++ b/libplantainusher/placement/planner_grow.c
@@ -77,7 +77,7 @@
 
   for (guint i = 0; i < t->places->len; i++)
     {
-      pu_place_t at = pu_item_place (t, i);
+      pu_copy_location_t at = pu_item_location (t, i);
       const pu_planned_engine_t *e = pu_planned_engine (p, at.engine);
 
       if (pu_planned_copy (e, at.slot)->c.phase != PU_PLAN_LEAVING)
@@ -106,13 +106,13 @@
   pu_offer_t o = { item, PU_PLAN_NONE, 0, 0, 0 };
 
   o.engine = pu_planner_choose (r->p, item, pu_planned_version (t),
-                                PU_ROOM_SPARE, r->now, &r->v);
+                                PU_EVICT_ABOVE_MINIMUM, r->now, &r->v);
   if (o.engine == PU_PLAN_NONE)
     return o;
   o.gain = r->p->o.payback_s * pu_planner_gain (r->p, item, o.engine);
-  o.price
-      = r->p->o.payback_s * r->v.loss
-        + move_price (r->p) * (1 + r->v.slots->len + YOUNG_PRICE * r->v.young);
+  o.price = r->p->o.payback_s * r->v.loss
+            + move_price (r->p)
+                  * (1 + r->v.slots->len + YOUNG_PRICE * r->v.n_young);
   o.rank = (o.gain - o.price) * pressure (r->p, t);
   return o;
 }
@@ -145,8 +145,8 @@
 static bool
 may_add (const pu_round_t *r, const pu_planned_item_t *t)
 {
-  return pu_round_may_try (r, t) && t->ready > 0
-         && copies (t) < t->i.max_copies && t->copies_before == 0
+  return pu_round_may_place (r, t) && t->ready > 0
+         && copies (t) < t->i.max_copies && t->copies_before_change == 0
          && pu_round_base_is_ready (r, t);
 }
 
@@ -211,7 +211,7 @@
 }
 
 bool
-pu_round_is_hot (const pu_round_t *r)
+pu_round_any_engine_hot (const pu_round_t *r)
 {
   guint32 hot[HOT_ENGINES];
 
@@ -223,14 +223,14 @@
 static bool
 store_takes_growth (const pu_round_t *r)
 {
-  if (r->full || !r->idle_lacking)
-    return pu_round_store_takes (r);
-  return !r->p->grew && pu_round_store_takes_urgent (r);
+  if (r->full || !r->missing_any)
+    return pu_round_may_start_load (r);
+  return !r->p->grew && pu_round_may_start_urgent_load (r);
 }
 
 /* Phase 5.  */
 void
-pu_round_follow_demand (pu_round_t *r)
+pu_round_scale_up (pu_round_t *r)
 {
   guint max = r->full ? DEMAND_MOVES_FULL : DEMAND_MOVES;
 
@@ -238,8 +238,8 @@
     {
       pu_offer_t o;
 
-      r->p->quick_only = !store_takes_growth (r);
-      if (r->p->quick_only && !r->p->any_quick)
+      r->p->cached_only = !store_takes_growth (r);
+      if (r->p->cached_only && !r->p->any_cached)
         break;
       o = best_offer (r);
       if (o.engine == PU_PLAN_NONE)
@@ -247,11 +247,11 @@
       /* The victims of the best offer, which later offers wrote over.  */
       o.engine = pu_planner_choose (
           r->p, o.item, pu_planned_version (pu_planned_item (r->p, o.item)),
-          PU_ROOM_SPARE, r->now, &r->v);
+          PU_EVICT_ABOVE_MINIMUM, r->now, &r->v);
       pu_round_load (r, o.engine, o.item, PU_REASON_DEMAND, o.gain, o.price);
-      r->p->grew = r->p->grew || !r->p->quick_only;
+      r->p->grew = r->p->grew || !r->p->cached_only;
     }
-  r->p->quick_only = false;
+  r->p->cached_only = false;
 }
 
 /* Copies of T that spare memory may be given to.  */
@@ -276,7 +276,7 @@
       const pu_planned_engine_t *e = pu_planned_engine (p, i);
 
       if (e->usable && !e->closed && !e->promised)
-        most = MAX (most, pu_planned_free (e));
+        most = MAX (most, pu_planned_free_mb (e));
     }
   return most;
 }
@@ -300,8 +300,9 @@
       double n = copies (t);
       pu_exposed_t x = { i, 0 };
 
-      if (t->coming > 0 || t->i.memory_mb > free_mb || r->now < t->spare_after
-          || !may_add (r, t) || n >= spare_copies (r->p, t, streams))
+      if (t->coming > 0 || t->i.memory_mb > free_mb
+          || r->now < t->spare_not_before || !may_add (r, t)
+          || n >= spare_copies (r->p, t, streams))
         continue;
       x.exposed = (1 + t->forecast.held) * t->i.importance / (n * n);
       g_array_append_val (exposed, x);
@@ -332,13 +333,13 @@
 /* Phase 6.  A load makes its own item coming, and takes no room from those
    that have a copy: the list is made once.  */
 void
-pu_round_use_spare (pu_round_t *r)
+pu_round_fill_spare_memory (pu_round_t *r)
 {
   guint tries = r->full ? r->p->items->len : SPARE_TRIES;
-  bool any_hot = pu_round_is_hot (r);
+  bool any_hot = pu_round_any_engine_hot (r);
   GArray *exposed;
 
-  if (!r->p->any_quick && (any_hot || !pu_round_store_takes (r)))
+  if (!r->p->any_cached && (any_hot || !pu_round_may_start_load (r)))
     return;
   exposed = find_exposed (r, mean_streams (r->p), most_free (r->p));
   for (guint i = 0; i < tries && exposed->len > 0; i++)
@@ -347,20 +348,21 @@
       guint32 engine;
 
       /* While an engine is hot, the store is for what it holds.  */
-      r->p->quick_only = any_hot || !pu_round_store_takes (r);
+      r->p->cached_only = any_hot || !pu_round_may_start_load (r);
       engine = pu_planner_choose (
           r->p, item, pu_planned_version (pu_planned_item (r->p, item)),
-          PU_ROOM_NONE, r->now, &r->v);
+          PU_EVICT_NONE, r->now, &r->v);
 
       if (engine != PU_PLAN_NONE)
         {
           pu_round_load (r, engine, item, PU_REASON_SPARE, 0, 0);
         }
-      else if (!r->p->quick_only && !r->p->waits_turn)
+      else if (!r->p->cached_only && !r->p->only_loading_engines_fit)
         {
-          pu_planned_item (r->p, item)->spare_after = r->now + SPARE_WAIT_MS;
+          pu_planned_item (r->p, item)->spare_not_before
+              = r->now + SPARE_WAIT_MS;
         }
     }
-  r->p->quick_only = false;
+  r->p->cached_only = false;
   g_array_unref (exposed);
 }
--- a/libplantainusher/placement/planner_internal.h
+++ b/libplantainusher/placement/planner_internal.h
@@ -20,7 +20,7 @@
   pu_plan_copy_t c;
   pu_plan_reason_t reason;
   guint64 since;    /* when it came to its phase */
-  guint32 for_item; /* PU_REASON_ROOM: whom it makes room for */
+  guint32 for_item; /* PU_REASON_MAKE_ROOM: whom it makes room for */
   double gain;      /* of the move that brought it */
   double price;
   double share;  /* streams of its item's demand that come to it */
@@ -53,15 +53,15 @@
   double load;       /* streams expected on it */
   double weight;     /* the same, times importance */
   bool promised;     /* room is being made for `promise` */
-  pu_planned_copy_t promise;
-  guint64 promise_until;
+  pu_planned_copy_t deferred_load;
+  guint64 deferred_until;
 } pu_planned_engine_t;
 
 typedef struct
 {
   guint32 engine;
   guint slot; /* in the engine's copies */
-} pu_place_t;
+} pu_copy_location_t;
 
 typedef struct
 {
@@ -69,20 +69,20 @@
   pu_plan_item_t i; /* its name is owned */
   bool rolled_back;
   guint failures;
-  guint64 first_ready;  /* of the declared version beside an older one; 0 */
-  guint64 lost_since;   /* when its last ready copy was missed; 0: has one */
-  guint64 not_before;   /* no load before, after a failure or a try in vain */
-  guint64 spare_after;  /* no spare copy before, after a try in vain */
-  guint32 opens_engine; /* where room is being opened for it, */
-  guint64 opens_until;  /* and until when; 0: nowhere */
-  bool no_room;         /* the last try found no engine */
+  guint64 first_ready; /* of the declared version beside an older one; 0 */
+  guint64 lost_since;  /* when its last ready copy was missed; 0: has one */
+  guint64 not_before;  /* no load before, after a failure or a try in vain */
+  guint64 spare_not_before; /* no spare copy before, after a try in vain */
+  guint32 evacuated_engine; /* where room is being opened for it, */
+  guint64 evacuated_until;  /* and until when; 0: nowhere */
+  bool no_room;             /* the last try found no engine */
   pu_forecast_t forecast;
-  GArray *places;   /* of pu_place_t: copies on usable engines */
+  GArray *places;   /* of pu_copy_location_t: copies on usable engines */
   GArray *adapters; /* of guint32: items whose base this is */
   guint ready;
-  guint coming;        /* ordered, loading or promised */
-  guint slow;          /* of them, promised long ago, while ready is 0 */
-  guint copies_before; /* ready when a version change began; 0: none */
+  guint coming; /* ordered, loading or promised */
+  guint slow;   /* of them, promised long ago, while ready is 0 */
+  guint copies_before_change; /* ready when a version change began; 0: none */
 } pu_planned_item_t;
 
 struct pu_planner
@@ -91,18 +91,19 @@
   GArray *engines; /* of pu_planned_engine_t */
   GArray *items;   /* of pu_planned_item_t */
   guint64 last_advance;
-  pu_forecast_common_t common;
-  guint coming;    /* loads under way from the store, all items */
-  guint store;     /* loads that it lets begin now */
-  bool grew;       /* the last turn of the store went to demand */
-  bool any_quick;  /* an engine has something that needs no store */
-  bool quick_only; /* it takes no more: only what it need not give */
-  bool waits_turn; /* the last choice: none yet, but engines that load now */
-  guint promised;  /* loads that wait for room, all items */
-  bool lean;       /* a base needs no room for its adapters beside it */
-  guint32 *mark;   /* by engine: stamp of the item that it holds */
-  double *other;   /* scratch by place: load without the item */
-  double *filled;  /* scratch by place: the item's share */
+  pu_forecast_request_stats_t common;
+  guint coming;     /* loads under way from the store, all items */
+  guint store;      /* loads that it lets begin now */
+  bool grew;        /* the last turn of the store went to demand */
+  bool any_cached;  /* an engine has something that needs no store */
+  bool cached_only; /* it takes no more: only what it need not give */
+  bool only_loading_engines_fit; /* the last choice: none yet, but engines that
+                                    load now */
+  guint promised;                /* loads that wait for room, all items */
+  bool ignore_adapters; /* a base needs no room for its adapters beside it */
+  guint32 *mark;        /* by engine: stamp of the item that it holds */
+  double *other;        /* scratch by place: load without the item */
+  double *filled;       /* scratch by place: the item's share */
   guint n_mark;
   guint n_places; /* of other and filled */
   guint32 stamp;
@@ -128,10 +129,10 @@
   return &g_array_index (e->copies, pu_planned_copy_t, slot);
 }
 
-static inline pu_place_t
-pu_item_place (const pu_planned_item_t *t, guint i)
+static inline pu_copy_location_t
+pu_item_location (const pu_planned_item_t *t, guint i)
 {
-  return g_array_index (t->places, pu_place_t, i);
+  return g_array_index (t->places, pu_copy_location_t, i);
 }
 
 static inline bool
@@ -147,7 +148,7 @@
 
 /* Whether callers ask for T now.  */
 static inline bool
-pu_planned_asked (const pu_planned_item_t *t)
+pu_planned_in_demand (const pu_planned_item_t *t)
 {
   return t->forecast.expected > PU_ASKED_STREAMS;
 }
@@ -167,8 +168,8 @@
    copies, the less used engines first.  */
 void pu_planner_spread (pu_planner_t *p);
 
-/* pu_planner_spread_item - the same for one item.  */
-void pu_planner_spread_item (pu_planner_t *p, guint32 item);
+/* pu_planner_spread_item_demand - the same for one item.  */
+void pu_planner_spread_item_demand (pu_planner_t *p, guint32 item);
 
 /* pu_planner_gain - late streams that one more copy of ITEM on ENGINE would
    save, its adapters' demand going with it.  */
@@ -177,23 +178,23 @@
 /* pu_planner_loss - late streams that ITEM without its copy in PLACE, and
    without the adapters beside it, would cost, for the demand held in memory.
    LED: an adapter that goes with its base, which counts its demand.  */
-double pu_planner_loss (pu_planner_t *p, guint32 item, pu_place_t place,
-                        bool led);
+double pu_planner_loss (pu_planner_t *p, guint32 item,
+                        pu_copy_location_t place, bool led);
 
 /* Who makes room on an engine.  */
 typedef struct
 {
   GArray *slots; /* of guint */
   double loss;   /* late streams */
-  guint young;   /* of them, have not stayed long */
+  guint n_young; /* of them, have not stayed long */
 } pu_victims_t;
 
 /* How far a load may push others.  */
 typedef enum
 {
-  PU_ROOM_NONE,   /* only free memory */
-  PU_ROOM_SPARE,  /* copies above the minimum */
-  PU_ROOM_MINIMUM /* down to one ready copy */
+  PU_EVICT_NONE,          /* only free memory */
+  PU_EVICT_ABOVE_MINIMUM, /* copies above the minimum */
+  PU_EVICT_TO_LAST        /* down to one ready copy */
 } pu_room_t;
 
 /* pu_planner_choose - the engine for a copy of VERSION of ITEM, or
@@ -221,7 +222,7 @@
 guint32 pu_planned_need (const pu_planner_t *p, const pu_planned_item_t *t);
 
 /* MB that are free on E now.  */
-guint32 pu_planned_free (const pu_planned_engine_t *e);
+guint32 pu_planned_free_mb (const pu_planned_engine_t *e);
 
 /* MB that a new copy of T may take on E now.  */
 guint32 pu_planned_room (const pu_planned_engine_t *e,
--- a/libplantainusher/placement/planner_load.c
+++ b/libplantainusher/placement/planner_load.c
@@ -64,7 +64,7 @@
         g_array_remove_index (e->copies, s);
     }
   if (e->promised)
-    g_array_append_val (e->copies, e->promise);
+    g_array_append_val (e->copies, e->deferred_load);
 }
 
 static void
@@ -81,7 +81,7 @@
     {
       pu_planned_copy_t *c = pu_planned_copy (e, s);
       pu_planned_item_t *t = pu_planned_item (p, c->c.item);
-      pu_place_t place = { engine, s };
+      pu_copy_location_t place = { engine, s };
 
       c->share = 0;
       g_array_append_val (t->places, place);
@@ -130,7 +130,7 @@
       if (t->adapters->len == 0)
         continue;
       for (guint k = 0; k < t->places->len; k++)
-        pu_planner_hold (p, pu_item_place (t, k).engine, i);
+        pu_planner_hold (p, pu_item_location (t, k).engine, i);
     }
 }
 
@@ -193,7 +193,7 @@
 }
 
 void
-pu_planner_spread_item (pu_planner_t *p, guint32 item)
+pu_planner_spread_item_demand (pu_planner_t *p, guint32 item)
 {
   pu_planned_item_t *t = pu_planned_item (p, item);
   double capacity[t->places->len + 1];
@@ -202,7 +202,7 @@
   reserve_places (p, t->places->len + 1);
   for (guint i = 0; i < t->places->len; i++)
     {
-      pu_place_t at = pu_item_place (t, i);
+      pu_copy_location_t at = pu_item_location (t, i);
       pu_planned_engine_t *e = pu_planned_engine (p, at.engine);
       pu_planned_copy_t *c = pu_planned_copy (e, at.slot);
 
@@ -221,7 +221,7 @@
   n = 0;
   for (guint i = 0; i < t->places->len; i++)
     {
-      pu_place_t at = pu_item_place (t, i);
+      pu_copy_location_t at = pu_item_location (t, i);
       pu_planned_engine_t *e = pu_planned_engine (p, at.engine);
       pu_planned_copy_t *c = pu_planned_copy (e, at.slot);
 
@@ -237,7 +237,7 @@
 pu_planner_spread (pu_planner_t *p)
 {
   for (guint i = 0; i < p->items->len; i++)
-    pu_planner_spread_item (p, i);
+    pu_planner_spread_item_demand (p, i);
 }
 
 /* Streams that are late on an engine with LOAD of CAPACITY, weighted by
@@ -288,7 +288,7 @@
 {
   for (guint i = 0; i < n; i++)
     {
-      if (pu_item_place (t, i).engine == engine)
+      if (pu_item_location (t, i).engine == engine)
         return true;
     }
   return false;
@@ -300,7 +300,7 @@
 leaves (const pu_planned_item_t *t, guint i, const pu_planned_engine_t *e)
 {
   return i < t->places->len
-         && !takes_demand (pu_planned_copy (e, pu_item_place (t, i).slot));
+         && !takes_demand (pu_planned_copy (e, pu_item_location (t, i).slot));
 }
 
 /* Late streams before and after the demand of ITEM is spread again over its
@@ -324,7 +324,7 @@
   for (guint i = 0; i <= t->places->len; i++)
     {
       guint32 engine
-          = i < t->places->len ? pu_item_place (t, i).engine : extra;
+          = i < t->places->len ? pu_item_location (t, i).engine : extra;
       pu_planned_engine_t *e;
       double mine;
 
@@ -368,7 +368,8 @@
 }
 
 double
-pu_planner_loss (pu_planner_t *p, guint32 item, pu_place_t place, bool led)
+pu_planner_loss (pu_planner_t *p, guint32 item, pu_copy_location_t place,
+                 bool led)
 {
   pu_planned_item_t *t = pu_planned_item (p, item);
   const pu_forecast_t *f = &t->forecast;
--- a/libplantainusher/placement/planner_repair.c
+++ b/libplantainusher/placement/planner_repair.c
@@ -30,7 +30,7 @@
   r->p->promised--;
   pu_planned_item (r->p, c->c.item)->coming--;
   c->c.phase = PU_PLAN_LEAVING;
-  pu_planner_spread_item (r->p, c->c.item);
+  pu_planner_spread_item_demand (r->p, c->c.item);
 }
 
 /* Drops what else is promised to the unreachable ITEM.  */
@@ -41,7 +41,7 @@
     {
       pu_planned_engine_t *e = pu_planned_engine (r->p, i);
 
-      if (e->promised && e->usable && e->promise.c.item == item)
+      if (e->promised && e->usable && e->deferred_load.c.item == item)
         drop_promise (r, e);
     }
 }
@@ -64,10 +64,10 @@
 static bool
 is_valid (const pu_round_t *r, const pu_planned_engine_t *e)
 {
-  const pu_planned_item_t *t = pu_planned_item (r->p, e->promise.c.item);
+  const pu_planned_item_t *t = pu_planned_item (r->p, e->deferred_load.c.item);
 
-  return t->declared && pu_planned_version (t) == e->promise.c.version
-         && r->now < e->promise_until;
+  return t->declared && pu_planned_version (t) == e->deferred_load.c.version
+         && r->now < e->deferred_until;
 }
 
 /* An item that wants a load: one without a copy, or a promise on ENGINE.  */
@@ -91,9 +91,9 @@
     return x->lost ? -1 : 1;
   if (x->t->i.importance != y->t->i.importance)
     return x->t->i.importance > y->t->i.importance ? -1 : 1;
-  if (pu_planned_asked (x->t) != pu_planned_asked (y->t))
-    return pu_planned_asked (x->t) ? -1 : 1;
-  if (pu_planned_asked (x->t)
+  if (pu_planned_in_demand (x->t) != pu_planned_in_demand (y->t))
+    return pu_planned_in_demand (x->t) ? -1 : 1;
+  if (pu_planned_in_demand (x->t)
       && x->t->forecast.expected != y->t->forecast.expected)
     return x->t->forecast.expected > y->t->forecast.expected ? -1 : 1;
   if (x->t->i.memory_mb != y->t->i.memory_mb)
@@ -102,7 +102,7 @@
 }
 
 void
-pu_round_keep_promises (pu_round_t *r, bool idle)
+pu_round_start_deferred (pu_round_t *r, bool idle)
 {
   GArray *kept;
 
@@ -112,7 +112,7 @@
   for (guint32 i = 0; i < r->p->engines->len; i++)
     {
       pu_planned_engine_t *e = pu_planned_engine (r->p, i);
-      pu_needy_t n = { e->promise.c.item, i, false, NULL };
+      pu_needy_t n = { e->deferred_load.c.item, i, false, NULL };
 
       if (!e->promised || !e->usable)
         continue;
@@ -123,19 +123,19 @@
         }
       n.t = pu_planned_item (r->p, n.item);
       n.lost = n.t->ready == 0;
-      if (idle != (n.lost && !pu_planned_asked (n.t)))
+      if (idle != (n.lost && !pu_planned_in_demand (n.t)))
         continue;
-      if (pu_planned_free (e) >= e->promise.c.memory_mb)
+      if (pu_planned_free_mb (e) >= e->deferred_load.c.memory_mb)
         {
           g_array_append_val (kept, n);
         }
-      else if (n.lost && r->now >= e->promise.since + SLOW_ROOM_MS)
+      else if (n.lost && r->now >= e->deferred_load.since + SLOW_ROOM_MS)
         {
           n.t->slow++;
         }
     }
   g_array_sort (kept, compare_needy);
-  for (guint i = 0; i < kept->len && pu_round_store_takes_urgent (r); i++)
+  for (guint i = 0; i < kept->len && pu_round_may_start_urgent_load (r); i++)
     {
       guint32 engine = g_array_index (kept, pu_needy_t, i).engine;
 
@@ -152,7 +152,7 @@
 {
   for (guint i = 0; i < t->places->len; i++)
     {
-      pu_place_t at = pu_item_place (t, i);
+      pu_copy_location_t at = pu_item_location (t, i);
       const pu_planned_copy_t *c
           = pu_planned_copy (pu_planned_engine (p, at.engine), at.slot);
 
@@ -178,8 +178,8 @@
   r->repairing = true;
   if (is_coming (r->p, t))
     return;
-  r->lacking = r->lacking || pu_planned_asked (t);
-  r->idle_lacking = true;
+  r->missing_in_demand = r->missing_in_demand || pu_planned_in_demand (t);
+  r->missing_any = true;
 }
 
 /* Whether T has no copy, and none coming but for rooms that take long.  */
@@ -200,7 +200,7 @@
       pu_needy_t n = { i, PU_PLAN_NONE, is_lost (t), t };
 
       note_lost (r, t);
-      if (!pu_round_may_try (r, t) || !pu_round_base_is_ready (r, t))
+      if (!pu_round_may_place (r, t) || !pu_round_base_is_ready (r, t))
         continue;
       if (n.lost || t->ready + t->coming < MAX (1, t->i.min_copies))
         g_array_append_val (needy, n);
@@ -214,14 +214,14 @@
 static bool
 may_promise (const pu_round_t *r)
 {
-  return pu_round_store_takes_urgent (r)
-         || r->p->promised < PLACES_AHEAD * r->p->o.max_coming;
+  return pu_round_may_start_urgent_load (r)
+         || r->p->promised < PLACES_AHEAD * r->p->o.max_concurrent_loads;
 }
 
 static bool
 may_begin (const pu_round_t *r, const pu_needy_t *n)
 {
-  return n->lost ? may_promise (r) : pu_round_store_takes_urgent (r);
+  return n->lost ? may_promise (r) : pu_round_may_start_urgent_load (r);
 }
 
 static void
@@ -229,9 +229,10 @@
 {
   guint before = r->loads;
 
-  if (!pu_round_try_load (r, n->item, PU_ROOM_MINIMUM, PU_REASON_UNREACHABLE)
-      && n->t->slow == 0 && !r->p->quick_only && !r->p->waits_turn)
-    pu_round_open_room (r, n->item);
+  if (!pu_round_try_load (r, n->item, PU_EVICT_TO_LAST, PU_REASON_UNREACHABLE)
+      && n->t->slow == 0 && !r->p->cached_only
+      && !r->p->only_loading_engines_fit)
+    pu_round_evacuate (r, n->item);
   if (n->t->slow > 0 && r->loads > before)
     drop_others (r, n->item);
 }
@@ -245,7 +246,8 @@
     }
   else
     {
-      pu_round_try_load (r, n->item, PU_ROOM_SPARE, PU_REASON_MINIMUM);
+      pu_round_try_load (r, n->item, PU_EVICT_ABOVE_MINIMUM,
+                         PU_REASON_MINIMUM);
     }
 }
 
@@ -259,19 +261,19 @@
     {
       const pu_needy_t *n = &g_array_index (needy, pu_needy_t, i);
 
-      if (pu_planned_asked (n->t) != asked)
+      if (pu_planned_in_demand (n->t) != asked)
         continue;
-      r->p->quick_only = !may_begin (r, n);
-      if (r->p->quick_only && !r->p->any_quick)
+      r->p->cached_only = !may_begin (r, n);
+      if (r->p->cached_only && !r->p->any_cached)
         break;
       repair (r, n);
     }
-  r->p->quick_only = false;
+  r->p->cached_only = false;
   g_array_unref (needy);
 }
 
 void
-pu_round_repair_asked (pu_round_t *r)
+pu_round_repair_in_demand (pu_round_t *r)
 {
   repair_some (r, true);
 }
@@ -280,8 +282,8 @@
 pu_round_repair_idle (pu_round_t *r)
 {
   /* Their turn is over also when there was no room for any of them.  */
-  if (pu_round_store_takes_urgent (r))
+  if (pu_round_may_start_urgent_load (r))
     r->p->grew = false;
-  pu_round_keep_promises (r, true);
+  pu_round_start_deferred (r, true);
   repair_some (r, false);
 }
--- a/libplantainusher/placement/planner_room.c
+++ b/libplantainusher/placement/planner_room.c
@@ -59,11 +59,11 @@
 {
   const pu_planned_engine_t *e = pu_planned_engine (r->p, engine);
   guint32 need = pu_planned_item (r->p, item)->i.memory_mb;
-  guint32 have = pu_planned_free (e);
+  guint32 have = pu_planned_free_mb (e);
 
   for (guint s = 0; s < e->copies->len; s++)
     {
-      if (pu_planner_bundle (r->p, engine, s, item, PU_ROOM_MINIMUM,
+      if (pu_planner_bundle (r->p, engine, s, item, PU_EVICT_TO_LAST,
                              r->v.slots))
         have += pu_planned_copy (e, s)->c.memory_mb;
     }
@@ -85,7 +85,7 @@
       pu_sized_t u = { pu_planned_copy (e, s)->c.item, 0 };
 
       if (u.id == base
-          || pu_planner_bundle (r->p, engine, s, item, PU_ROOM_MINIMUM,
+          || pu_planner_bundle (r->p, engine, s, item, PU_EVICT_TO_LAST,
                                 r->v.slots))
         continue;
       u.memory_mb = unit_mb (r->p, e, u.id);
@@ -112,12 +112,12 @@
 {
   const pu_planned_item_t *t = pu_planned_item (r->p, item);
   guint32 engine = pu_planner_choose (r->p, item, pu_planned_version (t),
-                                      PU_ROOM_MINIMUM, r->now, &r->v);
+                                      PU_EVICT_TO_LAST, r->now, &r->v);
 
   if (engine == PU_PLAN_NONE)
     return false;
   r->for_item = for_item;
-  pu_round_load (r, engine, item, PU_REASON_ROOM, 0, 0);
+  pu_round_load (r, engine, item, PU_REASON_MAKE_ROOM, 0, 0);
   r->for_item = PU_PLAN_NONE;
   return true;
 }
@@ -190,7 +190,7 @@
   bool begun = false;
 
   pu_planner_mark_item (r->p, item, pu_planned_version (t));
-  r->p->lean = true;
+  r->p->ignore_adapters = true;
   for (guint32 i = 0; i < r->p->engines->len; i++)
     {
       pu_sized_t e = { i, 0 };
@@ -201,23 +201,24 @@
       if (e.memory_mb > 0)
         g_array_append_val (engines, e);
     }
-  r->p->lean = false;
+  r->p->ignore_adapters = false;
   g_array_sort (engines, compare_sized);
   for (guint i = 0; i < engines->len && i < OPENING_TRIES && !begun; i++)
     {
-      t->opens_engine = g_array_index (engines, pu_sized_t, i).id;
-      begun = go_on (r, t->opens_engine, item);
+      t->evacuated_engine = g_array_index (engines, pu_sized_t, i).id;
+      begun = go_on (r, t->evacuated_engine, item);
     }
-  t->opens_until = begun ? r->now + OPENING_MS : 0;
+  t->evacuated_until = begun ? r->now + OPENING_MS : 0;
   g_array_unref (engines);
   return begun;
 }
 
 void
-pu_round_open_room (pu_round_t *r, guint32 item)
+pu_round_evacuate (pu_round_t *r, guint32 item)
 {
   pu_planned_item_t *t = pu_planned_item (r->p, item);
-  bool goes_on = r->now < t->opens_until && go_on (r, t->opens_engine, item);
+  bool goes_on
+      = r->now < t->evacuated_until && go_on (r, t->evacuated_engine, item);
 
   if (!goes_on && !begin (r, item))
     return;
--- a/libplantainusher/placement/planner_tables.c
+++ b/libplantainusher/placement/planner_tables.c
@@ -26,11 +26,11 @@
   o->min_stay_s = DEFAULT_MIN_STAY_S;
   o->watch_s = DEFAULT_WATCH_S;
   o->max_failures = DEFAULT_MAX_FAILURES;
-  o->max_coming = DEFAULT_MAX_COMING;
-  o->advance_ms = DEFAULT_ADVANCE_MS;
+  o->max_concurrent_loads = DEFAULT_MAX_COMING;
+  o->forecast_period_ms = DEFAULT_ADVANCE_MS;
   o->hot = DEFAULT_HOT;
   o->zone_spread = true;
-  o->one_load = false;
+  o->serial_loads = false;
   pu_forecast_options_init (&o->forecast);
   o->test_breaks = PU_PLANNER_BREAK_NONE;
 }
@@ -114,7 +114,7 @@
 
   q->last_advance = p->last_advance;
   q->store = p->store;
-  q->any_quick = p->any_quick;
+  q->any_cached = p->any_cached;
   q->n_zones = p->n_zones;
   q->zone_copies = g_renew (guint, q->zone_copies, p->n_zones);
   for (guint i = 0; i < p->engines->len; i++)
@@ -160,7 +160,7 @@
       pu_planned_item_t t = { 0 };
 
       t.i.base = PU_PLAN_NONE;
-      t.places = g_array_new (FALSE, FALSE, sizeof (pu_place_t));
+      t.places = g_array_new (FALSE, FALSE, sizeof (pu_copy_location_t));
       t.adapters = g_array_new (FALSE, FALSE, sizeof (guint32));
       g_array_append_val (p->items, t);
     }
@@ -202,7 +202,7 @@
       const pu_planned_copy_t *old = find_copy (e->copies, c);
       pu_planned_copy_t n = { 0 };
 
-      n.reason = PU_REASON_FOUND;
+      n.reason = PU_REASON_PREEXISTING;
       n.since = now;
       if (old != NULL)
         n = *old;
@@ -239,7 +239,7 @@
 {
   if (!e->promised)
     return;
-  if (!e->usable || find_copy (e->copies, &e->promise.c) != NULL)
+  if (!e->usable || find_copy (e->copies, &e->deferred_load.c) != NULL)
     e->promised = false;
 }
 
@@ -302,7 +302,7 @@
 }
 
 void
-pu_planner_set_least (pu_planner_t *p, guint32 item, guint32 least)
+pu_planner_set_min_copies (pu_planner_t *p, guint32 item, guint32 least)
 {
   pu_planned_item_t *t;
 
@@ -350,8 +350,8 @@
 }
 
 void
-pu_planner_demand (pu_planner_t *p, guint32 item, guint32 requests,
-                   double stream_ms)
+pu_planner_add_demand (pu_planner_t *p, guint32 item, guint32 requests,
+                       double stream_ms)
 {
   grow_items (p, item);
   pu_forecast_add (&pu_planned_item (p, item)->forecast, &p->common, requests,
@@ -382,8 +382,8 @@
 }
 
 void
-pu_planner_set_quick (pu_planner_t *p, guint32 engine, guint32 item,
-                      bool quick)
+pu_planner_set_cached (pu_planner_t *p, guint32 engine, guint32 item,
+                       bool quick)
 {
   pu_planned_engine_t *e;
 
@@ -399,11 +399,11 @@
       return;
     }
   g_hash_table_add (e->quick, GUINT_TO_POINTER (item));
-  p->any_quick = true;
+  p->any_cached = true;
 }
 
 void
-pu_planner_set_store (pu_planner_t *p, guint n)
+pu_planner_set_load_slots (pu_planner_t *p, guint n)
 {
   p->store = n;
 }
@@ -461,7 +461,7 @@
 }
 
 guint
-pu_planner_ready (const pu_planner_t *p, guint32 item)
+pu_planner_ready_copies (const pu_planner_t *p, guint32 item)
 {
   guint n = 0;
 
@@ -487,10 +487,10 @@
     {
       const pu_planned_engine_t *e = pu_planned_engine (p, i);
 
-      if (e->promised && e->usable && e->promise.c.item == item)
+      if (e->promised && e->usable && e->deferred_load.c.item == item)
         {
           return pu_planned_item (p, item)->coming == 1
-                 && pu_planned_free (e) >= e->promise.c.memory_mb;
+                 && pu_planned_free_mb (e) >= e->deferred_load.c.memory_mb;
         }
     }
   return false;
@@ -529,7 +529,7 @@
 }
 
 bool
-pu_planner_wants (const pu_planner_t *p, guint32 item, guint32 version)
+pu_planner_needs_version (const pu_planner_t *p, guint32 item, guint32 version)
 {
   const pu_planned_item_t *t;
 
@@ -537,7 +537,7 @@
     return false;
   t = pu_planned_item (p, item);
   return t->declared && pu_planned_version (t) == version
-         && pu_planner_ready (p, item) == 0;
+         && pu_planner_ready_copies (p, item) == 0;
 }
 
 bool
--- a/libplantainusher/placement/planner_test.cc
+++ b/libplantainusher/placement/planner_test.cc
@@ -118,7 +118,7 @@
 
 TEST_F (Planner, LoadsWhatIsUnreachableFirstAndWithinTheStore)
 {
-  o.max_coming = 2;
+  o.max_concurrent_loads = 2;
   Engines (2);
   Item (0, 30);
   Item (1, 40);
@@ -131,13 +131,13 @@
    two a second: the one that most callers wait for goes first.  */
 TEST_F (Planner, WhatMostCallersWaitForIsLoadedFirst)
 {
-  o.max_coming = 1;
+  o.max_concurrent_loads = 1;
   Engines (2);
   Item (0, 30);
   Item (1, 40);
   Item (2, 20);
-  pu_planner_demand (p, 0, 1, 100.0);
-  pu_planner_demand (p, 2, 40, 40 * 1000.0);
+  pu_planner_add_demand (p, 0, 1, 100.0);
+  pu_planner_add_demand (p, 2, 40, 40 * 1000.0);
   EXPECT_EQ ("load 2.1@0 ", Step (false));
 }
 
@@ -145,7 +145,7 @@
    other: what is asked for in the meantime is not behind what isn't.  */
 TEST_F (Planner, NothingQueuesUpAtAnEngineThatLoads)
 {
-  o.one_load = true;
+  o.serial_loads = true;
   Engines (1);
   Item (0, 30);
   Item (1, 20);
@@ -154,7 +154,7 @@
   held[0] = { { 0, 1, 30, PU_PLAN_LOADING } };
   Tell (0);
   EXPECT_EQ ("", Step (false));
-  pu_planner_demand (p, 2, 40, 40 * 1000.0);
+  pu_planner_add_demand (p, 2, 40, 40 * 1000.0);
   EXPECT_EQ ("", Step (false));
   held[0] = { { 0, 1, 30, PU_PLAN_READY } };
   Tell (0);
@@ -165,7 +165,7 @@
    meanwhile takes the place of a second copy elsewhere.  */
 TEST_F (Planner, WhatIsAskedForDoesNotWaitForAnEngineThatLoads)
 {
-  o.one_load = true;
+  o.serial_loads = true;
   Engines (3);
   Item (0, 60);
   Item (1, 30);
@@ -176,7 +176,7 @@
   for (guint32 i = 0; i < 3; i++)
     Tell (i);
   EXPECT_EQ ("", Step (false)) << "nobody asks for it";
-  pu_planner_demand (p, 2, 40, 40 * 1000.0);
+  pu_planner_add_demand (p, 2, 40, 40 * 1000.0);
   EXPECT_EQ ("unload 0.1@0 ", Step ());
   EXPECT_EQ ("load 2.1@0 ", Step ());
 }
@@ -185,8 +185,8 @@
    again when that has ended, not only seconds later.  */
 TEST_F (Planner, SpareCopyWaitsNoLongerThanTheLoadBeforeIt)
 {
-  o.one_load = true;
-  o.max_coming = 4;
+  o.serial_loads = true;
+  o.max_concurrent_loads = 4;
   Engines (2);
   Item (0, 30);
   Item (1, 20);
@@ -267,7 +267,7 @@
   Step (false);
   held[1].push_back ({ 1, 1, 60, PU_PLAN_LOADING });
   Tell (1);
-  pu_planner_demand (p, 0, 400, 200 * 1000.0);
+  pu_planner_add_demand (p, 0, 400, 200 * 1000.0);
   EXPECT_NE ("", Step (false));
 }
 
@@ -284,8 +284,8 @@
     Item (i, 90);
   for (int i = 0; i < 6; i++)
     {
-      pu_planner_set_store (p, 1);
-      pu_planner_demand (p, 0, 400, 200 * 1000.0);
+      pu_planner_set_load_slots (p, 1);
+      pu_planner_add_demand (p, 0, 400, 200 * 1000.0);
       order += Step (true).substr (0, 6) + ";";
     }
   EXPECT_EQ ("load 0;load 1;load 0;load 2;load 0;load 3;", order);
@@ -316,7 +316,7 @@
   pu_placement_step (pl, true, now, todo);
   for (guint i = 0; i < todo->len; i++)
     n += g_array_index (todo, pu_orders_action_t, i).what
-         == PU_ORDERS_DO_RESERVE;
+         == PU_ORDERS_ACTION_RESERVE;
   g_array_unref (todo);
   return n;
 }
@@ -324,7 +324,7 @@
 TEST (Placement, TheLossOfItsEnginesIsNoFailureOfAModel)
 {
   pu_placement_options_t o = {};
-  pu_ledger_held_t held = { 0, 50, PU_LEDGER_READY };
+  pu_ledger_copy_t held = { 0, 50, PU_LEDGER_READY };
   pu_ledger_report_t r = {};
   pu_plan_item_t i = {};
 
@@ -338,21 +338,21 @@
   i.min_copies = 1;
   i.max_copies = o.planner.max_failures;
   i.importance = 5;
-  pu_placement_name_copy (pl, 0, 0, 0);
+  pu_placement_map_copy (pl, 0, 0, 0);
   pu_planner_set_item (pu_placement_planner (pl), 0, &i);
   r.incarnation = 1;
   r.accelerators = 1;
   r.memory_mb = 100;
   r.fenced = true;
-  pu_placement_backend (pl, &r, false, 0, 4.0, 1000);
+  pu_placement_update_backend (pl, &r, false, 0, 4.0, 1000);
   r.held = &held;
   r.n_held = 1;
   for (r.backend = 1; r.backend <= o.planner.max_failures; r.backend++)
-    pu_placement_backend (pl, &r, false, 0, 4.0, 1000);
+    pu_placement_update_backend (pl, &r, false, 0, 4.0, 1000);
   EXPECT_EQ (0u, Reserves (pl, 2000));
   r.n_held = 0;
   for (r.backend = 1; r.backend <= o.planner.max_failures; r.backend++)
-    pu_placement_backend (pl, &r, true, 0, 4.0, 2000);
+    pu_placement_update_backend (pl, &r, true, 0, 4.0, 2000);
   EXPECT_EQ (1u, Reserves (pl, 3000)) << "at once, not after a wait";
   pu_placement_free (pl);
 }
@@ -393,13 +393,13 @@
     ;
   for (int i = 0; i < 30; i++)
     {
-      pu_planner_demand (p, 0, 2, 4000);
+      pu_planner_add_demand (p, 0, 2, 4000);
       EXPECT_EQ ("", Step ());
     }
   std::string grown;
   for (int i = 0; i < 30; i++)
     {
-      pu_planner_demand (p, 0, 30, 60000);
+      pu_planner_add_demand (p, 0, 30, 60000);
       grown += Step ();
     }
   EXPECT_EQ ("load 0.1@2 ", grown);
@@ -419,10 +419,10 @@
     continue;
   for (int i = 0; i < 30; i++)
     {
-      pu_planner_demand (p, 0, 400, 200 * 1000.0);
+      pu_planner_add_demand (p, 0, 400, 200 * 1000.0);
       Step ();
     }
-  EXPECT_EQ (5U, pu_planner_ready (p, 0)) << "all but the other's last";
+  EXPECT_EQ (5U, pu_planner_ready_copies (p, 0)) << "all but the other's last";
 }
 
 /* Two models have too much to do: one a half more than its four copies can,
@@ -441,12 +441,12 @@
   held[6] = { { 2, 1, 60, PU_PLAN_READY } };
   for (guint32 i = 0; i < 7; i++)
     Tell (i);
-  pu_planner_set_store (p, 1);
-  pu_planner_demand (p, 0, 60, 60 * 1000.0);
-  pu_planner_demand (p, 1, 400, 400 * 1000.0);
+  pu_planner_set_load_slots (p, 1);
+  pu_planner_add_demand (p, 0, 60, 60 * 1000.0);
+  pu_planner_add_demand (p, 1, 400, 400 * 1000.0);
   EXPECT_EQ ("unload 2.1@5 ", Step ());
-  pu_planner_set_store (p, 1);
-  pu_planner_demand (p, 1, 400, 400 * 1000.0);
+  pu_planner_set_load_slots (p, 1);
+  pu_planner_add_demand (p, 1, 400, 400 * 1000.0);
   EXPECT_EQ ("load 1.1@5 ", Step ());
 }
 
@@ -464,8 +464,8 @@
   for (guint32 i = 0; i < 3; i++)
     Tell (i);
   for (guint32 i = 1; i < 3; i++)
-    pu_planner_demand (p, i, 40, 40 * 1000.0);
-  pu_planner_demand (p, 0, 1, 20.0);
+    pu_planner_add_demand (p, i, 40, 40 * 1000.0);
+  pu_planner_add_demand (p, 0, 1, 20.0);
   std::string moves = Step (false);
   EXPECT_EQ (std::string::npos, moves.find ("load 0.1")) << moves;
   EXPECT_NE (std::string::npos, moves.find ("load ")) << moves;
@@ -494,8 +494,8 @@
       bool grows = false;
       for (int i = 0; i < 30; i++)
         {
-          pu_planner_demand (p, 1, 40, 40 * 200.0);
-          pu_planner_demand (p, 0, each, each * 60 * 1000.0);
+          pu_planner_add_demand (p, 1, 40, 40 * 200.0);
+          pu_planner_add_demand (p, 0, each, each * 60 * 1000.0);
           Step (false);
           for (guint k = 0; k < moves->len; k++)
             {
@@ -525,14 +525,14 @@
     { 34, "load 0.1@1 load 0.1@2 load 0.1@3 load 0.1@4 " },
   };
 
-  o.max_coming = 8;
+  o.max_concurrent_loads = 8;
   for (auto &row : rows)
     {
       Engines (8);
       Item (0, 60);
       held[0] = { { 0, 1, 60, PU_PLAN_READY } };
       Tell (0);
-      pu_planner_demand (p, 0, row.streams, row.streams * 1000.0);
+      pu_planner_add_demand (p, 0, row.streams, row.streams * 1000.0);
       EXPECT_EQ (row.moves, Step (false)) << row.streams;
       for (guint i = 0; i < moves->len; i++)
         {
@@ -541,7 +541,7 @@
           held[m.engine] = { { 0, 1, 60, PU_PLAN_LOADING } };
           Tell (m.engine);
         }
-      pu_planner_demand (p, 0, row.streams, row.streams * 1000.0);
+      pu_planner_add_demand (p, 0, row.streams, row.streams * 1000.0);
       EXPECT_EQ ("", Step (false)) << row.streams << ", with those that come";
       pu_planner_free (p);
       p = nullptr;
@@ -558,8 +558,8 @@
   Item (1, 30);
   held[0] = { { 0, 1, 60, PU_PLAN_READY }, { 1, 1, 30, PU_PLAN_READY } };
   Tell (0);
-  pu_planner_demand (p, 0, 60, 60 * 1000.0);
-  pu_planner_demand (p, 1, 2, 2 * 1000.0);
+  pu_planner_add_demand (p, 0, 60, 60 * 1000.0);
+  pu_planner_add_demand (p, 1, 2, 2 * 1000.0);
   std::string moves = Step (false);
   EXPECT_EQ (std::string::npos, moves.find ("load 1.1")) << moves;
   EXPECT_NE (std::string::npos, moves.find ("load 0.1")) << moves;
@@ -572,7 +572,7 @@
   Item (0, 90);
   Item (1, 90);
   Step ();
-  pu_planner_demand (p, 0, 400, 200 * 1000.0);
+  pu_planner_add_demand (p, 0, 400, 200 * 1000.0);
   EXPECT_EQ ("load 0.1@3 load 0.1@2 ", Step ());
 }
 
@@ -580,7 +580,7 @@
 {
   Engines (4);
   Item (0, 60);
-  pu_planner_set_quick (p, 2, 0, true);
+  pu_planner_set_cached (p, 2, 0, true);
   EXPECT_EQ ("load 0.1@2 ", Step ());
 }
 
@@ -588,7 +588,7 @@
 TEST_F (Planner, WhatIsAtHandMayBeKnownBeforeTheEngine)
 {
   Engines (1);
-  pu_planner_set_quick (p, 40, 0, true);
+  pu_planner_set_cached (p, 40, 0, true);
   held.resize (41);
   Tell (40);
   Item (0, 60);
@@ -601,11 +601,11 @@
   Engines (4);
   Item (0, 60);
   Item (1, 60);
-  pu_planner_set_store (p, 0);
-  pu_planner_set_quick (p, 3, 1, true);
+  pu_planner_set_load_slots (p, 0);
+  pu_planner_set_cached (p, 3, 1, true);
   EXPECT_EQ ("load 1.1@3 ", Step ());
   EXPECT_EQ ("", Step ());
-  pu_planner_set_store (p, 1);
+  pu_planner_set_load_slots (p, 1);
   EXPECT_EQ ("load 0.1@0 ", Step ());
 }
 
@@ -654,10 +654,10 @@
   guint32
   Want (guint32 backend, guint32 copy, bool fenced, guint64 now)
   {
-    pu_orders_wish_t w
+    pu_orders_spec_t w
         = { PU_LEDGER_LOAD, backend, 1, fenced, copy, 10, "test" };
 
-    return pu_orders_want (s, &w, now);
+    return pu_orders_enqueue (s, &w, now);
   }
 
   /* What is to be done at NOW, such as "reserve send ".  */
@@ -679,8 +679,8 @@
 TEST_F (Orders, KeepToTheStoreAndToOneOrderForACopy)
 {
   o.loads_per_s = 2;
-  o.loads_at_once = 3;
-  o.per_engine = 2;
+  o.max_store_loads = 3;
+  o.max_orders_per_engine = 2;
   s = pu_orders_new (&o, 0);
   for (guint32 i = 0; i < 5; i++)
     EXPECT_NE (0u, Want (i, 7, true, 0));
@@ -698,11 +698,11 @@
   guint64 t = o.lease_ms + pu_orders_life_ms (&o);
   guint32 id = Want (0, 7, false, t);
   EXPECT_EQ ("reserve ", Step (t));
-  pu_orders_reserved (s, id, true, 5, t);
+  pu_orders_handle_reserved (s, id, true, 5, t);
   EXPECT_EQ ("send ", Step (t));
   EXPECT_EQ ("", Step (t + o.retry_ms - 1));
   EXPECT_EQ ("send ", Step (t + o.retry_ms));
-  pu_orders_answer (s, 5, PU_ORDERS_LOST, t + o.retry_ms);
+  pu_orders_handle_answer (s, 5, PU_ORDERS_LOST, t + o.retry_ms);
   EXPECT_EQ ("", Step (t + o.send_ms));
   EXPECT_EQ ("", Step (t + pu_orders_life_ms (&o) - 1));
   EXPECT_EQ ("fail release ", Step (t + pu_orders_life_ms (&o)));
@@ -714,17 +714,17 @@
 {
   s = pu_orders_new (&o, 0);
   guint64 t = o.lease_ms + pu_orders_life_ms (&o);
-  EXPECT_FALSE (pu_orders_quiet (s, 0));
+  EXPECT_FALSE (pu_orders_loads_suspended (s, 0));
   for (guint32 i = 0; i < 2; i++)
     {
       pu_ledger_order_t open = { 3 + i, PU_LEDGER_UNLOAD, i, 1, 8, 10 };
       pu_orders_adopt (s, &open, i == 1, 0);
     }
-  EXPECT_TRUE (pu_orders_quiet (s, t - 1));
+  EXPECT_TRUE (pu_orders_loads_suspended (s, t - 1));
   EXPECT_EQ (0u, Want (0, 7, false, t - 1)) << "it ignores tokens";
   EXPECT_NE (0u, Want (1, 7, true, t - 1)) << "it checks them";
   EXPECT_NE (0u, Want (2, 7, false, 0)) << "no order in the log is for it";
-  EXPECT_FALSE (pu_orders_quiet (s, t));
+  EXPECT_FALSE (pu_orders_loads_suspended (s, t));
   EXPECT_NE (0u, Want (0, 7, false, t));
 }
 
@@ -736,15 +736,15 @@
 
   r.incarnation = 1;
   r.fenced = true;
-  pu_orders_report (s, &r, 0);
+  pu_orders_handle_report (s, &r, 0);
   EXPECT_EQ ("reserve ", Step (0));
-  pu_orders_reserved (s, id, true, 5, 0);
+  pu_orders_handle_reserved (s, id, true, 5, 0);
   EXPECT_EQ ("send ", Step (0));
   EXPECT_EQ ("fail fence ", Step (pu_orders_life_ms (&o)));
   r.token = 6;
-  pu_orders_report (s, &r, pu_orders_life_ms (&o));
+  pu_orders_handle_report (s, &r, pu_orders_life_ms (&o));
   EXPECT_EQ ("release ", Step (pu_orders_life_ms (&o)));
-  pu_orders_closed (s, 5);
+  pu_orders_handle_closed (s, 5);
   EXPECT_EQ (0u, pu_orders_count (s));
 }
 
--- a/libplantainusher/placement/world_test.h
+++ b/libplantainusher/placement/world_test.h
@@ -113,7 +113,7 @@
   void RunEngines ();
   void SendReports ();
   void ApplyReport (guint32 engine, pu_ledger_report_t r,
-                    std::vector<pu_ledger_held_t> held, guint64 made);
+                    std::vector<pu_ledger_copy_t> held, guint64 made);
   void DropLeases ();
   void Act (const Leader &who, const pu_orders_action_t &a);
   void Send (const Leader &who, const pu_orders_order_t &o);
--- a/libplantainusher/placer/follow.c
+++ b/libplantainusher/placer/follow.c
@@ -27,7 +27,7 @@
       c.item = pu_names_get (&f->items, model);
       c.version = pu_names_get (&f->versions, version);
       g_array_append_val (f->copy_items, c);
-      pu_placement_name_copy (f->placement, handle, c.item, c.version);
+      pu_placement_map_copy (f->placement, handle, c.item, c.version);
     }
   return handle;
 }
@@ -169,11 +169,11 @@
   o->planner.payback_s = s->payback_s;
   o->planner.min_stay_s = s->min_stay_s;
   o->planner.zone_spread = s->zone_spread;
-  o->planner.max_coming = s->store_full_speed;
+  o->planner.max_concurrent_loads = s->store_full_speed;
   o->planner.watch_s = v->watch_s;
   o->planner.max_failures = v->max_failures;
   o->orders.loads_per_s = s->store_loads_per_s;
-  o->orders.loads_at_once = s->store_full_speed;
+  o->orders.max_store_loads = s->store_full_speed;
 }
 
 /* Makes the settings of the document in force those of the placement.  */
@@ -183,9 +183,9 @@
   pu_follow_options (f->document, &f->options);
   pu_planner_set_options (pu_placement_planner (f->placement),
                           &f->options.planner);
-  pu_orders_set_store (pu_placement_orders (f->placement),
-                       f->options.orders.loads_per_s,
-                       f->options.orders.loads_at_once);
+  pu_orders_set_store_limits (pu_placement_orders (f->placement),
+                              f->options.orders.loads_per_s,
+                              f->options.orders.max_store_loads);
 }
 
 static bool
@@ -256,7 +256,7 @@
   for (u_int i = 0; i < b->copies.copies_len; i++)
     {
       const pu_copy_record *c = &b->copies.copies_val[i];
-      pu_ledger_held_t *h = &g_array_index (f->held, pu_ledger_held_t, i);
+      pu_ledger_copy_t *h = &g_array_index (f->held, pu_ledger_copy_t, i);
 
       h->copy = pu_follow_copy (f, c->model, c->model_version);
       h->memory_mb = c->memory_mb;
@@ -269,7 +269,7 @@
   r.memory_mb = b->memory_mb;
   r.fenced = b->fenced;
   r.leaving = b->leaving;
-  r.held = (const pu_ledger_held_t *)(void *)f->held->data;
+  r.held = (const pu_ledger_copy_t *)(void *)f->held->data;
   r.n_held = f->held->len;
   return r;
 }
@@ -291,8 +291,8 @@
   pu_ledger_report_t r = report_of (f, handle, b);
   bool down = b->down || b->kind != PU_BACKEND_ENGINE;
 
-  pu_placement_backend (f->placement, &r, down, zone_of (f, b),
-                        f->streams * MAX (b->accelerators, 1), now);
+  pu_placement_update_backend (f->placement, &r, down, zone_of (f, b),
+                               f->streams * MAX (b->accelerators, 1), now);
 }
 
 static pu_followed_backend_t *
@@ -372,7 +372,7 @@
     {
       if (GPOINTER_TO_UINT (stamp) == f->stamp)
         continue;
-      pu_placement_closed (f->placement, *(guint64 *)key, now);
+      pu_placement_handle_closed (f->placement, *(guint64 *)key, now);
       g_hash_table_iter_remove (&i);
     }
 }
@@ -468,7 +468,7 @@
   pu_names_init (&f->copies);
   f->copy_items = g_array_new (FALSE, FALSE, sizeof (pu_followed_copy_t));
   f->seen = g_array_new (FALSE, TRUE, sizeof (pu_followed_backend_t));
-  f->held = g_array_new (FALSE, FALSE, sizeof (pu_ledger_held_t));
+  f->held = g_array_new (FALSE, FALSE, sizeof (pu_ledger_copy_t));
   f->bytes = g_byte_array_new ();
   f->failed
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, NULL);
--- a/libplantainusher/placer/follow.h
+++ b/libplantainusher/placer/follow.h
@@ -28,7 +28,7 @@
   GArray *seen;            /* of pu_followed_backend_t, by backend */
   GHashTable *tokens;      /* token of an order that is known -> stamp */
   GHashTable *failed;      /* set of pu_followed_failure_t: what ever did */
-  GArray *held;            /* scratch, of pu_ledger_held_t */
+  GArray *held;            /* scratch, of pu_ledger_copy_t */
   GByteArray *bytes;       /* scratch */
   pu_document_t *document; /* in force; NULL before the first */
   guint64 document_version;
--- a/libplantainusher/placer/sequenced.c
+++ b/libplantainusher/placer/sequenced.c
@@ -71,12 +71,12 @@
   if (m->kind == PU_MODEL_ADAPTER)
     {
       pu_dispatcher_set_adapter (l->dispatcher, item);
-      pu_adapters_set (l->adapters, item,
+      pu_adapters_add (l->adapters, item,
                        pu_names_get (&l->items, m->base_name));
     }
   else
     {
-      pu_dispatcher_set_item (l->dispatcher, item, t.memory_mb);
+      pu_dispatcher_set_item_memory (l->dispatcher, item, t.memory_mb);
       pu_planner_set_item (l->planner, item, &t);
     }
 }
@@ -92,15 +92,15 @@
   o.payback_s = p->payback_s;
   o.min_stay_s = p->min_stay_s;
   o.zone_spread = p->zone_spread;
-  o.max_coming = p->store_full_speed;
-  o.advance_ms = s->o.plan_ms;
+  o.max_concurrent_loads = p->store_full_speed;
+  o.forecast_period_ms = s->o.plan_ms;
   o.move_price = 1;
-  o.one_load = true;
+  o.serial_loads = true;
   o.forecast.fast_s = FORECAST_FAST_S;
   o.forecast.mid_s = FORECAST_MID_S;
   o.forecast.slow_s = FORECAST_SLOW_S;
-  o.forecast.held_s = FORECAST_HELD_S;
-  o.forecast.lead_s = FORECAST_LEAD_S;
+  o.forecast.peak_decay_s = FORECAST_HELD_S;
+  o.forecast.horizon_s = FORECAST_LEAD_S;
   pu_planner_set_options (l->planner, &o);
   l->store_rate = p->store_loads_per_s;
 }
@@ -114,7 +114,7 @@
 
   for (guint32 i = 0; i < l->memory->len; i++)
     {
-      if (pu_adapters_is (l->adapters, i))
+      if (pu_adapters_contains (l->adapters, i))
         largest = MAX (largest, memory_of (l, i));
     }
   return largest;
@@ -195,7 +195,8 @@
     {
       guint32 item = pu_names_get (&l->items, b->copies.copies_val[i].model);
 
-      pu_dispatcher_seen (l->dispatcher, handle, item, pu_sequenced_now (s));
+      pu_dispatcher_mark_loaded (l->dispatcher, handle, item,
+                                 pu_sequenced_now (s));
     }
 }
 
@@ -219,10 +220,10 @@
   e->seen = true;
   if (b->down)
     {
-      pu_dispatcher_remove (l->dispatcher, handle);
+      pu_dispatcher_remove_engine (l->dispatcher, handle);
       return;
     }
-  pu_dispatcher_add (l->dispatcher, handle, pu_sequenced_now (s));
+  pu_dispatcher_add_engine (l->dispatcher, handle, pu_sequenced_now (s));
   copies_seen (s, handle, b);
 }
 
@@ -244,7 +245,7 @@
       if (!pu_sequenced_engine (l, i)->seen)
         {
           pu_sequenced_engine (l, i)->usable = false;
-          pu_dispatcher_remove (l->dispatcher, i);
+          pu_dispatcher_remove_engine (l->dispatcher, i);
         }
     }
 }
@@ -282,7 +283,7 @@
       return PU_PLAN_LOADING;
     case PU_DISPATCHER_READY:
       return PU_PLAN_READY;
-    case PU_DISPATCHER_LEAVING:
+    case PU_DISPATCHER_UNLOADING:
     case PU_DISPATCHER_ABSENT:
       break;
     }
@@ -317,22 +318,23 @@
                               .memory_mb = memory_of (l, items[i].item),
                               .phase = plan_phase (items[i].phase) };
 
-      if (pu_adapters_is (l->adapters, items[i].item))
+      if (pu_adapters_contains (l->adapters, items[i].item))
         continue;
       p.committed_mb += copy.memory_mb;
       g_array_append_val (s->copies, copy);
     }
   p.zone = pu_names_get (&l->zones, e->zone);
   p.memory_mb = c->memory_mb - MIN (c->memory_mb, adapter_room (l, c));
-  p.usable = e->usable && pu_dispatcher_known (l->dispatcher, handle);
-  p.closed = !p.usable || pu_dispatcher_secret (l->dispatcher, handle);
-  pu_dispatcher_set_room (l->dispatcher, handle, p.memory_mb);
-  pu_dispatcher_set_places (l->dispatcher, handle, c->adapter_places);
+  p.usable = e->usable && pu_dispatcher_accepts_orders (l->dispatcher, handle);
+  p.closed
+      = !p.usable || pu_dispatcher_has_unknown_order (l->dispatcher, handle);
+  pu_dispatcher_set_capacity (l->dispatcher, handle, p.memory_mb);
+  pu_dispatcher_set_adapter_slots (l->dispatcher, handle, c->adapter_places);
   p.copies = (const pu_plan_copy_t *)(void *)s->copies->data;
   p.n_copies = s->copies->len;
   pu_planner_set_engine (l->planner, handle, &p, pu_sequenced_now (s));
-  pu_adapters_engine (l->adapters, handle, c->adapter_places, e->load,
-                      p.usable);
+  pu_adapters_set_engine (l->adapters, handle, c->adapter_places, e->load,
+                          p.usable);
 }
 
 static void
@@ -345,7 +347,8 @@
   GString *why = g_string_new (NULL);
 
   pu_planner_explain_move (l->planner, m, why);
-  if (pu_dispatcher_want (l->dispatcher, m->engine, &o, pu_sequenced_now (s)))
+  if (pu_dispatcher_enqueue (l->dispatcher, m->engine, &o,
+                             pu_sequenced_now (s)))
     {
       pu_log_info (PART, "Wanted: %.*s.", (int)why->len - 1, why->str);
     }
@@ -375,9 +378,9 @@
       if (m->kind == PU_MODEL_ADAPTER || places == 0
           || !pu_names_find (&l->items, m->name, &item))
         continue;
-      n = pu_adapters_active (l->adapters, item, now);
-      pu_planner_set_least (l->planner, item,
-                            MAX (m->min_copies, (n + places - 1) / places));
+      n = pu_adapters_count_active (l->adapters, item, now);
+      pu_planner_set_min_copies (
+          l->planner, item, MAX (m->min_copies, (n + places - 1) / places));
     }
 }
 
@@ -397,7 +400,7 @@
         {
           waiting
               += items[k].phase == PU_DISPATCHER_QUEUED
-                 && !pu_adapters_is (l->adapters, items[k].item)
+                 && !pu_adapters_contains (l->adapters, items[k].item)
                  && !g_hash_table_contains (pu_sequenced_engine (l, i)->cached,
                                             GUINT_TO_POINTER (items[k].item));
         }
@@ -429,12 +432,12 @@
   for (guint32 i = 0; i < l->engines->len; i++)
     pu_sequenced_engine_plan (s, i);
   copies_demand (s, now);
-  pu_planner_set_store (l->planner, store_free (s));
+  pu_planner_set_load_slots (l->planner, store_free (s));
   g_array_set_size (s->moves, 0);
   pu_planner_step (l->planner, now, s->moves);
   for (guint i = 0; i < s->moves->len; i++)
     move_want (s, &g_array_index (s->moves, pu_move_t, i));
-  pu_adapters_spread (l->adapters, now);
+  pu_adapters_replicate (l->adapters, now);
 }
 
 /* --- steps --- */
@@ -460,7 +463,7 @@
 done_tell (pu_sequenced_t *s, const pu_dispatcher_action_t *a)
 {
   lead_t *l = s->lead;
-  bool failed = a->what == PU_DISPATCHER_DO_FAILED;
+  bool failed = a->what == PU_DISPATCHER_ACTION_FAILED;
 
   pu_log_info (PART, "%s to %s %s on %s.", failed ? "Failed" : "Began",
                a->order.op == PU_DISPATCHER_LOAD ? "load" : "unload",
@@ -483,14 +486,14 @@
 
       switch (a->what)
         {
-        case PU_DISPATCHER_DO_SEND:
+        case PU_DISPATCHER_ACTION_SEND:
           pu_sequenced_send (s, a);
           break;
-        case PU_DISPATCHER_DO_FETCH:
+        case PU_DISPATCHER_ACTION_FETCH:
           pu_sequenced_fetch (s, a);
           break;
-        case PU_DISPATCHER_DO_DONE:
-        case PU_DISPATCHER_DO_FAILED:
+        case PU_DISPATCHER_ACTION_ACCEPTED:
+        case PU_DISPATCHER_ACTION_FAILED:
           done_tell (s, a);
           break;
         }
@@ -611,12 +614,12 @@
 
   if (l == NULL || !pu_names_find (&l->items, model, &item))
     return;
-  if (pu_adapters_is (l->adapters, item))
+  if (pu_adapters_contains (l->adapters, item))
     {
-      pu_adapters_used (l->adapters, item, pu_sequenced_now (s));
+      pu_adapters_mark_used (l->adapters, item, pu_sequenced_now (s));
       item = pu_adapters_base (l->adapters, item);
     }
-  pu_planner_demand (l->planner, item, requests, stream_ms);
+  pu_planner_add_demand (l->planner, item, requests, stream_ms);
 }
 
 /* --- life --- */
@@ -676,9 +679,9 @@
 phase_name (pu_dispatcher_phase_t phase)
 {
   static const char *const names[] = {
-    [PU_DISPATCHER_ABSENT] = "absent",   [PU_DISPATCHER_QUEUED] = "queued",
-    [PU_DISPATCHER_LOADING] = "loading", [PU_DISPATCHER_READY] = "ready",
-    [PU_DISPATCHER_LEAVING] = "leaving",
+    [PU_DISPATCHER_ABSENT] = "absent",     [PU_DISPATCHER_QUEUED] = "queued",
+    [PU_DISPATCHER_LOADING] = "loading",   [PU_DISPATCHER_READY] = "ready",
+    [PU_DISPATCHER_UNLOADING] = "leaving",
   };
 
   return names[phase];
@@ -715,10 +718,11 @@
       if (e->name == NULL || !e->seen)
         continue;
       json_array_append_new (
-          engines, json_pack ("{s:s, s:b, s:b, s:o}", "engine", e->name,
-                              "known", pu_dispatcher_known (l->dispatcher, i),
-                              "busy", pu_dispatcher_busy (l->dispatcher, i),
-                              "items", items_json (l, i)));
+          engines,
+          json_pack ("{s:s, s:b, s:b, s:o}", "engine", e->name, "known",
+                     pu_dispatcher_accepts_orders (l->dispatcher, i), "busy",
+                     pu_dispatcher_is_busy (l->dispatcher, i), "items",
+                     items_json (l, i)));
     }
   return json_pack ("{s:b, s:o}", "leads", l != NULL, "engines", engines);
 }
--- a/libplantainusher/placer/sequenced_calls.c
+++ b/libplantainusher/placer/sequenced_calls.c
@@ -66,13 +66,13 @@
   bool whole = f->result.kind == PU_HTTP_END_COMPLETE && f->response != NULL;
   pu_dispatcher_answer_t answer
       = whole ? a.s->o.wire->order_answer (f->response->status)
-              : PU_DISPATCHER_LOST;
+              : PU_DISPATCHER_NO_ANSWER;
 
   if (!asked_end (data))
     return;
-  if (answer == PU_DISPATCHER_LOST)
+  if (answer == PU_DISPATCHER_NO_ANSWER)
     count (a.s, a.s->lost);
-  if (answer != PU_DISPATCHER_ACCEPTED && answer != PU_DISPATCHER_HOLDS)
+  if (answer != PU_DISPATCHER_ACCEPTED && answer != PU_DISPATCHER_COMPLETED)
     {
       pu_log_info (PART, "Engine %s answered an order: %d (%s).",
                    pu_sequenced_engine (a.s->lead, a.engine)->name,
@@ -130,7 +130,7 @@
   if (!pu_control_is_leader (s->o.control)
       || !call_start (s, a->engine, &call, on_ordered))
     {
-      pu_dispatcher_answer (l->dispatcher, a->engine, PU_DISPATCHER_LOST,
+      pu_dispatcher_answer (l->dispatcher, a->engine, PU_DISPATCHER_NO_ANSWER,
                             pu_sequenced_now (s));
     }
   g_bytes_unref (call.body);
@@ -178,7 +178,7 @@
       guint32 item = pu_names_get (&l->items, names->pdata[i]);
 
       g_hash_table_add (e->cached, GUINT_TO_POINTER (item));
-      pu_planner_set_quick (l->planner, engine, item, true);
+      pu_planner_set_cached (l->planner, engine, item, true);
     }
 }
 
@@ -192,7 +192,7 @@
 
   g_hash_table_iter_init (&it, e->cached);
   while (g_hash_table_iter_next (&it, &item, NULL))
-    pu_planner_set_quick (l->planner, engine, GPOINTER_TO_UINT (item), false);
+    pu_planner_set_cached (l->planner, engine, GPOINTER_TO_UINT (item), false);
   g_hash_table_remove_all (e->cached);
 }
 
@@ -281,7 +281,7 @@
 
   if (!asked_end (data))
     return;
-  busy = pu_dispatcher_busy (s->lead->dispatcher, a.engine);
+  busy = pu_dispatcher_is_busy (s->lead->dispatcher, a.engine);
   findings = pu_findings_new ();
   wire_report_init (&r);
   if (whole && s->o.wire->report_read (f->body, f->body_len, &r, findings)
@@ -297,7 +297,7 @@
   wire_report_clear (&r);
   pu_findings_free (findings);
   /* A load that has ended leaves its turn of the store to another engine.  */
-  if (busy && !pu_dispatcher_busy (s->lead->dispatcher, a.engine))
+  if (busy && !pu_dispatcher_is_busy (s->lead->dispatcher, a.engine))
     {
       pu_sequenced_act (s);
     }
--- a/libplantainusher/routing/choose.c
+++ b/libplantainusher/routing/choose.c
@@ -12,41 +12,43 @@
 #define SAMPLE_ROUNDS 3  /* times `candidates` copies are sampled */
 
 guint
-output_tokens (const pu_router_t *r, const request_t *q)
+expected_output_tokens (const pu_router_t *r, const request_t *q)
 {
   const model_t *m = model_at (r, q->model);
-  double mean = m->mean_output > 0 ? m->mean_output : OUTPUT_UNKNOWN;
+  double mean
+      = m->mean_output_tokens > 0 ? m->mean_output_tokens : OUTPUT_UNKNOWN;
 
   return MIN (q->max_tokens, (guint)mean);
 }
 
 /* Of a prompt token on an engine with nothing else to do; 0: not known.  */
 static double
-token_ms (const pu_router_t *r, const model_t *m)
+prefill_token_ms (const pu_router_t *r, const model_t *m)
 {
-  return m->token_ms > 0 ? m->token_ms : r->token_ms;
+  return m->prefill_token_ms > 0 ? m->prefill_token_ms : r->prefill_token_ms;
 }
 
 /* The line was learnt in whatever crowd there was, and would call a request
    hopeless that an idle copy answers at once.  */
 double
-unloaded_ms (const pu_router_t *r, const request_t *q)
+unloaded_first_token_ms (const pu_router_t *r, const request_t *q)
 {
   const model_t *m = model_at (r, q->model);
-  double crowded = line_at (&m->first, q->prompt_tokens);
-  double alone = token_ms (r, m) * q->prompt_tokens + line_at (&m->step, 1);
+  double crowded = linear_fit_predict (&m->first, q->prompt_tokens);
+  double alone = prefill_token_ms (r, m) * q->prompt_tokens
+                 + linear_fit_predict (&m->step, 1);
 
-  return token_ms (r, m) > 0 ? MIN (crowded, alone) : crowded;
+  return prefill_token_ms (r, m) > 0 ? MIN (crowded, alone) : crowded;
 }
 
 /* Between two tokens of an undisturbed stream; the prior where no stream has
    told yet.  */
 static double
-step_ms (const pu_router_t *r, const model_t *m)
+decode_step_ms (const pu_router_t *r, const model_t *m)
 {
-  if (m->step_ms > 0)
-    return m->step_ms;
-  return r->step_ms > 0 ? r->step_ms : r->options.decode_ms;
+  if (m->decode_step_ms > 0)
+    return m->decode_step_ms;
+  return r->decode_step_ms > 0 ? r->decode_step_ms : r->options.decode_ms;
 }
 
 double
@@ -58,9 +60,11 @@
 
   if (t == NULL)
     return 0;
-  each = token_ms (r, t) > 0 ? token_ms (r, t) : r->options.prefill_ms;
-  return each * prompt * t->mean_own
-         + output * step_ms (r, t) / (batch > 0 ? batch : BATCH_UNKNOWN);
+  each = prefill_token_ms (r, t) > 0 ? prefill_token_ms (r, t)
+                                     : r->options.prefill_ms;
+  return each * prompt * t->mean_uncached_share
+         + output * decode_step_ms (r, t)
+               / (batch > 0 ? batch : BATCH_UNKNOWN);
 }
 
 static bool
@@ -101,7 +105,7 @@
 static guint64
 pending_tokens (const backend_t *s, const model_t *m, guint64 now)
 {
-  double others = backend_others_waiting (s, now) * m->mean_prompt;
+  double others = backend_others_waiting (s, now) * m->mean_prompt_tokens;
 
   return s->pending_tokens + (guint64)others;
 }
@@ -130,12 +134,12 @@
     return false;
   if (now < s->ejected_until && !ignore_ejection)
     return false;
-  if (q->attempt > 0 && !budget_has (r, s->budget))
+  if (q->attempt > 0 && !retry_budget_allows (r, s->retry_budget))
     return false;
   if (r->options.test_break == PU_ROUTER_BREAK_BACKEND_LIMIT)
     return true;
-  return s->in_flight < slots_of (s)
-         && backend_load (s, now) < MAX (slots_of (s), 1);
+  return s->in_flight < backend_slot_limit (s)
+         && backend_load (s, now) < MAX (backend_slot_limit (s), 1);
 }
 
 /* Whether one more request keeps the time between tokens on target.  */
@@ -156,7 +160,8 @@
                const copy_t *c, guint64 pending)
 {
   guint target = service_at (r, q->service)->first_token_ms;
-  double ahead_ms = line_slope (copy_first (r, c)) * (double)pending;
+  double ahead_ms
+      = linear_fit_slope (copy_first_token_fit (r, c)) * (double)pending;
 
   if (target == 0 || pending == 0)
     return true;
@@ -192,30 +197,30 @@
   for (guint i = 0; i < ready->len; i++)
     {
       const backend_t *b
-          = backend_at (r, g_array_index (ready, ready_t, i).backend);
+          = backend_at (r, g_array_index (ready, ready_copy_t, i).backend);
 
       if (!was_tried (q, b))
-        nearest = MIN (nearest, b->cost_ms);
+        nearest = MIN (nearest, b->network_cost_ms);
     }
   return nearest;
 }
 
 /* Of the copies no further away than FURTHEST_MS, the one that Q's fingerprint
    prefers.  */
-static const ready_t *
+static const ready_copy_t *
 home_of (const pu_router_t *r, const request_t *q, double furthest_ms)
 {
   const GArray *ready = model_at (r, q->model)->ready;
-  const ready_t *home = NULL;
+  const ready_copy_t *home = NULL;
   guint64 most = 0;
 
   for (guint i = 0; i < ready->len; i++)
     {
-      const ready_t *e = &g_array_index (ready, ready_t, i);
+      const ready_copy_t *e = &g_array_index (ready, ready_copy_t, i);
       const backend_t *b = backend_at (r, e->backend);
       guint64 p = preference (q->fingerprint, b);
 
-      if (p < most || was_tried (q, b) || b->cost_ms > furthest_ms)
+      if (p < most || was_tried (q, b) || b->network_cost_ms > furthest_ms)
         continue;
       most = p;
       home = e;
@@ -232,7 +237,7 @@
 tokens_saved (const pu_router_t *r, const request_t *q, const backend_t *s)
 {
   guint known = cached_tokens (r, q, s);
-  const ready_t *home;
+  const ready_copy_t *home;
 
   if (q->fingerprint == 0 || q->shared_tokens <= known)
     return known;
@@ -249,7 +254,7 @@
   const backend_t *s = backend_at (r, b);
   const copy_t *c = &g_array_index (s->copies, copy_t, copy);
   const model_t *m = model_at (r, q->model);
-  const line_t *first = copy_first (r, c);
+  const linear_fit_t *first = copy_first_token_fit (r, c);
   guint load;
   bool eager = service_at (r, q->service)->serve_late;
   guint64 pending;
@@ -267,7 +272,8 @@
   out->copy = copy;
   out->cached = tokens_saved (r, q, s);
   out->work = pending + q->prompt_tokens - out->cached;
-  out->first_ms = line_at (first, (double)out->work) + s->cost_ms;
+  out->first_ms
+      = linear_fit_predict (first, (double)out->work) + s->network_cost_ms;
   out->score = out->first_ms + version_cost (r, q, c) + load * LOAD_TIE_MS
                + backend_step_ms (r, s, m, load + 1);
   /* Of equal errors up and down, half would be late without the margin.
@@ -287,7 +293,7 @@
   for (guint i = 0; i < ready->len; i++)
     {
       const backend_t *s
-          = backend_at (r, g_array_index (ready, ready_t, i).backend);
+          = backend_at (r, g_array_index (ready, ready_copy_t, i).backend);
 
       if (!was_tried (q, s) && now >= s->ejected_until)
         return false;
@@ -295,29 +301,29 @@
   return true;
 }
 
-copy_left_t
-copy_left (const pu_router_t *r, const request_t *q)
+retry_copies_t
+retry_copies (const pu_router_t *r, const request_t *q)
 {
   const GArray *ready = model_at (r, q->model)->ready;
-  copy_left_t left = LEFT_NONE;
+  retry_copies_t left = RETRY_COPIES_NONE;
 
   for (guint i = 0; i < ready->len; i++)
     {
       const backend_t *s
-          = backend_at (r, g_array_index (ready, ready_t, i).backend);
+          = backend_at (r, g_array_index (ready, ready_copy_t, i).backend);
 
       if (was_tried (q, s))
         continue;
-      if (budget_has (r, s->budget))
-        return LEFT_OPEN;
-      left = LEFT_SPENT;
+      if (retry_budget_allows (r, s->retry_budget))
+        return RETRY_COPIES_AVAILABLE;
+      left = RETRY_COPIES_NO_BUDGET;
     }
   return left;
 }
 
 bool
-candidate_on (pu_router_t *r, const request_t *q, pu_router_backend_t b,
-              guint copy, guint64 now, candidate_t *c)
+evaluate_candidate (pu_router_t *r, const request_t *q, pu_router_backend_t b,
+                    guint copy, guint64 now, candidate_t *c)
 {
   bool ejected = now < backend_at (r, b)->ejected_until;
 
@@ -329,7 +335,7 @@
 
 /* Notes B as one of R's found when it can take Q.  */
 static void
-consider (pu_router_t *r, const request_t *q, const ready_t *e,
+consider (pu_router_t *r, const request_t *q, const ready_copy_t *e,
           bool ignore_ejection, guint64 now)
 {
   candidate_t c;
@@ -373,7 +379,7 @@
     return true;
   limit = least->score
           + service_at (r, q->service)->first_token_ms
-                * (double)r->options.alike_pct / 100;
+                * (double)r->options.score_tolerance_pct / 100;
   for (guint i = 0; i < found->len; i++)
     {
       const candidate_t *c = &g_array_index (found, candidate_t, i);
@@ -401,7 +407,7 @@
   for (guint i = 0; i < ready->len; i++)
     {
       consider (r, q,
-                &g_array_index (ready, ready_t, (start + i) % ready->len),
+                &g_array_index (ready, ready_copy_t, (start + i) % ready->len),
                 ignore_ejection, now);
     }
   return best_found (r, q, best);
@@ -414,8 +420,8 @@
                     candidate_t *best)
 {
   const GArray *ready = model_at (r, q->model)->ready;
-  const ready_t *home = NULL;
-  const ready_t *near = NULL;
+  const ready_copy_t *home = NULL;
+  const ready_copy_t *near = NULL;
 
   if (q->fingerprint != 0)
     home = home_of (r, q, G_MAXDOUBLE);
@@ -432,7 +438,8 @@
         {
           guint at = g_rand_int (r->rand) % ready->len;
 
-          consider (r, q, &g_array_index (ready, ready_t, at), false, now);
+          consider (r, q, &g_array_index (ready, ready_copy_t, at), false,
+                    now);
         }
       if (r->found->len > 0)
         break;
--- a/libplantainusher/routing/dump.c
+++ b/libplantainusher/routing/dump.c
@@ -19,7 +19,7 @@
 {
   const backend_t *s = backend_at (r, b);
 
-  return s && s->used ? slots_of (s) : 0;
+  return s && s->used ? backend_slot_limit (s) : 0;
 }
 
 guint
@@ -59,19 +59,19 @@
 {
   return json_pack ("{s:s, s:i, s:i, s:i, s:f, s:b}", "name", s->name,
                     "in_flight", (int)s->in_flight, "waiting", (int)s->waiting,
-                    "limit", (int)service_limit (s), "retry_budget", s->budget,
-                    "declared", s->declared);
+                    "limit", (int)service_limit (s), "retry_budget",
+                    s->retry_budget, "declared", s->declared);
 }
 
 static json_t *
 model_dump (const model_t *m)
 {
-  return json_pack ("{s:s, s:s, s:i, s:i, s:i, s:i, s:f, s:f, s:f}", "name",
-                    m->name, "preferred", m->preferred ? m->preferred : "",
-                    "share", (int)m->share, "ready", (int)m->ready->len,
-                    "in_flight", (int)m->in_flight, "waiting", (int)m->waiting,
-                    "prefill_ms", line_slope (&m->first), "step_ms",
-                    line_at (&m->step, 1), "mean_output", m->mean_output);
+  return json_pack (
+      "{s:s, s:s, s:i, s:i, s:i, s:i, s:f, s:f, s:f}", "name", m->name,
+      "preferred", m->preferred ? m->preferred : "", "share", (int)m->share,
+      "ready", (int)m->ready->len, "in_flight", (int)m->in_flight, "waiting",
+      (int)m->waiting, "prefill_ms", linear_fit_slope (&m->first), "step_ms",
+      linear_fit_predict (&m->step, 1), "mean_output", m->mean_output_tokens);
 }
 
 static json_t *
@@ -82,9 +82,10 @@
       "name", s->name, "incarnation", (json_int_t)s->incarnation, "zone",
       s->zone, "leaving", s->leaving, "gone", s->gone, "copies",
       (int)s->copies->len, "in_flight", (int)s->in_flight, "others",
-      (int)s->others_running, "slots", (int)slots_of (s), "ejections",
-      (int)s->ejections, "report_seq", (json_int_t)s->seq, "cached_blocks",
-      (int)g_hash_table_size (s->blocks), "retry_budget", s->budget);
+      (int)s->others_running, "slots", (int)backend_slot_limit (s),
+      "ejections", (int)s->ejections, "report_seq", (json_int_t)s->seq,
+      "cached_blocks", (int)g_hash_table_size (s->blocks), "retry_budget",
+      s->retry_budget);
 }
 
 static json_t *
--- a/libplantainusher/routing/estimate.c
+++ b/libplantainusher/routing/estimate.c
@@ -12,9 +12,9 @@
 #define LEAST_UP 1.01
 
 void
-line_init (line_t *l, double at_zero, double slope, double ridge)
+linear_fit_init (linear_fit_t *l, double at_zero, double slope, double ridge)
 {
-  *l = (line_t){
+  *l = (linear_fit_t){
     .weight = WEIGHT_FIRST,
     .y = at_zero,
     .prior = slope,
@@ -23,7 +23,7 @@
 }
 
 void
-line_add (line_t *l, double x, double y)
+linear_fit_add (linear_fit_t *l, double x, double y)
 {
   double share;
   double dx;
@@ -31,7 +31,8 @@
 
   if (!isfinite (x) || !isfinite (y) || y < 0)
     return;
-  l->deviation += DEVIATION_SHARE * (fabs (y - line_at (l, x)) - l->deviation);
+  l->deviation += DEVIATION_SHARE
+                  * (fabs (y - linear_fit_predict (l, x)) - l->deviation);
   l->weight = MIN (l->weight + 1, WEIGHT_MAX);
   share = 1 / l->weight;
   dx = x - l->x;
@@ -43,7 +44,7 @@
 }
 
 void
-least_add (double *least, double y)
+min_filter_add (double *least, double y)
 {
   if (!isfinite (y) || y <= 0)
     return;
@@ -60,7 +61,7 @@
 }
 
 double
-line_slope (const line_t *l)
+linear_fit_slope (const linear_fit_t *l)
 {
   double slope = (l->cov + l->ridge * l->prior) / (l->var + l->ridge);
 
@@ -68,9 +69,9 @@
 }
 
 double
-line_at (const line_t *l, double x)
+linear_fit_predict (const linear_fit_t *l, double x)
 {
-  double y = l->y + line_slope (l) * (x - l->x);
+  double y = l->y + linear_fit_slope (l) * (x - l->x);
 
   return MAX (y, 0);
 }
--- a/libplantainusher/routing/estimate.h
+++ b/libplantainusher/routing/estimate.h
@@ -22,28 +22,29 @@
   double deviation; /* mean distance of the samples from the line */
   double prior;     /* slope without samples */
   double ridge;     /* how much variance of x it takes to leave the prior */
-} line_t;
+} linear_fit_t;
 
-/* line_init - a line through (0, AT_ZERO) with SLOPE and no samples.  RIDGE
-   is in units of x squared.  */
-void line_init (line_t *l, double at_zero, double slope, double ridge);
+/* linear_fit_init - a line through (0, AT_ZERO) with SLOPE and no samples.
+   RIDGE is in units of x squared.  */
+void linear_fit_init (linear_fit_t *l, double at_zero, double slope,
+                      double ridge);
 
-/* line_add - a sample.  Not finite or negative Y are ignored.  */
-void line_add (line_t *l, double x, double y);
+/* linear_fit_add - a sample.  Not finite or negative Y are ignored.  */
+void linear_fit_add (linear_fit_t *l, double x, double y);
 
-/* line_slope - never negative.  */
-double line_slope (const line_t *l);
+/* linear_fit_slope - never negative.  */
+double linear_fit_slope (const linear_fit_t *l);
 
-/* line_at - the expected y at X, never negative.  */
-double line_at (const line_t *l, double x);
+/* linear_fit_predict - the expected y at X, never negative.  */
+double linear_fit_predict (const linear_fit_t *l, double x);
 
 /*
  * least - what samples come down to when nothing disturbs them: near the least
  * of them, yet it rises again when all become larger.
  */
 
-/* least_add - moves *LEAST (0: no sample yet) towards Y.  */
-void least_add (double *least, double y);
+/* min_filter_add - moves *LEAST (0: no sample yet) towards Y.  */
+void min_filter_add (double *least, double y);
 
 G_END_DECLS
 
--- a/libplantainusher/routing/feedback.c
+++ b/libplantainusher/routing/feedback.c
@@ -6,7 +6,7 @@
 void
 pu_router_sent (pu_router_t *r, pu_ticket_t t, guint64 now)
 {
-  request_t *q = running_of (r, t);
+  request_t *q = request_lookup_running (r, t);
 
   if (q && !q->first_at)
     q->sent_at = now;
@@ -22,8 +22,8 @@
   if (q->work < TOKENS_MIN)
     return;
   ms = net / (double)q->work;
-  least_add (&model_at (r, q->model)->token_ms, ms);
-  least_add (&r->token_ms, ms);
+  min_filter_add (&model_at (r, q->model)->prefill_token_ms, ms);
+  min_filter_add (&r->prefill_token_ms, ms);
 }
 
 static void
@@ -31,7 +31,7 @@
 {
   backend_t *b = backend_at (r, q->backend);
   double ms = (double)(now - q->sent_at);
-  double net = MAX (ms - b->cost_ms, 0);
+  double net = MAX (ms - b->network_cost_ms, 0);
 
   learn_token (r, q, net);
   for (guint i = 0; i < b->copies->len; i++)
@@ -39,9 +39,9 @@
       copy_t *c = &g_array_index (b->copies, copy_t, i);
 
       if (c->model == q->model && c->phase == PU_ROUTER_COPY_READY)
-        copy_learn (r, c, (double)q->work, net);
+        copy_add_sample (r, c, (double)q->work, net);
     }
-  line_add (&model_at (r, q->model)->first, (double)q->work, net);
+  linear_fit_add (&model_at (r, q->model)->first, (double)q->work, net);
 }
 
 /* The prompt's blocks are cached now where it ran.  */
@@ -60,7 +60,7 @@
 void
 pu_router_first_token (pu_router_t *r, pu_ticket_t t, guint64 now)
 {
-  request_t *q = running_of (r, t);
+  request_t *q = request_lookup_running (r, t);
   guint target;
 
   if (!q || q->first_at)
@@ -70,21 +70,22 @@
   q->sampled_tokens = 1;
   q->tokens = 1;
   q->gave_tokens = true;
-  prefill_over (r, q);
+  prefill_done (r, q);
   learn_first (r, q, now);
   claim_prefix (r, q);
   target = service_at (r, q->service)->first_token_ms;
   if (target > 0)
-    window_sample (backend_at (r, q->backend), q->sent_at, now > q->due, now);
+    prefill_window_update (backend_at (r, q->backend), q->sent_at,
+                           now > q->due, now);
   if (target > 0 && q->attempt == 1 && !q->late)
-    service_sample (r, q->service, now - q->offered_at > target);
-  backend_dirty (r, q->backend);
+    service_record_first_token (r, q->service, now - q->offered_at > target);
+  backend_mark_dirty (r, q->backend);
 }
 
 void
 pu_router_tokens (pu_router_t *r, pu_ticket_t t, guint total, guint64 now)
 {
-  request_t *q = running_of (r, t);
+  request_t *q = request_lookup_running (r, t);
   backend_t *b;
   double ms;
   double load;
@@ -97,10 +98,10 @@
   b = backend_at (r, q->backend);
   ms = (double)(now - q->sampled_at) / (total - q->sampled_tokens);
   load = backend_load (b, now);
-  line_add (&b->step, load, ms);
-  line_add (&model_at (r, q->model)->step, load, ms);
-  least_add (&model_at (r, q->model)->step_ms, ms);
-  least_add (&r->step_ms, ms);
+  linear_fit_add (&b->step, load, ms);
+  linear_fit_add (&model_at (r, q->model)->step, load, ms);
+  min_filter_add (&model_at (r, q->model)->decode_step_ms, ms);
+  min_filter_add (&r->decode_step_ms, ms);
   b->step_known = true;
   q->sampled_at = now;
   q->sampled_tokens = total;
@@ -111,13 +112,14 @@
 {
   model_t *m = model_at (r, q->model);
 
-  if (m->mean_output <= 0)
+  if (m->mean_output_tokens <= 0)
     {
-      m->mean_output = q->tokens;
+      m->mean_output_tokens = q->tokens;
     }
   else
     {
-      m->mean_output += MEAN_SHARE * (q->tokens - m->mean_output);
+      m->mean_output_tokens
+          += MEAN_SAMPLE_WEIGHT * (q->tokens - m->mean_output_tokens);
     }
 }
 
@@ -125,14 +127,14 @@
 pu_router_finished (pu_router_t *r, pu_ticket_t t, pu_router_outcome_t outcome,
                     guint64 now)
 {
-  request_t *q = running_of (r, t);
+  request_t *q = request_lookup_running (r, t);
 
   if (!q)
     return;
-  if (outcome == PU_ROUTER_WHOLE && q->tokens > 0)
+  if (outcome == PU_ROUTER_COMPLETE && q->tokens > 0)
     learn_output (r, q);
-  backend_worked (r, q->backend);
-  stop_and_open (r, q, now);
+  backend_succeeded (r, q->backend);
+  request_stop (r, q, now);
   r->stats.finished++;
   request_end (r, q);
 }
@@ -140,7 +142,7 @@
 void
 pu_router_cancel (pu_router_t *r, pu_ticket_t t, guint64 now)
 {
-  request_t *q = request_of (r, t);
+  request_t *q = request_lookup (r, t);
 
   if (!q)
     return;
@@ -150,7 +152,7 @@
         queue_remove (r, q);
     }
   else
-    stop_and_open (r, q, now);
+    request_stop (r, q, now);
   r->stats.cancelled++;
   request_end (r, q);
 }
@@ -197,13 +199,15 @@
 
   if (unsafe && r->options.test_break != PU_ROUTER_BREAK_REPEAT)
     return PU_ROUTER_REASON_REPEAT;
-  if (why_lost (r, q) != PU_ROUTER_REASON_NONE)
-    return why_lost (r, q);
-  if (q->attempt >= q->attempts_max || copy_left (r, q) == LEFT_NONE)
+  if (lost_dependency (r, q) != PU_ROUTER_REASON_NONE)
+    return lost_dependency (r, q);
+  if (q->attempt >= q->attempts_max
+      || retry_copies (r, q) == RETRY_COPIES_NONE)
     return PU_ROUTER_REASON_ATTEMPTS;
   if (q->deadline <= now || q->give_up < now)
     return PU_ROUTER_REASON_DEADLINE;
-  if (!budget_has (r, s->budget) || copy_left (r, q) == LEFT_SPENT)
+  if (!retry_budget_allows (r, s->retry_budget)
+      || retry_copies (r, q) == RETRY_COPIES_NO_BUDGET)
     return PU_ROUTER_REASON_BUDGET;
   return PU_ROUTER_REASON_NONE;
 }
@@ -222,7 +226,7 @@
 pu_router_retry (pu_router_t *r, pu_ticket_t t, pu_router_failure_t failure,
                  guint64 now, pu_router_decision_t *d)
 {
-  request_t *q = running_of (r, t);
+  request_t *q = request_lookup_running (r, t);
   pu_router_reason_t reason;
   candidate_t c;
 
@@ -233,7 +237,7 @@
       return;
     }
   note_failure (r, q, failure, now);
-  stop_and_open (r, q, now);
+  request_stop (r, q, now);
   q->late = is_late (r, q, now);
   set_due (r, q);
   reason = why_not_again (r, q, now);
@@ -242,7 +246,7 @@
       refuse (r, q, reason, 0, d);
       return;
     }
-  service_at (r, q->service)->budget -= 1;
+  service_at (r, q->service)->retry_budget -= 1;
   if (service_may_start (r, service_at (r, q->service))
       && choose_copy (r, q, now, &c))
     {
@@ -255,15 +259,15 @@
 }
 
 void
-pu_router_failed (pu_router_t *r, pu_ticket_t t, pu_router_failure_t failure,
-                  guint64 now)
+pu_router_abandon (pu_router_t *r, pu_ticket_t t, pu_router_failure_t failure,
+                   guint64 now)
 {
-  request_t *q = running_of (r, t);
+  request_t *q = request_lookup_running (r, t);
 
   if (!q)
     return;
   note_failure (r, q, failure, now);
-  stop_and_open (r, q, now);
+  request_stop (r, q, now);
   r->stats.cancelled++;
   request_end (r, q);
 }
--- a/libplantainusher/routing/limit.c
+++ b/libplantainusher/routing/limit.c
@@ -76,7 +76,8 @@
       const model_t *m = model_at (r, h);
 
       for (guint j = 0; m->waiting > 0 && j < m->ready->len; j++)
-        backend_dirty (r, g_array_index (m->ready, ready_t, j).backend);
+        backend_mark_dirty (r,
+                            g_array_index (m->ready, ready_copy_t, j).backend);
     }
 }
 
@@ -104,7 +105,7 @@
 }
 
 void
-service_sample (pu_router_t *r, pu_router_service_t h, bool late)
+service_record_first_token (pu_router_t *r, pu_router_service_t h, bool late)
 {
   service_t *s = service_at (r, h);
 
@@ -115,7 +116,7 @@
 }
 
 void
-window_sample (backend_t *b, guint64 sent_at, bool late, guint64 now)
+prefill_window_update (backend_t *b, guint64 sent_at, bool late, guint64 now)
 {
   if (!late)
     {
@@ -130,7 +131,7 @@
 }
 
 guint
-slots_of (const backend_t *s)
+backend_slot_limit (const backend_t *s)
 {
   return s->fixed_slots ? s->fixed_slots : (guint)s->slots;
 }
@@ -230,7 +231,7 @@
 }
 
 void
-backend_worked (pu_router_t *r, pu_router_backend_t b)
+backend_succeeded (pu_router_t *r, pu_router_backend_t b)
 {
   backend_t *s = backend_at (r, b);
 
@@ -240,20 +241,20 @@
     return;
   s->ejections = 0;
   s->ejected_until = 0;
-  backend_dirty (r, b);
+  backend_mark_dirty (r, b);
 }
 
 void
-budget_earn (const pu_router_t *r, double *budget)
+retry_budget_credit (const pu_router_t *r, double *retry_budget)
 {
-  *budget += r->options.retry_pct / 100.0;
-  *budget = MIN (*budget, r->options.retry_burst);
+  *retry_budget += r->options.retry_pct / 100.0;
+  *retry_budget = MIN (*retry_budget, r->options.retry_burst);
 }
 
 bool
-budget_has (const pu_router_t *r, double budget)
+retry_budget_allows (const pu_router_t *r, double retry_budget)
 {
-  return budget >= 1 || r->options.test_break == PU_ROUTER_BREAK_BUDGET;
+  return retry_budget >= 1 || r->options.test_break == PU_ROUTER_BREAK_BUDGET;
 }
 
 guint
--- a/libplantainusher/routing/queue.c
+++ b/libplantainusher/routing/queue.c
@@ -161,8 +161,8 @@
   const copy_t *copy = &g_array_index (s->copies, copy_t, c->copy);
   guint own = q->prompt_tokens - c->cached;
   double step = backend_step_ms (r, s, m, s->in_flight + 1);
-  double cost = line_slope (copy_first (r, copy)) * own
-                + step * output_tokens (r, q) / (s->in_flight + 1);
+  double cost = linear_fit_slope (copy_first_token_fit (r, copy)) * own
+                + step * expected_output_tokens (r, q) / (s->in_flight + 1);
 
   s->virtual_time = start_tag (s, q->service);
   *finish_tag (s, q->service)
@@ -180,7 +180,7 @@
     {
       request_t *q = g_sequence_get (at);
 
-      if (candidate_on (r, q, b, copy, now, c))
+      if (evaluate_candidate (r, q, b, copy, now, c))
         return q;
       at = g_sequence_iter_next (at);
     }
--- a/libplantainusher/routing/router.c
+++ b/libplantainusher/routing/router.c
@@ -3,10 +3,10 @@
 #include <string.h>
 
 #define EXPLORE_MS                                                            \
-  1000                 /* how often an estimate is tried in spite of itself   \
-                        */
-#define MEAN_SHARE 0.1 /* weight of a new sample in a mean */
-#define STEP_TOKENS 8  /* tokens that make one sample of the step time */
+  1000 /* how often an estimate is tried in spite of itself                   \
+        */
+#define MEAN_SAMPLE_WEIGHT 0.1 /* weight of a new sample in a mean */
+#define STEP_TOKENS 8     /* tokens that make one sample of the step time */
 #define UNLOADED_FACTOR 2 /* slack over an idle copy's first token */
 
 void
@@ -27,7 +27,7 @@
     .limit_initial = 128,
     .limit_min = 8,
     .window_pct = 50,
-    .alike_pct = 5,
+    .score_tolerance_pct = 5,
     .retry_pct = 10,
     .retry_burst = 5,
     .attempts_max = 3,
@@ -71,7 +71,7 @@
 /* Requests.  */
 
 request_t *
-request_of (const pu_router_t *r, pu_ticket_t t)
+request_lookup (const pu_router_t *r, pu_ticket_t t)
 {
   guint index = (guint32)t - 1;
   request_t *q;
@@ -86,9 +86,9 @@
 
 /* The running request under T, or NULL.  */
 request_t *
-running_of (const pu_router_t *r, pu_ticket_t t)
+request_lookup_running (const pu_router_t *r, pu_ticket_t t)
 {
-  request_t *q = request_of (r, t);
+  request_t *q = request_lookup (r, t);
 
   return q && q->state == REQUEST_RUNNING ? q : NULL;
 }
@@ -139,8 +139,9 @@
 {
   const service_t *s = service_at (r, q->service);
   const model_t *m = model_at (r, q->model);
-  double unloaded = unloaded_ms (r, q);
-  double decode = output_tokens (r, q) * line_at (&m->step, 1);
+  double unloaded = unloaded_first_token_ms (r, q);
+  double decode
+      = expected_output_tokens (r, q) * linear_fit_predict (&m->step, 1);
   double latest = (double)q->deadline - decode;
   double target = MAX (s->first_token_ms, UNLOADED_FACTOR * unloaded);
   double due;
@@ -241,11 +242,11 @@
   queue_charge (r, q, c);
   if (q->attempt == 0)
     {
-      budget_earn (r, &b->budget);
+      retry_budget_credit (r, &b->retry_budget);
     }
   else
     {
-      b->budget -= 1;
+      b->retry_budget -= 1;
       r->stats.retried++;
     }
   q->state = REQUEST_RUNNING;
@@ -264,12 +265,13 @@
   s->in_flight++;
   s->peak = MAX (s->peak, s->in_flight);
   m->in_flight++;
-  m->mean_prompt += MEAN_SHARE * (q->prompt_tokens - m->mean_prompt);
+  m->mean_prompt_tokens
+      += MEAN_SAMPLE_WEIGHT * (q->prompt_tokens - m->mean_prompt_tokens);
   if (q->prompt_tokens > 0)
     {
-      m->mean_own
-          += MEAN_SHARE
-             * ((double)q->own_tokens / q->prompt_tokens - m->mean_own);
+      m->mean_uncached_share += MEAN_SAMPLE_WEIGHT
+                                * ((double)q->own_tokens / q->prompt_tokens
+                                   - m->mean_uncached_share);
     }
   r->in_flight++;
   r->stats.dispatched++;
@@ -286,7 +288,7 @@
 }
 
 void
-prefill_over (pu_router_t *r, request_t *q)
+prefill_done (pu_router_t *r, request_t *q)
 {
   backend_t *b = backend_at (r, q->backend);
 
@@ -301,18 +303,18 @@
   backend_t *b = backend_at (r, q->backend);
 
   if (!q->first_at)
-    prefill_over (r, q);
+    prefill_done (r, q);
   b->in_flight--;
   backend_count (b, now);
   service_at (r, q->service)->in_flight--;
   model_at (r, q->model)->in_flight--;
   r->in_flight--;
-  backend_dirty (r, q->backend);
+  backend_mark_dirty (r, q->backend);
   backend_release (r, q->backend);
 }
 
 void
-stop_and_open (pu_router_t *r, request_t *q, guint64 now)
+request_stop (pu_router_t *r, request_t *q, guint64 now)
 {
   const service_t *s = service_at (r, q->service);
   bool was_full = !service_may_start (r, s);
@@ -362,7 +364,7 @@
     return false;
   if (!choose_copy (r, q, now, c))
     return false;
-  /* What waits and could start there goes first; after a pu_router_next
+  /* What waits and could start there goes first; after a pu_router_schedule
      nothing is left that could, whatever else waits for the model.  */
   return !backend_at (r, c->backend)->dirty
          || g_sequence_is_empty (r->expiries);
@@ -431,7 +433,7 @@
       refuse_unknown (r, PU_ROUTER_REASON_MODEL, d);
       return;
     }
-  budget_earn (r, &s->budget);
+  retry_budget_credit (r, &s->retry_budget);
   q = request_new (r);
   request_fill (r, q, in, now);
   decide (r, q, now, d);
@@ -458,7 +460,7 @@
   for (guint i = 0; i < r->displaced->len; i++)
     {
       pu_ticket_t t = g_array_index (r->displaced, pu_ticket_t, i);
-      request_t *q = request_of (r, t);
+      request_t *q = request_lookup (r, t);
       pu_router_decision_t d;
 
       if (!q)
@@ -479,7 +481,7 @@
   turn_late (r, q);
   queue_add (r, q, now);
   for (guint i = 0; i < m->ready->len; i++)
-    backend_dirty (r, g_array_index (m->ready, ready_t, i).backend);
+    backend_mark_dirty (r, g_array_index (m->ready, ready_copy_t, i).backend);
 }
 
 static void
@@ -512,7 +514,7 @@
 }
 
 pu_router_reason_t
-why_lost (const pu_router_t *r, const request_t *q)
+lost_dependency (const pu_router_t *r, const request_t *q)
 {
   const model_t *m = model_at (r, q->model);
 
@@ -535,7 +537,7 @@
   while (!g_sequence_iter_is_end (at))
     {
       request_t *q = g_sequence_get (at);
-      pu_router_reason_t reason = why_lost (r, q);
+      pu_router_reason_t reason = lost_dependency (r, q);
 
       at = g_sequence_iter_next (at);
       if (reason != PU_ROUTER_REASON_NONE)
@@ -561,7 +563,7 @@
         continue;
       b->held = false;
       g_array_remove_index_fast (r->held, i);
-      backend_dirty (r, h);
+      backend_mark_dirty (r, h);
     }
 }
 
@@ -601,7 +603,7 @@
 }
 
 guint
-pu_router_next (pu_router_t *r, guint64 now, GArray *out)
+pu_router_schedule (pu_router_t *r, guint64 now, GArray *out)
 {
   guint before = out->len;
 
@@ -615,7 +617,7 @@
 }
 
 guint64
-pu_router_wake_at (const pu_router_t *r)
+pu_router_next_timeout_at (const pu_router_t *r)
 {
   GSequenceIter *first = g_sequence_get_begin_iter (r->expiries);
   guint64 at;
