--- a/libplantainusher/routing/router.h
+++ b/libplantainusher/routing/router.h
@@ -16,14 +16,14 @@
  * offers requests and carries the decisions out.
  *
  * Each offered request gets exactly one final answer:
- *   - a refusal, from pu_router_offer, pu_router_next or pu_router_retry;
+ *   - a refusal, from pu_router_offer, pu_router_schedule or pu_router_retry;
  *   - or pu_router_finished or pu_router_cancel, called by the shell.
  * After its final answer a ticket is void; calls with a void ticket do
  * nothing.
  *
- * The shell calls pu_router_next after every event that can open a slot (a
+ * The shell calls pu_router_schedule after every event that can open a slot (a
  * finish, a failure, a report, a change of a table) and at the time that
- * pu_router_wake_at gives.
+ * pu_router_next_timeout_at gives.
  */
 
 #define PU_ROUTER_NONE G_MAXUINT32
@@ -56,29 +56,29 @@
 
 typedef struct
 {
-  guint64 seed;            /* of the random numbers */
-  const char *region;      /* of this entry */
-  const char *zone;        /* of this entry */
-  guint zone_cost_ms;      /* added for a backend server in another zone */
-  guint region_cost_ms;    /* added for one in another region */
-  guint version_cost_ms;   /* added for a version that is not preferred */
-  guint candidates;        /* copies looked at for one choice, at least 2 */
-  guint block_tokens;      /* tokens of a prefix block */
-  guint prefix_blocks_max; /* cached blocks remembered of a backend server */
-  guint slots_initial;     /* requests at once on one backend server */
-  guint slots_max;         /* highest that it may grow to */
-  guint limit_initial;     /* requests of one service at once */
-  guint limit_min;         /* the adaptive limit stays at or above */
-  guint window_pct;        /* share of the first-token target that work sent
-                              ahead to a backend server may fill */
-  guint alike_pct;         /* share of the first-token target within which
-                              copies are as good as the best: a fingerprint
-                              then chooses among them */
-  guint retry_pct;         /* retries for 100 first attempts */
-  guint retry_burst;       /* retries allowed before any attempt */
-  guint attempts_max;      /* of one request, the first included */
-  guint eject_failures;    /* failures in a row that eject */
-  guint eject_ms;          /* first ejection; doubles each time */
+  guint64 seed;              /* of the random numbers */
+  const char *region;        /* of this entry */
+  const char *zone;          /* of this entry */
+  guint zone_cost_ms;        /* added for a backend server in another zone */
+  guint region_cost_ms;      /* added for one in another region */
+  guint version_cost_ms;     /* added for a version that is not preferred */
+  guint candidates;          /* copies looked at for one choice, at least 2 */
+  guint block_tokens;        /* tokens of a prefix block */
+  guint prefix_blocks_max;   /* cached blocks remembered of a backend server */
+  guint slots_initial;       /* requests at once on one backend server */
+  guint slots_max;           /* highest that it may grow to */
+  guint limit_initial;       /* requests of one service at once */
+  guint limit_min;           /* the adaptive limit stays at or above */
+  guint window_pct;          /* share of the first-token target that work sent
+                                ahead to a backend server may fill */
+  guint score_tolerance_pct; /* share of the first-token target within which
+                      copies are as good as the best: a fingerprint
+                      then chooses among them */
+  guint retry_pct;           /* retries for 100 first attempts */
+  guint retry_burst;         /* retries allowed before any attempt */
+  guint attempts_max;        /* of one request, the first included */
+  guint eject_failures;      /* failures in a row that eject */
+  guint eject_ms;            /* first ejection; doubles each time */
   guint eject_max_ms;
   guint retry_after_min_ms;
   guint retry_after_max_ms;
@@ -117,7 +117,7 @@
 pu_router_set_service (pu_router_t *r, const pu_router_service_options_t *o);
 
 /* pu_router_remove_service - withdraws S.  What waits is refused by the next
-   pu_router_next; what runs goes on.  */
+   pu_router_schedule; what runs goes on.  */
 void pu_router_remove_service (pu_router_t *r, pu_router_service_t s);
 
 /* pu_router_find_service - the handle of a declared service, or NONE.  */
@@ -272,7 +272,7 @@
 typedef enum
 {
   PU_ROUTER_DISPATCH, /* send it to `backend` now */
-  PU_ROUTER_QUEUED,   /* pu_router_next will decide about `ticket` */
+  PU_ROUTER_QUEUED,   /* pu_router_schedule will decide about `ticket` */
   PU_ROUTER_REFUSE,   /* final: answer the caller now */
 } pu_router_verdict_t;
 
@@ -317,10 +317,10 @@
 void pu_router_offer (pu_router_t *r, const pu_router_request_t *q,
                       guint64 now, pu_router_decision_t *d);
 
-/* pu_router_next - appends to OUT (of pu_router_decision_t) the dispatches
+/* pu_router_schedule - appends to OUT (of pu_router_decision_t) the dispatches
    that open slots allow and the refusals of what can't be in time any more.
    Returns the number appended.  */
-guint pu_router_next (pu_router_t *r, guint64 now, GArray *out);
+guint pu_router_schedule (pu_router_t *r, guint64 now, GArray *out);
 
 /* pu_router_cost_ms - how long a request for M keeps an engine to itself that
    runs BATCH requests at once (0: not known): PROMPT tokens but for what is
@@ -329,9 +329,9 @@
 double pu_router_cost_ms (const pu_router_t *r, pu_router_model_t m,
                           guint prompt, guint output, guint batch);
 
-/* pu_router_wake_at - when pu_router_next has something to do without any
-   other event; G_MAXUINT64 when never.  */
-guint64 pu_router_wake_at (const pu_router_t *r);
+/* pu_router_next_timeout_at - when pu_router_schedule has something to do
+   without any other event; G_MAXUINT64 when never.  */
+guint64 pu_router_next_timeout_at (const pu_router_t *r);
 
 /* Feedback about a dispatched request.  */
 
@@ -347,7 +347,7 @@
 
 typedef enum
 {
-  PU_ROUTER_WHOLE,    /* answered to its end */
+  PU_ROUTER_COMPLETE, /* answered to its end */
   PU_ROUTER_REJECTED, /* the backend server says the request is wrong */
 } pu_router_outcome_t;
 
@@ -386,11 +386,11 @@
                       pu_router_failure_t failure, guint64 now,
                       pu_router_decision_t *d);
 
-/* pu_router_failed - the attempt under T failed and the shell sends the
+/* pu_router_abandon - the attempt under T failed and the shell sends the
    request elsewhere itself, such as to another entry: counts it against the
    backend server and voids T, without a retry's budget.  */
-void pu_router_failed (pu_router_t *r, pu_ticket_t t,
-                       pu_router_failure_t failure, guint64 now);
+void pu_router_abandon (pu_router_t *r, pu_ticket_t t,
+                        pu_router_failure_t failure, guint64 now);
 
 /* Looking in.  */
 
--- a/libplantainusher/routing/router_fuzz_test.cc
+++ b/libplantainusher/routing/router_fuzz_test.cc
@@ -210,7 +210,7 @@
   next ()
   {
     GArray *out = g_array_new (FALSE, FALSE, sizeof (pu_router_decision_t));
-    pu_router_next (r_, now_, out);
+    pu_router_schedule (r_, now_, out);
     for (guint i = 0; i < out->len; i++)
       {
         auto &d = g_array_index (out, pu_router_decision_t, i);
@@ -375,8 +375,8 @@
     if (!t)
       return;
     stopped (requests_[t]);
-    pu_router_finished (r_, t, PU_ROUTER_WHOLE, now_);
-    pu_router_finished (r_, t, PU_ROUTER_WHOLE, now_); /* void by now */
+    pu_router_finished (r_, t, PU_ROUTER_COMPLETE, now_);
+    pu_router_finished (r_, t, PU_ROUTER_COMPLETE, now_); /* void by now */
     requests_.erase (t);
     next ();
   }
--- a/libplantainusher/routing/router_int.h
+++ b/libplantainusher/routing/router_int.h
@@ -13,8 +13,8 @@
  * feedback.c  learns, retries
  */
 
-#define TRIED_MAX 4    /* backend servers a request remembers to avoid */
-#define MEAN_SHARE 0.1 /* weight of a new sample in a mean */
+#define TRIED_MAX 4 /* backend servers a request remembers to avoid */
+#define MEAN_SAMPLE_WEIGHT 0.1 /* weight of a new sample in a mean */
 #define HISTORY_MAX 16 /* ticks of own work kept, to correct late reports */
 #define HISTORY_TICK_MS 64
 #define REPORT_LIFE_MS 5000 /* an older report says nothing */
@@ -37,9 +37,9 @@
   bool was_late; /* it was too high once */
   guint samples; /* of this window */
   guint late;
-  guint peak;     /* highest in flight in this window */
-  double budget;  /* retries that may be spent */
-  GArray *models; /* of pu_router_model_t: where it has had a queue */
+  guint peak;          /* highest in flight in this window */
+  double retry_budget; /* retries that may be spent */
+  GArray *models;      /* of pu_router_model_t: where it has had a queue */
 } service_t;
 
 /* What one service has waiting for one model, best first.  */
@@ -54,7 +54,7 @@
 {
   pu_router_backend_t backend;
   guint copy; /* index in the backend server's copies */
-} ready_t;
+} ready_copy_t;
 
 typedef struct
 {
@@ -62,20 +62,20 @@
   bool declared;
   char *preferred; /* version; NULL: all alike */
   guint share;     /* of 1000 requests that go there */
-  GArray *ready;   /* of ready_t */
+  GArray *ready;   /* of ready_copy_t */
   GArray *flows;   /* of flow_t */
   guint waiting;
   guint in_flight;
-  line_t first;       /* tokens of prefill -> ms to the first token */
-  line_t step;        /* requests at once -> ms for each token */
-  double mean_prompt; /* tokens */
-  double mean_output; /* tokens; 0: not known */
-  double mean_own;    /* share of a prompt that was not cached */
-  double token_ms;    /* of prefill, undisturbed; 0: not known */
-  double step_ms;     /* between tokens, undisturbed; 0: not known */
-  guint64 busy_since; /* since when requests wait without a break */
-  double drain_rate;  /* starts for each ms while busy; 0: not known */
-  guint drained;      /* starts since busy_since */
+  linear_fit_t first;         /* tokens of prefill -> ms to the first token */
+  linear_fit_t step;          /* requests at once -> ms for each token */
+  double mean_prompt_tokens;  /* tokens */
+  double mean_output_tokens;  /* tokens; 0: not known */
+  double mean_uncached_share; /* share of a prompt that was not cached */
+  double prefill_token_ms;    /* of prefill, undisturbed; 0: not known */
+  double decode_step_ms;      /* between tokens, undisturbed; 0: not known */
+  guint64 busy_since;         /* since when requests wait without a break */
+  double drain_rate;          /* starts for each ms while busy; 0: not known */
+  guint drained;              /* starts since busy_since */
   guint64 explored_at;
 } model_t;
 
@@ -84,8 +84,8 @@
   pu_router_model_t model;
   char *version;
   pu_router_phase_t phase;
-  line_t first; /* as its model's, but of this copy alone */
-  bool tried;   /* `first` holds a sample */
+  linear_fit_t first; /* as its model's, but of this copy alone */
+  bool tried;         /* `first` holds a sample */
 } copy_t;
 
 typedef struct
@@ -97,9 +97,9 @@
   pu_router_kind_t kind;
   char *region;
   char *zone;
-  guint cost_ms; /* of the way there */
-  bool used;     /* the slot of the table is in use */
-  bool gone;     /* removed; waits for its last request */
+  guint network_cost_ms; /* of the way there */
+  bool used;             /* the slot of the table is in use */
+  bool gone;             /* removed; waits for its last request */
   bool leaving;
   bool dirty; /* a slot may have opened since the last next */
   bool held;  /* in the router's list of held backend servers */
@@ -113,7 +113,7 @@
   guint64 pending_tokens; /* of these */
   double window;          /* share of the allowed work ahead; adaptive */
   guint64 window_cut_at;
-  line_t step;
+  linear_fit_t step;
   bool step_known;
   guint64 seq;
   guint64 reported_at; /* 0: never */
@@ -127,7 +127,7 @@
   guint ejections; /* since it last worked; 0: healthy */
   guint64 ejected_until;
   guint64 blocked_until; /* it said that it is full */
-  double budget;
+  double retry_budget;
   GArray *tags; /* of double: finish tag of each service here */
   double virtual_time;
   GHashTable *blocks; /* believed cached prefix blocks */
@@ -202,9 +202,9 @@
   GArray *dirty;       /* of pu_router_backend_t */
   GArray *held;        /* backend servers blocked or ejected until later */
   GArray *found;       /* of candidate_t: those of the choice in progress */
-  double token_ms;     /* of prefill, over all models; 0: not known */
-  double step_ms;      /* between tokens, over all models; 0: not known */
-  GArray *displaced;   /* of pu_ticket_t: refused by the next next */
+  double prefill_token_ms; /* of prefill, over all models; 0: not known */
+  double decode_step_ms;   /* between tokens, over all models; 0: not known */
+  GArray *displaced;       /* of pu_ticket_t: refused by the next next */
   guint in_flight;
   guint64 serial; /* last one given to a backend server */
   bool sweep;     /* a table lost what waiting requests may need */
@@ -255,8 +255,8 @@
   return q->late ? q->give_up : MIN (q->turns, q->give_up);
 }
 
-/* backend_dirty - B may take more than when it was last looked at.  */
-void backend_dirty (pu_router_t *r, pu_router_backend_t b);
+/* backend_mark_dirty - B may take more than when it was last looked at.  */
+void backend_mark_dirty (pu_router_t *r, pu_router_backend_t b);
 
 /* backend_release - frees the slot of a gone B when nothing runs there.  */
 void backend_release (pu_router_t *r, pu_router_backend_t b);
@@ -271,38 +271,42 @@
 double backend_step_ms (const pu_router_t *r, const backend_t *b,
                         const model_t *m, guint load);
 
-/* copy_first - the time to the first token on C.  Of a copy that nothing was
-   sent to yet it is its model's as it is now: one kept from when the copy came
-   would stand for ever where the others have become faster since.  */
-const line_t *copy_first (const pu_router_t *r, const copy_t *c);
+/* copy_first_token_fit - the time to the first token on C.  Of a copy that
+   nothing was sent to yet it is its model's as it is now: one kept from when
+   the copy came would stand for ever where the others have become faster
+   since.  */
+const linear_fit_t *copy_first_token_fit (const pu_router_t *r,
+                                          const copy_t *c);
 
-/* copy_learn - a sample for C: MS to the first token of WORK.  */
-void copy_learn (const pu_router_t *r, copy_t *c, double work, double ms);
+/* copy_add_sample - a sample for C: MS to the first token of WORK.  */
+void copy_add_sample (const pu_router_t *r, copy_t *c, double work, double ms);
 
 /* backend_count - notes that own work on B changed.  */
 void backend_count (backend_t *b, guint64 now);
 
 /* choose.c */
 
-/* unloaded_ms - the first token of Q on an idle copy of its model.  */
-double unloaded_ms (const pu_router_t *r, const request_t *q);
+/* unloaded_first_token_ms - the first token of Q on an idle copy of its model.
+ */
+double unloaded_first_token_ms (const pu_router_t *r, const request_t *q);
 
-/* output_tokens - how many tokens Q is expected to give.  */
-guint output_tokens (const pu_router_t *r, const request_t *q);
+/* expected_output_tokens - how many tokens Q is expected to give.  */
+guint expected_output_tokens (const pu_router_t *r, const request_t *q);
 
-/* candidate_on - whether Q may start now on copy COPY of B; fills C.  */
-bool candidate_on (pu_router_t *r, const request_t *q, pu_router_backend_t b,
-                   guint copy, guint64 now, candidate_t *c);
+/* evaluate_candidate - whether Q may start now on copy COPY of B; fills C.  */
+bool evaluate_candidate (pu_router_t *r, const request_t *q,
+                         pu_router_backend_t b, guint copy, guint64 now,
+                         candidate_t *c);
 
 /* What is left for a retry of a request.  */
 typedef enum
 {
-  LEFT_NONE,  /* every ready copy was tried */
-  LEFT_SPENT, /* the others have no retry budget */
-  LEFT_OPEN,
-} copy_left_t;
+  RETRY_COPIES_NONE,      /* every ready copy was tried */
+  RETRY_COPIES_NO_BUDGET, /* the others have no retry budget */
+  RETRY_COPIES_AVAILABLE,
+} retry_copies_t;
 
-copy_left_t copy_left (const pu_router_t *r, const request_t *q);
+retry_copies_t retry_copies (const pu_router_t *r, const request_t *q);
 
 /* choose_copy - the best copy for Q to start on now, if there is one.  */
 bool choose_copy (pu_router_t *r, const request_t *q, guint64 now,
@@ -339,15 +343,17 @@
 /* open_flows - S may start more: the copies it waits for are looked at.  */
 void open_flows (pu_router_t *r, const service_t *s);
 
-/* service_sample - a first token came, LATE or in time.  */
-void service_sample (pu_router_t *r, pu_router_service_t s, bool late);
+/* service_record_first_token - a first token came, LATE or in time.  */
+void service_record_first_token (pu_router_t *r, pu_router_service_t s,
+                                 bool late);
 
-/* window_sample - a first token came from B for a request sent at SENT_AT,
-   LATE or in time.  */
-void window_sample (backend_t *b, guint64 sent_at, bool late, guint64 now);
+/* prefill_window_update - a first token came from B for a request sent at
+   SENT_AT, LATE or in time.  */
+void prefill_window_update (backend_t *b, guint64 sent_at, bool late,
+                            guint64 now);
 
-/* slots_of - requests that B may have at once.  */
-guint slots_of (const backend_t *b);
+/* backend_slot_limit - requests that B may have at once.  */
+guint backend_slot_limit (const backend_t *b);
 
 /* slots_report - takes the report of B, which came SINCE milliseconds after
    the one before.  */
@@ -356,21 +362,21 @@
 
 void backend_failed (pu_router_t *r, pu_router_backend_t b,
                      pu_router_failure_t failure, guint64 now);
-void backend_worked (pu_router_t *r, pu_router_backend_t b);
+void backend_succeeded (pu_router_t *r, pu_router_backend_t b);
 
-/* budget_earn - a first attempt pays into a retry budget.  */
-void budget_earn (const pu_router_t *r, double *budget);
-bool budget_has (const pu_router_t *r, double budget);
+/* retry_budget_credit - a first attempt pays into a retry budget.  */
+void retry_budget_credit (const pu_router_t *r, double *retry_budget);
+bool retry_budget_allows (const pu_router_t *r, double retry_budget);
 
 /* retry_after - milliseconds after which a caller may come back.  */
 guint retry_after (pu_router_t *r, const model_t *m, double wait_ms);
 
 /* router.c */
 
-request_t *request_of (const pu_router_t *r, pu_ticket_t t);
+request_t *request_lookup (const pu_router_t *r, pu_ticket_t t);
 
-/* running_of - the running request under T, or NULL.  */
-request_t *running_of (const pu_router_t *r, pu_ticket_t t);
+/* request_lookup_running - the running request under T, or NULL.  */
+request_t *request_lookup_running (const pu_router_t *r, pu_ticket_t t);
 
 /* request_end - voids Q's ticket.  */
 void request_end (pu_router_t *r, request_t *q);
@@ -378,8 +384,8 @@
 /* set_due - works out by when Q's first token has to come.  */
 void set_due (pu_router_t *r, request_t *q);
 
-/* why_lost - what Q needs and is no longer there; NONE when all is.  */
-pu_router_reason_t why_lost (const pu_router_t *r, const request_t *q);
+/* lost_dependency - what Q needs and is no longer there; NONE when all is.  */
+pu_router_reason_t lost_dependency (const pu_router_t *r, const request_t *q);
 
 /* refuse - Q's final answer, and its end.  */
 void refuse (pu_router_t *r, request_t *q, pu_router_reason_t reason,
@@ -393,10 +399,10 @@
 void start (pu_router_t *r, request_t *q, const candidate_t *c, guint64 now,
             pu_router_decision_t *d);
 
-/* prefill_over - Q's prompt weighs on its backend server no longer.  */
-void prefill_over (pu_router_t *r, request_t *q);
+/* prefill_done - Q's prompt weighs on its backend server no longer.  */
+void prefill_done (pu_router_t *r, request_t *q);
 
-/* stop_and_open - takes the running Q off its backend server.  */
-void stop_and_open (pu_router_t *r, request_t *q, guint64 now);
+/* request_stop - takes the running Q off its backend server.  */
+void request_stop (pu_router_t *r, request_t *q, guint64 now);
 
 #endif
--- a/libplantainusher/routing/router_test.cc
+++ b/libplantainusher/routing/router_test.cc
@@ -94,7 +94,7 @@
   next ()
   {
     GArray *out = g_array_new (FALSE, FALSE, sizeof (pu_router_decision_t));
-    pu_router_next (r_, now_, out);
+    pu_router_schedule (r_, now_, out);
     auto *first = reinterpret_cast<pu_router_decision_t *> (out->data);
     std::vector<pu_router_decision_t> list (first, first + out->len);
     g_array_free (out, TRUE);
@@ -104,7 +104,7 @@
   void
   finish (pu_ticket_t t)
   {
-    pu_router_finished (r_, t, PU_ROUTER_WHOLE, now_);
+    pu_router_finished (r_, t, PU_ROUTER_COMPLETE, now_);
   }
 
   pu_router_options_t o_;
@@ -429,13 +429,13 @@
   pu_ticket_t low = offer (q).ticket;
   q.priority = 5;
   pu_ticket_t high = offer (q).ticket;
-  guint64 wake = pu_router_wake_at (r_);
+  guint64 wake = pu_router_next_timeout_at (r_);
   EXPECT_LE (wake, now_ + 400);
   finish (running.ticket);
   auto list = next ();
   ASSERT_EQ (list.size (), 1u);
   EXPECT_EQ (list[0].ticket, high);
-  now_ = pu_router_wake_at (r_);
+  now_ = pu_router_next_timeout_at (r_);
   list = next ();
   ASSERT_EQ (list.size (), 1u);
   EXPECT_EQ (list[0].ticket, low);
@@ -604,7 +604,7 @@
   offer (request ());
   pu_ticket_t waiting = offer (request ()).ticket;
   pu_router_remove_backend (r_, a);
-  EXPECT_EQ (pu_router_wake_at (r_), 0u);
+  EXPECT_EQ (pu_router_next_timeout_at (r_), 0u);
   auto list = next ();
   ASSERT_EQ (list.size (), 1u);
   EXPECT_EQ (list[0].ticket, waiting);
--- a/libplantainusher/routing/tables.c
+++ b/libplantainusher/routing/tables.c
@@ -11,7 +11,7 @@
 {
   backend_t *s = backend_at (r, b);
   copy_t *c = &g_array_index (s->copies, copy_t, copy);
-  ready_t ready = { b, copy };
+  ready_copy_t ready = { b, copy };
   model_t *m = model_at (r, c->model);
 
   g_array_append_val (m->ready, ready);
@@ -25,7 +25,7 @@
 
   for (guint i = list->len; i-- > 0;)
     {
-      if (g_array_index (list, ready_t, i).backend == b)
+      if (g_array_index (list, ready_copy_t, i).backend == b)
         g_array_remove_index_fast (list, i);
     }
   if (list->len == 0)
@@ -59,7 +59,7 @@
       if (copy_gets_work (r, s, &g_array_index (s->copies, copy_t, i)))
         index_add (r, b, i);
     }
-  backend_dirty (r, b);
+  backend_mark_dirty (r, b);
 }
 
 /* Services.  */
@@ -84,7 +84,7 @@
 
   s->name = g_strdup (name);
   s->limit = r->options.limit_initial;
-  s->budget = r->options.retry_burst;
+  s->retry_budget = r->options.retry_burst;
   s->models = g_array_new (FALSE, FALSE, sizeof (pu_router_model_t));
   g_ptr_array_add (r->services, s);
   g_hash_table_insert (r->service_names, s->name, GUINT_TO_POINTER (h));
@@ -164,13 +164,13 @@
     return GPOINTER_TO_UINT (p);
   m = g_new0 (model_t, 1);
   m->name = g_strdup (name);
-  m->ready = g_array_new (FALSE, FALSE, sizeof (ready_t));
+  m->ready = g_array_new (FALSE, FALSE, sizeof (ready_copy_t));
   m->flows = g_array_new (FALSE, FALSE, sizeof (flow_t));
-  m->mean_own = 1;
+  m->mean_uncached_share = 1;
   g_array_set_clear_func (m->flows, flow_clear);
-  line_init (&m->first, r->options.decode_ms, r->options.prefill_ms,
-             TOKEN_RIDGE);
-  line_init (&m->step, r->options.decode_ms, 0, LOAD_RIDGE);
+  linear_fit_init (&m->first, r->options.decode_ms, r->options.prefill_ms,
+                   TOKEN_RIDGE);
+  linear_fit_init (&m->step, r->options.decode_ms, 0, LOAD_RIDGE);
   g_ptr_array_add (r->models, m);
   g_hash_table_insert (r->model_names, m->name, GUINT_TO_POINTER (h));
   return h;
@@ -298,11 +298,11 @@
     .slots = r->options.slots_initial,
     .window = 1,
     .copies = copies_new (),
-    .budget = r->options.retry_burst,
+    .retry_budget = r->options.retry_burst,
     .tags = g_array_new (FALSE, TRUE, sizeof (double)),
     .blocks = g_hash_table_new (NULL, NULL),
   };
-  line_init (&s->step, r->options.decode_ms, 0, LOAD_RIDGE);
+  linear_fit_init (&s->step, r->options.decode_ms, 0, LOAD_RIDGE);
   g_hash_table_replace (r->backend_names, g_strdup (o->name),
                         GUINT_TO_POINTER (h));
   return h;
@@ -349,7 +349,7 @@
   s->fixed_slots = o->slots;
   replace_string (&s->region, o->region);
   replace_string (&s->zone, o->zone);
-  s->cost_ms = way_cost (r, s);
+  s->network_cost_ms = way_cost (r, s);
   set_copies (r, s, o->copies, o->n_copies);
   index_backend (r, h);
   return h;
@@ -433,7 +433,7 @@
 }
 
 void
-backend_dirty (pu_router_t *r, pu_router_backend_t b)
+backend_mark_dirty (pu_router_t *r, pu_router_backend_t b)
 {
   backend_t *s = backend_at (r, b);
 
@@ -500,7 +500,7 @@
   s->others_running = total > own ? total - own : 0;
   s->others_waiting = MIN (report->waiting, s->others_running);
   slots_report (r, s, since, now);
-  backend_dirty (r, b);
+  backend_mark_dirty (r, b);
   return true;
 }
 
@@ -529,17 +529,17 @@
                  guint load)
 {
   (void)r;
-  return line_at (s->step_known ? &s->step : &m->step, load);
+  return linear_fit_predict (s->step_known ? &s->step : &m->step, load);
 }
 
-const line_t *
-copy_first (const pu_router_t *r, const copy_t *c)
+const linear_fit_t *
+copy_first_token_fit (const pu_router_t *r, const copy_t *c)
 {
   return c->tried ? &c->first : &model_at (r, c->model)->first;
 }
 
 void
-copy_learn (const pu_router_t *r, copy_t *c, double work, double ms)
+copy_add_sample (const pu_router_t *r, copy_t *c, double work, double ms)
 {
   if (!c->tried)
     {
@@ -547,7 +547,7 @@
       c->first.weight = MIN (c->first.weight, 1);
       c->tried = true;
     }
-  line_add (&c->first, work, ms);
+  linear_fit_add (&c->first, work, ms);
 }
 
 bool
--- a/libplantainusher/state/memory.c
+++ b/libplantainusher/state/memory.c
@@ -93,7 +93,7 @@
 report_of (pu_memory_t *m, const pu_backend_record *b)
 {
   u_int n = b->copies.copies_len;
-  pu_ledger_held_t *held = g_new0 (pu_ledger_held_t, MAX (n, 1));
+  pu_ledger_copy_t *held = g_new0 (pu_ledger_copy_t, MAX (n, 1));
   pu_ledger_report_t r = { 0 };
 
   for (u_int i = 0; i < n; i++)
@@ -127,7 +127,7 @@
 
 /* Makes C the record of H, whose name is "model\nversion".  */
 static void
-fill_copy (const pu_memory_t *m, pu_copy_record *c, const pu_ledger_held_t *h)
+fill_copy (const pu_memory_t *m, pu_copy_record *c, const pu_ledger_copy_t *h)
 {
   const char *name = g_ptr_array_index (m->copies.names, h->copy);
   const char *line = strchr (name, '\n');
@@ -144,7 +144,7 @@
 {
   pu_ledger_report_t r;
 
-  if (!pu_ledger_backend (m->ledger, backend, &r, NULL))
+  if (!pu_ledger_get_backend (m->ledger, backend, &r, NULL))
     return;
   free_copies (b);
   b->token = r.token;
@@ -158,7 +158,8 @@
 pu_memory_backend_up (pu_memory_t *m, pu_backend_record *b, GArray *closed)
 {
   pu_ledger_report_t r = report_of (m, b);
-  pu_ledger_verdict_t verdict = pu_ledger_backend_up (m->ledger, &r, closed);
+  pu_ledger_report_result_t verdict
+      = pu_ledger_backend_up (m->ledger, &r, closed);
 
   g_free ((void *)r.held);
   if (verdict == PU_LEDGER_MERGED)
@@ -183,7 +184,7 @@
 void
 pu_memory_forget (pu_memory_t *m, const char *backend)
 {
-  pu_ledger_forget (m->ledger, names_handle (&m->backends, backend));
+  pu_ledger_remove_backend (m->ledger, names_handle (&m->backends, backend));
 }
 
 static pu_ledger_order_t
@@ -258,5 +259,5 @@
 
   if (!names_find (&m->backends, backend, &handle))
     return 0;
-  return pu_ledger_committed (m->ledger, handle);
+  return pu_ledger_committed_mb (m->ledger, handle);
 }
--- a/libplantainusher/suspects/suspects.c
+++ b/libplantainusher/suspects/suspects.c
@@ -135,7 +135,7 @@
 }
 
 void
-pu_suspects_lift (pu_suspects_t *s, guint64 fingerprint)
+pu_suspects_remove (pu_suspects_t *s, guint64 fingerprint)
 {
   g_hash_table_remove (s->records, &fingerprint);
 }
@@ -192,7 +192,7 @@
 }
 
 pu_suspects_verdict_t
-pu_suspects_judge (pu_suspects_t *s, guint64 fingerprint, guint64 now)
+pu_suspects_check (pu_suspects_t *s, guint64 fingerprint, guint64 now)
 {
   const record_t *r = g_hash_table_lookup (s->records, &fingerprint);
   const like_t *like = like_of (s, fingerprint);
@@ -209,7 +209,7 @@
        || like_cut_lately (s, fingerprint, now))
       && !broken (s, PU_SUSPECTS_BREAK_TOGETHER))
     return PU_SUSPECTS_WAIT;
-  return PU_SUSPECTS_APART;
+  return PU_SUSPECTS_RUN_ISOLATED;
 }
 
 static void
@@ -302,7 +302,7 @@
 }
 
 void
-pu_suspects_broke (pu_suspects_t *s, guint64 request)
+pu_suspects_connection_lost (pu_suspects_t *s, guint64 request)
 {
   run_t *r = g_hash_table_lookup (s->runs, &request);
 
@@ -340,7 +340,7 @@
 }
 
 void
-pu_suspects_cut (pu_suspects_t *s, guint64 request, guint64 now)
+pu_suspects_aborted (pu_suspects_t *s, guint64 request, guint64 now)
 {
   run_t *r = g_hash_table_lookup (s->runs, &request);
 
@@ -356,8 +356,8 @@
 }
 
 bool
-pu_suspects_stays (const pu_suspects_t *s, guint64 fingerprint,
-                   guint32 backend, guint64 since, guint64 now)
+pu_suspects_must_avoid (const pu_suspects_t *s, guint64 fingerprint,
+                        guint32 backend, guint64 since, guint64 now)
 {
   const like_t *like = like_of (s, fingerprint);
 
@@ -470,8 +470,8 @@
 }
 
 guint
-pu_suspects_died (pu_suspects_t *s, guint32 backend, guint64 incarnation,
-                  GArray *strikes, guint64 now)
+pu_suspects_backend_died (pu_suspects_t *s, guint32 backend,
+                          guint64 incarnation, GArray *strikes, guint64 now)
 {
   GPtrArray *dead;
   guint ended = 0;
@@ -500,7 +500,7 @@
 }
 
 guint
-pu_suspects_running (const pu_suspects_t *s)
+pu_suspects_in_flight (const pu_suspects_t *s)
 {
   return g_hash_table_size (s->runs);
 }
--- a/libplantainusher/suspects/suspects.h
+++ b/libplantainusher/suspects/suspects.h
@@ -67,21 +67,21 @@
 
 typedef enum
 {
-  PU_SUSPECTS_RUN,   /* no suspicion */
-  PU_SUSPECTS_APART, /* may run now, apart */
+  PU_SUSPECTS_RUN,          /* no suspicion */
+  PU_SUSPECTS_RUN_ISOLATED, /* may run now, apart */
   PU_SUSPECTS_WAIT,  /* its like runs apart, was cut there just now, or broke
                         and is looked at: ask again soon */
   PU_SUSPECTS_REFUSE /* convicted */
 } pu_suspects_verdict_t;
 
 /* pu_suspects_put - what the replicated state says of FINGERPRINT: STRIKES
-   counted, CONVICTED.  pu_suspects_lift removes it.  */
+   counted, CONVICTED.  pu_suspects_remove removes it.  */
 void pu_suspects_put (pu_suspects_t *s, guint64 fingerprint, guint strikes,
                       bool convicted);
-void pu_suspects_lift (pu_suspects_t *s, guint64 fingerprint);
+void pu_suspects_remove (pu_suspects_t *s, guint64 fingerprint);
 
-/* pu_suspects_judge - whether a request of FINGERPRINT may run at NOW.  */
-pu_suspects_verdict_t pu_suspects_judge (pu_suspects_t *s, guint64 fingerprint,
+/* pu_suspects_check - whether a request of FINGERPRINT may run at NOW.  */
+pu_suspects_verdict_t pu_suspects_check (pu_suspects_t *s, guint64 fingerprint,
                                          guint64 now);
 
 /* pu_suspects_is_suspect - whether it must be sent to the entry that its
@@ -98,23 +98,23 @@
 /* pu_suspects_answered - its first token, or its whole answer, came.  */
 void pu_suspects_answered (pu_suspects_t *s, guint64 request);
 
-/* pu_suspects_broke - its connection broke: whether its backend server died
-   is being looked at.  The end of that is to be told, too.  */
-void pu_suspects_broke (pu_suspects_t *s, guint64 request);
+/* pu_suspects_connection_lost - its connection broke: whether its backend
+   server died is being looked at.  The end of that is to be told, too.  */
+void pu_suspects_connection_lost (pu_suspects_t *s, guint64 request);
 
 /* pu_suspects_finished - it ended, in whatever way but its backend server's
    death or a cut.  */
 void pu_suspects_finished (pu_suspects_t *s, guint64 request);
 
-/* pu_suspects_cut - it was cancelled, or broke while its backend server
+/* pu_suspects_aborted - it was cancelled, or broke while its backend server
    listened on.  The backend server may die of it yet.  */
-void pu_suspects_cut (pu_suspects_t *s, guint64 request, guint64 now);
+void pu_suspects_aborted (pu_suspects_t *s, guint64 request, guint64 now);
 
-/* pu_suspects_stays - whether a request of FINGERPRINT has to keep away from
-   BACKEND, because its like runs elsewhere without an answer.  It has waited
-   since SINCE for that (0: not yet).  */
-bool pu_suspects_stays (const pu_suspects_t *s, guint64 fingerprint,
-                        guint32 backend, guint64 since, guint64 now);
+/* pu_suspects_must_avoid - whether a request of FINGERPRINT has to keep away
+   from BACKEND, because its like runs elsewhere without an answer.  It has
+   waited since SINCE for that (0: not yet).  */
+bool pu_suspects_must_avoid (const pu_suspects_t *s, guint64 fingerprint,
+                             guint32 backend, guint64 since, guint64 now);
 
 /* One strike to be proposed.  */
 typedef struct
@@ -125,13 +125,14 @@
   bool apart; /* it ran apart: the log counts the death against it alone */
 } pu_suspects_strike_t;
 
-/* pu_suspects_died - INCARNATION of BACKEND, or an older one, is dead: what
-   ran there ends, and what was cut there lately may have killed it.  The
+/* pu_suspects_backend_died - INCARNATION of BACKEND, or an older one, is dead:
+   what ran there ends, and what was cut there lately may have killed it.  The
    strikes to propose are appended to STRIKES (of pu_suspects_strike_t), each
    fingerprint once; they count here at once. Returns how many requests ended.
  */
-guint pu_suspects_died (pu_suspects_t *s, guint32 backend, guint64 incarnation,
-                        GArray *strikes, guint64 now);
+guint pu_suspects_backend_died (pu_suspects_t *s, guint32 backend,
+                                guint64 incarnation, GArray *strikes,
+                                guint64 now);
 
 /* pu_suspects_occupied - whether BACKEND runs a suspect, or one was cut there
    just now, so that neither another suspect nor anything else is sent there
@@ -139,8 +140,8 @@
 bool pu_suspects_occupied (const pu_suspects_t *s, guint32 backend,
                            guint64 now);
 
-/* pu_suspects_running - requests noted, for the dump.  */
-guint pu_suspects_running (const pu_suspects_t *s);
+/* pu_suspects_in_flight - requests noted, for the dump.  */
+guint pu_suspects_in_flight (const pu_suspects_t *s);
 
 G_END_DECLS
 
--- a/libplantainusher/suspects/suspects_test.cc
+++ b/libplantainusher/suspects/suspects_test.cc
@@ -41,7 +41,7 @@
     GArray *a = g_array_new (FALSE, FALSE, sizeof (pu_suspects_strike_t));
     std::vector<guint64> out;
 
-    pu_suspects_died (s, backend, incarnation, a, now);
+    pu_suspects_backend_died (s, backend, incarnation, a, now);
     apart = 0;
     for (guint i = 0; i < a->len; i++)
       {
@@ -69,9 +69,9 @@
   pu_suspects_started (t.s, 2, 7, 0, 1, 0);
   pu_suspects_started (t.s, 3, 8, 1, 1, 0);
   EXPECT_EQ (std::vector<guint64> ({ 7 }), t.died (0, 1));
-  EXPECT_EQ (1u, pu_suspects_running (t.s));
-  EXPECT_EQ (PU_SUSPECTS_APART, pu_suspects_judge (t.s, 7, 1));
-  EXPECT_EQ (PU_SUSPECTS_RUN, pu_suspects_judge (t.s, 8, 1));
+  EXPECT_EQ (1u, pu_suspects_in_flight (t.s));
+  EXPECT_EQ (PU_SUSPECTS_RUN_ISOLATED, pu_suspects_check (t.s, 7, 1));
+  EXPECT_EQ (PU_SUSPECTS_RUN, pu_suspects_check (t.s, 8, 1));
 }
 
 TEST (Suspects, WhatFinishedIsNotStruck)
@@ -89,7 +89,7 @@
 
   pu_suspects_started (t.s, 1, 7, 0, 2, 0);
   EXPECT_TRUE (t.died (0, 1).empty ());
-  EXPECT_EQ (1u, pu_suspects_running (t.s));
+  EXPECT_EQ (1u, pu_suspects_in_flight (t.s));
 }
 
 TEST (Suspects, ASuspectRunsOnceAtATimeAndIsStruckAlone)
@@ -97,10 +97,10 @@
   Suspects t;
 
   pu_suspects_put (t.s, 7, 1, false);
-  EXPECT_EQ (PU_SUSPECTS_APART, pu_suspects_judge (t.s, 7, 0));
+  EXPECT_EQ (PU_SUSPECTS_RUN_ISOLATED, pu_suspects_check (t.s, 7, 0));
   pu_suspects_started (t.s, 1, 7, 0, 1, 0);
   pu_suspects_started (t.s, 2, 8, 0, 1, 0);
-  EXPECT_EQ (PU_SUSPECTS_WAIT, pu_suspects_judge (t.s, 7, 0));
+  EXPECT_EQ (PU_SUSPECTS_WAIT, pu_suspects_check (t.s, 7, 0));
   EXPECT_TRUE (pu_suspects_occupied (t.s, 0, 0));
   EXPECT_EQ (std::vector<guint64> ({ 7 }), t.died (0, 1));
   EXPECT_FALSE (pu_suspects_occupied (t.s, 0, 0));
@@ -111,9 +111,9 @@
   Suspects t;
 
   pu_suspects_put (t.s, 7, 2, true);
-  EXPECT_EQ (PU_SUSPECTS_REFUSE, pu_suspects_judge (t.s, 7, 0));
-  pu_suspects_lift (t.s, 7);
-  EXPECT_EQ (PU_SUSPECTS_RUN, pu_suspects_judge (t.s, 7, 0));
+  EXPECT_EQ (PU_SUSPECTS_REFUSE, pu_suspects_check (t.s, 7, 0));
+  pu_suspects_remove (t.s, 7);
+  EXPECT_EQ (PU_SUSPECTS_RUN, pu_suspects_check (t.s, 7, 0));
 }
 
 TEST (Suspects, AStrikeTheLogNeverTookIsForgotten)
@@ -141,18 +141,18 @@
   Suspects t;
 
   pu_suspects_started (t.s, 1, 7, 3, 1, 0);
-  EXPECT_FALSE (pu_suspects_stays (t.s, 7, 3, 0, 10));
-  EXPECT_TRUE (pu_suspects_stays (t.s, 7, 4, 0, 10));
-  EXPECT_FALSE (pu_suspects_stays (t.s, 8, 4, 0, 10));
-  EXPECT_TRUE (pu_suspects_stays (t.s, 7, 4, 10, 209));
-  EXPECT_FALSE (pu_suspects_stays (t.s, 7, 4, 10, 210));
+  EXPECT_FALSE (pu_suspects_must_avoid (t.s, 7, 3, 0, 10));
+  EXPECT_TRUE (pu_suspects_must_avoid (t.s, 7, 4, 0, 10));
+  EXPECT_FALSE (pu_suspects_must_avoid (t.s, 8, 4, 0, 10));
+  EXPECT_TRUE (pu_suspects_must_avoid (t.s, 7, 4, 10, 209));
+  EXPECT_FALSE (pu_suspects_must_avoid (t.s, 7, 4, 10, 210));
   pu_suspects_started (t.s, 2, 7, 4, 1, 0);
-  EXPECT_TRUE (pu_suspects_stays (t.s, 7, 3, 0, 10));
+  EXPECT_TRUE (pu_suspects_must_avoid (t.s, 7, 3, 0, 10));
   pu_suspects_answered (t.s, 1);
-  EXPECT_TRUE (pu_suspects_stays (t.s, 7, 3, 0, 10));
-  EXPECT_FALSE (pu_suspects_stays (t.s, 7, 4, 0, 10));
+  EXPECT_TRUE (pu_suspects_must_avoid (t.s, 7, 3, 0, 10));
+  EXPECT_FALSE (pu_suspects_must_avoid (t.s, 7, 4, 0, 10));
   pu_suspects_finished (t.s, 2);
-  EXPECT_FALSE (pu_suspects_stays (t.s, 7, 3, 0, 10));
+  EXPECT_FALSE (pu_suspects_must_avoid (t.s, 7, 3, 0, 10));
 }
 
 TEST (Suspects, CopiesWaitWhileItIsNotKnownWhetherOneKilled)
@@ -161,11 +161,11 @@
 
   pu_suspects_started (t.s, 1, 7, 3, 1, 0);
   pu_suspects_answered (t.s, 1);
-  pu_suspects_broke (t.s, 1);
-  EXPECT_EQ (PU_SUSPECTS_WAIT, pu_suspects_judge (t.s, 7, 0));
-  EXPECT_EQ (PU_SUSPECTS_RUN, pu_suspects_judge (t.s, 8, 0));
-  pu_suspects_cut (t.s, 1, 0);
-  EXPECT_EQ (PU_SUSPECTS_RUN, pu_suspects_judge (t.s, 7, 0));
+  pu_suspects_connection_lost (t.s, 1);
+  EXPECT_EQ (PU_SUSPECTS_WAIT, pu_suspects_check (t.s, 7, 0));
+  EXPECT_EQ (PU_SUSPECTS_RUN, pu_suspects_check (t.s, 8, 0));
+  pu_suspects_aborted (t.s, 1, 0);
+  EXPECT_EQ (PU_SUSPECTS_RUN, pu_suspects_check (t.s, 7, 0));
 }
 
 TEST (Suspects, WhatWasCutLatelyIsStruck)
@@ -174,9 +174,9 @@
 
   pu_suspects_started (t.s, 1, 7, 0, 1, 0);
   pu_suspects_started (t.s, 2, 8, 0, 1, 0);
-  pu_suspects_cut (t.s, 1, 0);
-  pu_suspects_cut (t.s, 2, 100);
-  EXPECT_EQ (0u, pu_suspects_running (t.s));
+  pu_suspects_aborted (t.s, 1, 0);
+  pu_suspects_aborted (t.s, 2, 100);
+  EXPECT_EQ (0u, pu_suspects_in_flight (t.s));
   EXPECT_EQ (std::vector<guint64> ({ 8 }), t.died (0, 1, 5099));
   EXPECT_TRUE (t.died (0, 1, 5099).empty ());
 }
@@ -190,7 +190,7 @@
 cut_before_it_was_a_suspect (Suspects &t)
 {
   pu_suspects_started (t.s, 1, 7, 0, 1, 0);
-  pu_suspects_cut (t.s, 1, 0);
+  pu_suspects_aborted (t.s, 1, 0);
   pu_suspects_put (t.s, 7, 1, false);
   pu_suspects_started (t.s, 2, 8, 0, 1, 10);
   return t.died (0, 1, 20);
@@ -217,11 +217,11 @@
   pu_suspects_started (t.s, 1, 8, 0, 1, 0);
   pu_suspects_put (t.s, 7, 1, false);
   pu_suspects_started (t.s, 2, 7, 0, 1, 0);
-  pu_suspects_cut (t.s, 2, 10);
-  EXPECT_EQ (PU_SUSPECTS_WAIT, pu_suspects_judge (t.s, 7, 1009));
+  pu_suspects_aborted (t.s, 2, 10);
+  EXPECT_EQ (PU_SUSPECTS_WAIT, pu_suspects_check (t.s, 7, 1009));
   EXPECT_TRUE (pu_suspects_occupied (t.s, 0, 1009));
   EXPECT_FALSE (pu_suspects_occupied (t.s, 0, 1010));
-  EXPECT_EQ (PU_SUSPECTS_APART, pu_suspects_judge (t.s, 7, 1010));
+  EXPECT_EQ (PU_SUSPECTS_RUN_ISOLATED, pu_suspects_check (t.s, 7, 1010));
   EXPECT_EQ (std::vector<guint64> ({ 7 }), t.died (0, 1, 20));
   EXPECT_EQ (1, t.apart);
 }
@@ -232,7 +232,7 @@
 
   pu_suspects_put (t.s, 7, 1, false);
   pu_suspects_started (t.s, 1, 7, 0, 1, 0);
-  pu_suspects_cut (t.s, 1, 10);
+  pu_suspects_aborted (t.s, 1, 10);
   pu_suspects_started (t.s, 2, 8, 0, 1, 20);
   EXPECT_EQ (std::vector<guint64> ({ 7, 8 }), t.died (0, 1, 30));
   EXPECT_EQ (0, t.apart);
@@ -293,7 +293,7 @@
         if (strikes[f] > 0 || apart.count (f) > 0)
           continue;
         for (const auto &e : entries)
-          pu_suspects_lift (e->s, f);
+          pu_suspects_remove (e->s, f);
       }
   }
 
@@ -307,7 +307,7 @@
     lost++;
     pu_fuzz_report::get ().faults++;
     for (const auto &e : entries)
-      pu_suspects_died (e->s, backend, incarnation[backend], a, now);
+      pu_suspects_backend_died (e->s, backend, incarnation[backend], a, now);
     for (guint i = 0; i < a->len; i++)
       {
         const auto &one = g_array_index (a, pu_suspects_strike_t, i);
@@ -338,7 +338,7 @@
           continue;
         if (choice == Choice::OneOther && entry == kEntries - 1 && pick (2))
           continue;
-        if (pu_suspects_stays (s, fingerprint, b, 0, now))
+        if (pu_suspects_must_avoid (s, fingerprint, b, 0, now))
           return std::nullopt;
         return b;
       }
@@ -352,14 +352,14 @@
 
     if (pu_suspects_is_suspect (entries[entry]->s, fingerprint, now))
       entry = 0;
-    switch (pu_suspects_judge (entries[entry]->s, fingerprint, now))
+    switch (pu_suspects_check (entries[entry]->s, fingerprint, now))
       {
       case PU_SUSPECTS_REFUSE:
         refused.insert (fingerprint);
         return;
       case PU_SUSPECTS_WAIT:
         return;
-      case PU_SUSPECTS_APART:
+      case PU_SUSPECTS_RUN_ISOLATED:
       case PU_SUSPECTS_RUN:
         break;
       }
@@ -396,7 +396,7 @@
     pu_suspects_t *s = entries[r.entry]->s;
 
     if (pick (4) == 0)
-      pu_suspects_cut (s, r.request, now);
+      pu_suspects_aborted (s, r.request, now);
     else if (doomed.count (r.backend) > 0)
       return;
     else if (pick (2) == 0)
