--- a/libplantainusher/entry/admit.c
+++ b/libplantainusher/entry/admit.c
@@ -4,7 +4,7 @@
 #include "entry/trace.h"
 
 const pu_refusal_t pu_refusal_stopping
-    = { 503, "stopping", PU_NOT_RUN, PU_BUSY_RETRY_MS };
+    = { 503, "stopping", PU_RUN_OUTCOME_NOT_RUN, PU_BUSY_RETRY_AFTER_MS };
 
 /* The caller has disconnected.  A claimed call that was dispatched goes on, so
    that its outcome can be recorded; any other request is cancelled.  */
@@ -14,12 +14,12 @@
   pu_exchange_t *x = data;
 
   x->http = NULL;
-  pu_trace_left (x);
+  pu_trace_caller_gone (x);
   if (x->claim != 0)
     return;
-  if (x->once && x->phase == PU_X_CLAIMING)
+  if (x->once && x->phase == PU_EXCHANGE_CLAIMING)
     pu_once_give_up (x->en->once, x->number, uv_now (x->en->o.loop));
-  pu_exchange_done (x);
+  pu_exchange_finish (x);
 }
 
 static void
@@ -42,7 +42,7 @@
   x->number = ++en->last_number;
   pu_request_init (&x->q);
   x->avoid = g_ptr_array_new_with_free_func (g_free);
-  pu_sent_init (&x->sent);
+  pu_delivered_init (&x->sent);
   return x;
 }
 
@@ -87,7 +87,7 @@
 {
   const char *id = en->front.id (en->front.data, http);
 
-  pu_trace_turned_away (en, id, r, message);
+  pu_trace_rejected (en, id, r, message);
   en->front.refuse (en->front.data, http, id, r, message);
 }
 
@@ -96,7 +96,7 @@
 check_admission (pu_entry_t *en, pu_http_request_t *http)
 {
   static const pu_refusal_t full
-      = { 503, "overloaded", PU_NOT_RUN, PU_BUSY_RETRY_MS };
+      = { 503, "overloaded", PU_RUN_OUTCOME_NOT_RUN, PU_BUSY_RETRY_AFTER_MS };
 
   /* The request came on a keep-alive connection and might not end within the
      time left for the stop.  */
@@ -150,7 +150,7 @@
 pu_exchange_refuse_starting (pu_entry_t *en, pu_http_request_t *http)
 {
   static const pu_refusal_t starting
-      = { 503, "starting", PU_NOT_RUN, PU_BUSY_RETRY_MS };
+      = { 503, "starting", PU_RUN_OUTCOME_NOT_RUN, PU_BUSY_RETRY_AFTER_MS };
 
   reject (en, http, &starting, "This entry has no document yet.");
 }
--- a/libplantainusher/entry/demand.c
+++ b/libplantainusher/entry/demand.c
@@ -37,14 +37,14 @@
   const pu_entry_t *en = x->en;
   const double *mean;
 
-  if (x->q.sized)
+  if (x->q.has_prefix_tokens)
     return engine_exclusive_ms (x);
   mean = g_hash_table_lookup (en->mean_run_ms, x->q.model);
   return mean == NULL ? DEFAULT_RUN_MS : *mean;
 }
 
 void
-pu_demand_arrived (pu_exchange_t *x)
+pu_demand_report (pu_exchange_t *x)
 {
   pu_entry_t *en = x->en;
   double ms;
@@ -57,7 +57,7 @@
 }
 
 void
-pu_demand_ran (pu_exchange_t *x)
+pu_demand_record_run (pu_exchange_t *x)
 {
   double ms = (double)(uv_now (x->en->o.loop) - x->at.sent_at);
   double *mean;
--- a/libplantainusher/entry/document.c
+++ b/libplantainusher/entry/document.c
@@ -165,7 +165,7 @@
   router_tables_set (en, d);
   pu_document_unref (old);
   pu_entry_limits_set (en);
-  pu_log_event (PU_ENTRY_PART, "A document is in force.",
+  pu_log_event (PU_ENTRY_LOG_SLICE, "A document is in force.",
                 PU_LOG_NUMBER ("document", en->document_version),
                 PU_LOG_NUMBER ("routes", pu_document_routes (d)),
                 PU_LOG_NUMBER ("services", pu_document_services (d)),
@@ -179,7 +179,7 @@
   const pu_finding_t *first = pu_findings_get (r->findings, 0);
 
   en->rejected_version = r->version;
-  pu_log_warn (PU_ENTRY_PART,
+  pu_log_warn (PU_ENTRY_LOG_SLICE,
                "Document %" G_GUINT64_FORMAT
                " is invalid; the previous one stays in force: '%s' %s",
                r->version, first->path, first->message);
@@ -251,7 +251,7 @@
   if (en->freed)
     {
       parse_free (r);
-      pu_entry_check (en);
+      pu_entry_check_stopped (en);
       return;
     }
   parse_finish (en, r);
--- a/libplantainusher/entry/entry.h
+++ b/libplantainusher/entry/entry.h
@@ -60,7 +60,7 @@
   /* Whether requests may be served from the view.  */
   bool (*ready) (void *data);
   /* Whether the renewals made here reach the leader.  */
-  bool (*in_touch) (void *data);
+  bool (*leader_reachable) (void *data);
   /* The incarnation of this daemon, which owns its claims.  */
   guint64 (*incarnation) (void *data);
   /* As pu_agent_propose: FN is called exactly once, never before the return.
@@ -89,10 +89,11 @@
 /* Injected faults for the tests that show that the checks can fail.  */
 typedef enum
 {
-  PU_ENTRY_BREAK_REPLAY = 1,  /* forward a replay from its start */
-  PU_ENTRY_BREAK_REPEAT = 2,  /* retry requests that may run only once */
-  PU_ENTRY_BREAK_OUTCOME = 4, /* report every failure as not run */
-  PU_ENTRY_BREAK_WHOLE = 8    /* end a truncated stream as if complete */
+  PU_ENTRY_BREAK_FORWARD_REPLAY = 1, /* forward a replay from its start */
+  PU_ENTRY_BREAK_RETRY_NON_REPEATABLE
+  = 2, /* retry requests that may run only once */
+  PU_ENTRY_BREAK_REPORT_NOT_RUN = 4, /* report every failure as not run */
+  PU_ENTRY_BREAK_END_TRUNCATED = 8 /* end a truncated stream as if complete */
 } pu_entry_break_t;
 
 /* The options of an entry.  The numbers in the comments are the defaults that
@@ -121,22 +122,23 @@
   guint connections_max;  /* 4096 */
   guint requests_max;     /* 4096: concurrent requests */
   guint connect_ms;       /* 1000; 0: the default of the HTTP client, as for
-                             progress_ms and idle_ms */
-  guint progress_ms;      /* 10000: timeout of a stream that sends no byte */
-  guint settle_ms;        /* 1000: time until all entries know of a strike */
-  guint probe_ms;         /* 1000: timeout of the health probe that follows a
-                             broken attempt, on a new connection */
-  guint idle_ms;          /* 4000: lifetime of an idle pooled connection */
-  guint report_ms;   /* 1000: report interval requested of backend servers */
-  guint propose_ms;  /* 2000: timeout of a proposal to the log; a claim that
-                        takes longer is refused */
-  guint loads_ms;    /* 1000: minimum interval between two load messages to
-                        another entry */
-  bool loads_to_all; /* send loads to all entries, not only to those of the
-                        same services */
-  guint ttl_s;       /* 10: how long callers cache a list of entries */
-  guint test_breaks; /* pu_entry_break_t; 0 outside tests */
-  const pu_front_t *front; /* copied; NULL: the built-in frontend */
+                             stream_progress_timeout_ms and idle_ms */
+  guint stream_progress_timeout_ms; /* 10000: timeout of a stream that sends no
+                                       byte */
+  guint strike_settle_ms; /* 1000: time until all entries know of a strike */
+  guint health_probe_timeout_ms; /* 1000: timeout of the health probe that
+                     follows a broken attempt, on a new connection */
+  guint idle_ms;   /* 4000: lifetime of an idle pooled connection */
+  guint report_ms; /* 1000: report interval requested of backend servers */
+  guint log_proposal_timeout_ms; /* 2000: timeout of a proposal to the log; a
+                       claim that takes longer is refused */
+  guint loads_ms; /* 1000: minimum interval between two load messages to
+                     another entry */
+  bool loads_to_all_entries; /* send loads to all entries, not only to those of
+                        the same services */
+  guint ttl_s;               /* 10: how long callers cache a list of entries */
+  guint test_breaks;         /* pu_entry_break_t; 0 outside tests */
+  const pu_frontend_t *front; /* copied; NULL: the built-in frontend */
   pu_entry_hooks_t hooks;
 } pu_entry_options_t;
 
@@ -225,9 +227,9 @@
 /* pu_entry_port - the port that EN listens on.  */
 int pu_entry_port (const pu_entry_t *en);
 
-/* pu_entry_open - the number of requests in progress and of at-most-once calls
-   whose outcome is not yet recorded.  */
-guint pu_entry_open (const pu_entry_t *en);
+/* pu_entry_in_flight - the number of requests in progress and of at-most-once
+   calls whose outcome is not yet recorded.  */
+guint pu_entry_in_flight (const pu_entry_t *en);
 
 /* pu_entry_dump - returns a new object with the state of the requests, the
    router, the backend servers that report here and the connection pools.  The
--- a/libplantainusher/entry/entry_private.h
+++ b/libplantainusher/entry/entry_private.h
@@ -22,7 +22,7 @@
 
 G_BEGIN_DECLS
 
-#define PU_ENTRY_PART "entry"
+#define PU_ENTRY_LOG_SLICE "entry"
 
 /* The most relays of one request: one to an entry of its service, and one more
    if it became a suspect there, because the suspects of a model are run by a
@@ -92,12 +92,15 @@
 
 typedef enum
 {
-  PU_X_WAITING,  /* for an identical request, for a suspect to release a copy,
-                    or for its model to be loaded */
-  PU_X_CLAIMING, /* the claim of its key is being proposed or recorded */
-  PU_X_QUEUED,   /* in the router's queue */
-  PU_X_RUNNING,  /* sent to a backend server or relayed to another entry */
-  PU_X_HELD,     /* its attempt broke off and the backend server is probed */
+  PU_EXCHANGE_WAITING,  /* for an identical request, for a suspect to release a
+                    copy,  or for its model to be loaded */
+  PU_EXCHANGE_CLAIMING, /* the claim of its key is being proposed or recorded
+                         */
+  PU_EXCHANGE_QUEUED,   /* in the router's queue */
+  PU_EXCHANGE_RUNNING,  /* sent to a backend server or relayed to another entry
+                         */
+  PU_EXCHANGE_PROBING,  /* its attempt broke off and the backend server is
+                           probed */
 } pu_exchange_phase_t;
 
 /* One attempt at a backend server or another entry.  */
@@ -109,25 +112,25 @@
   guint64 sent_at;     /* loop time */
   char *entry;         /* name of the other entry */
   int status;
-  pu_answer_t answer;
+  pu_response_class_t answer;
   GPtrArray *passed; /* alternating names and values of the response headers to
                         forward; NULL: none */
   bool streaming;    /* the response is a stream of events */
   bool answered;     /* the response head was received */
   bool begun;        /* the first token was reported to the suspects' table */
   bool counted;      /* the first token was reported to the router */
-  bool noted;        /* the attempt is recorded in the suspects' table */
-  bool apart;        /* the attempt runs as a suspect */
+  bool suspect_tracked; /* the attempt is recorded in the suspects' table */
+  bool apart;           /* the attempt runs as a suspect */
   char *content_type;
   char *outcome;               /* X-Outcome of the response */
   char *retry_after;           /* Retry-After of the response */
   GByteArray *whole;           /* body of a buffered response */
-  pu_stream_t *stream;         /* PU_ANSWER_TOKENS */
-  pu_events_t *events;         /* PU_ANSWER_EVENTS */
+  pu_stream_t *stream;         /* PU_RESPONSE_TOKENS */
+  pu_events_t *events;         /* PU_RESPONSE_EVENTS */
   bool overflow;               /* the buffered response is too large */
   bool done;                   /* the end mark of the stream was received */
   bool broken;                 /* the stream can't be continued */
-  pu_router_failure_t failure; /* why the exchange is in PU_X_HELD */
+  pu_router_failure_t failure; /* why the exchange is in PU_EXCHANGE_PROBING */
 } pu_attempt_t;
 
 /* An error response of a backend server, kept while the request is retried
@@ -154,27 +157,29 @@
   bool relayed;      /* received from another entry */
   guint hops;        /* number of relays so far */
   pu_exchange_phase_t phase;
-  guint64 held_since; /* loop time since when it waits for an identical request
-                         that runs elsewhere; 0: it does not wait */
-  guint held_from;    /* number of the backend server that it is kept from */
-  bool no_copy;       /* waits for a suspect to release a copy */
-  bool wants;         /* waits for its model to be loaded */
+  guint64
+      duplicate_wait_since; /* loop time since when it waits for an identical
+                     request that runs elsewhere; 0: it does not wait */
+  guint duplicate_wait_server; /* number of the backend server that it is kept
+                                  from */
+  bool no_copy;                /* waits for a suspect to release a copy */
+  bool wants;                  /* waits for its model to be loaded */
   pu_ticket_t ticket;
   pu_once_handle_t claim;
   guint attempts;
-  bool offered_anew; /* was offered to the router again after every copy had
+  bool offered_again; /* was offered to the router again after every copy had
                         been tried */
-  GPtrArray *avoid;  /* names of entries whose relay failed */
+  GPtrArray *avoid;   /* names of entries whose relay failed */
   pu_attempt_t at;
   pu_kept_t kept;
-  pu_sent_t sent;     /* the part of a token stream sent to the caller */
-  guint64 last_event; /* number of the last event that the caller received */
-  guint events;       /* number of events that this entry sent to the caller */
-  guint64 event_at;   /* loop time of the last of them */
-  guint first_ms;     /* from the arrival to the first of them */
-  guint pause_ms;     /* the longest gap between two of them */
-  guint resumed;      /* tokens that the caller had received through the entry
-                         that relayed the request here */
+  pu_delivered_t sent; /* the part of a token stream sent to the caller */
+  guint64 last_event;  /* number of the last event that the caller received */
+  guint events; /* number of events that this entry sent to the caller */
+  guint64 last_event_at; /* loop time of the last of them */
+  guint first_ms;        /* from the arrival to the first of them */
+  guint pause_ms;        /* the longest gap between two of them */
+  guint resumed; /* tokens that the caller had received through the entry
+                    that relayed the request here */
   bool head_sent;
   bool may_have_run;
   bool demand_reported; /* to the leader */
@@ -184,7 +189,7 @@
 struct pu_entry
 {
   pu_entry_options_t o;
-  pu_front_t front; /* from the options, or the built-in one */
+  pu_frontend_t front; /* from the options, or the built-in one */
   char *name;
   char *region;
   char *zone;
@@ -200,10 +205,11 @@
   guint64 document_version;
   guint64 rejected_version;     /* of the last document that was invalid */
   pu_document_parse_t *parsing; /* next document; NULL: none is being parsed */
-  guint64 changes;       /* change count of the view that was last applied */
-  GPtrArray *others;     /* peer addresses of all other entries */
-  guint64 others_view;   /* version of the member view that `others` is from */
-  GHashTable *servers;   /* name -> pu_server_t */
+  guint64 changes;   /* change count of the view that was last applied */
+  GPtrArray *others; /* peer addresses of all other entries */
+  guint64 other_entries_view; /* version of the member view that `others` is
+                                 from */
+  GHashTable *servers;        /* name -> pu_server_t */
   GHashTable *waiting;   /* set of pu_server_t that have a timer pending */
   GHashTable *reporters; /* name -> pu_reporter_t */
   GHashTable *strikes;   /* &fingerprint -> pu_strike_t */
@@ -225,7 +231,7 @@
   guint open_handles;      /* of libuv */
   guint pending; /* callbacks of proposals, load requests and parses to come */
   guint64 last_number;
-  guint last_server;
+  guint last_server_number;
   guint64 second;        /* loop time when the rates were last updated */
   guint64 loads_sent_at; /* loop time of the last pu_load_forward_tick */
   guint64 receivers_counted_at; /* loop time when the backend servers that each
@@ -274,19 +280,20 @@
 
 /* --- answer.c: JSON and error responses --- */
 
-/* pu_outcome_word - the value of X-Outcome for O.  */
-const char *pu_outcome_word (pu_outcome_word_t o);
+/* pu_run_outcome_name - the value of X-Outcome for O.  */
+const char *pu_run_outcome_name (pu_run_outcome_t o);
 
-/* pu_answer_error - responds to HTTP with the error R.  ID is the request id
+/* pu_respond_error - responds to HTTP with the error R.  ID is the request id
    and may be NULL.  */
-void pu_answer_error (pu_http_request_t *http, const char *id,
-                      const pu_refusal_t *r, const char *message);
+void pu_respond_error (pu_http_request_t *http, const char *id,
+                       const pu_refusal_t *r, const char *message);
 
-/* pu_answer_json - responds with V, whose reference is consumed.  */
-void pu_answer_json (pu_http_request_t *http, int status, json_t *v);
+/* pu_respond_json - responds with V, whose reference is consumed.  */
+void pu_respond_json (pu_http_request_t *http, int status, json_t *v);
 
-/* pu_error_text - returns the JSON text of an error.  Free it with g_free.  */
-char *pu_error_text (const pu_refusal_t *r, const char *message);
+/* pu_error_json_text - returns the JSON text of an error.  Free it with
+ * g_free.  */
+char *pu_error_json_text (const pu_refusal_t *r, const char *message);
 
 /* --- entries.c, announce.c: requests that the entry answers itself --- */
 
@@ -326,27 +333,28 @@
 
 void pu_model_wait_free (gpointer wait);
 
-/* pu_want_may - whether X may wait while the leader has its model loaded.  */
-bool pu_want_may (const pu_exchange_t *x);
+/* pu_model_wait_allowed - whether X may wait while the leader has its model
+ * loaded.  */
+bool pu_model_wait_allowed (const pu_exchange_t *x);
 
-/* pu_want_begin - makes X wait, and asks the leader to load its model. Refuses
-   X if a retry by the caller would be served no later.  */
-void pu_want_begin (pu_exchange_t *x);
+/* pu_model_wait_begin - makes X wait, and asks the leader to load its model.
+   Refuses X if a retry by the caller would be served no later.  */
+void pu_model_wait_begin (pu_exchange_t *x);
 
-/* pu_want_tick - for a waiting X: offers it to the router once there is a
-   ready copy, refuses it when its caller is about to leave, or asks the leader
-   again.  */
-void pu_want_tick (pu_exchange_t *x, guint64 now);
+/* pu_model_wait_tick - for a waiting X: offers it to the router once there is
+   a ready copy, refuses it when its caller is about to leave, or asks the
+   leader again.  */
+void pu_model_wait_tick (pu_exchange_t *x, guint64 now);
 
 /* --- demand.c: demand reported to the leader --- */
 
-/* pu_demand_arrived - reports the demand of X to the leader, once for each
+/* pu_demand_report - reports the demand of X to the leader, once for each
    request.  Call it when X is offered to the router.  */
-void pu_demand_arrived (pu_exchange_t *x);
+void pu_demand_report (pu_exchange_t *x);
 
-/* pu_demand_ran - updates the mean run time of the model of X.  Call it when X
-   has been answered successfully.  */
-void pu_demand_ran (pu_exchange_t *x);
+/* pu_demand_record_run - updates the mean run time of the model of X.  Call it
+   when X has been answered successfully.  */
+void pu_demand_record_run (pu_exchange_t *x);
 
 /* --- spread.c: load reports forwarded to other entries --- */
 
@@ -429,7 +437,7 @@
 bool pu_servers_copy_isolated (const pu_entry_t *en, const char *model);
 
 /* pu_server_suspect_aborted - a suspect at S was cancelled or broke off.  It
-   counts as running for settle_ms more.  */
+   counts as running for strike_settle_ms more.  */
 void pu_server_suspect_aborted (pu_server_t *s);
 
 /* --- strikes.c: strikes against requests --- */
@@ -460,17 +468,18 @@
 /* pu_view_sync - applies the changes of the view to the entry's tables.  */
 void pu_view_sync (pu_entry_t *en);
 
-/* pu_entry_has_own_front - whether the built-in frontend is used: callers
-   speak the completions interface.  */
+/* pu_entry_uses_builtin_frontend - whether the built-in frontend is used:
+   callers speak the completions interface.  */
 static inline bool
-pu_entry_has_own_front (const pu_entry_t *en)
+pu_entry_uses_builtin_frontend (const pu_entry_t *en)
 {
   return en->front.read == NULL;
 }
 
-/* pu_entry_breaks - whether the fault RULE is injected.  Tests only.  */
+/* pu_entry_fault_injected - whether the fault RULE is injected.  Tests only.
+ */
 static inline bool
-pu_entry_breaks (const pu_entry_t *en, pu_entry_break_t rule)
+pu_entry_fault_injected (const pu_entry_t *en, pu_entry_break_t rule)
 {
   return (en->o.test_breaks & rule) != 0;
 }
@@ -490,7 +499,7 @@
 
 /* Retry-After of a refusal for a short-lived reason, ms.  By then the caller
    has asked again which entries to use.  */
-#define PU_BUSY_RETRY_MS 1000
+#define PU_BUSY_RETRY_AFTER_MS 1000
 
 /* The refusal of new requests, and of those that can't end in time, while the
    instance stops.  */
@@ -533,20 +542,24 @@
 void pu_exchange_fail (pu_exchange_t *x, const pu_refusal_t *r,
                        const char *message);
 
-/* pu_exchange_refused - ends X with the refusal D of the router.  X is freed.
+/* pu_exchange_fail_refused - ends X with the refusal D of the router.  X is
+ * freed.
  */
-void pu_exchange_refused (pu_exchange_t *x, const pu_router_decision_t *d);
+void pu_exchange_fail_refused (pu_exchange_t *x,
+                               const pu_router_decision_t *d);
 
-/* pu_exchange_again - the attempt of X ended without a response: retries X or
+/* pu_exchange_retry - the attempt of X ended without a response: retries X or
    fails it.  */
-void pu_exchange_again (pu_exchange_t *x, pu_router_failure_t failure);
+void pu_exchange_retry (pu_exchange_t *x, pu_router_failure_t failure);
 
-/* pu_exchange_done - ends X after its caller was answered or has gone.  X is
+/* pu_exchange_finish - ends X after its caller was answered or has gone.  X is
    freed.  */
-void pu_exchange_done (pu_exchange_t *x);
+void pu_exchange_finish (pu_exchange_t *x);
 
-/* pu_exchange_decide - carries out the decision D of the router about X.  */
-void pu_exchange_decide (pu_exchange_t *x, const pu_router_decision_t *d);
+/* pu_exchange_apply_decision - carries out the decision D of the router about
+ * X.  */
+void pu_exchange_apply_decision (pu_exchange_t *x,
+                                 const pu_router_decision_t *d);
 
 /* pu_exchanges_tick - fails the exchanges whose deadline has passed and
    resumes those whose wait is over.  */
@@ -559,26 +572,29 @@
    the options and in the document in force.  */
 void pu_entry_limits_set (pu_entry_t *en);
 
-/* pu_entry_check - completes the stop or the freeing of the entry if nothing
-   is open any more.  Call it when a request has ended or a callback was
-   called.
+/* pu_entry_check_stopped - completes the stop or the freeing of the entry if
+   nothing is open any more.  Call it when a request has ended or a callback
+   was called.
  */
-void pu_entry_check (pu_entry_t *en);
+void pu_entry_check_stopped (pu_entry_t *en);
 
-/* pu_router_due - schedules pu_router_schedule for the next loop iteration. */
-void pu_router_due (pu_entry_t *en);
+/* pu_entry_schedule_router - schedules pu_router_schedule for the next loop
+ * iteration. */
+void pu_entry_schedule_router (pu_entry_t *en);
 
 /* --- builtin_frontend.c: the completions interface --- */
 
 /* pu_entry_builtin_frontend - fills F with the built-in frontend.  Its `read`
    is NULL: parse.c reads the requests.  */
-void pu_entry_builtin_frontend (pu_front_t *f);
+void pu_entry_builtin_frontend (pu_frontend_t *f);
 
-/* pu_own_head - adds the headers of an attempt of X to H.  */
-void pu_own_head (const pu_exchange_t *x, pu_head_t *h);
+/* pu_builtin_request_headers - adds the headers of an attempt of X to H.  */
+void pu_builtin_request_headers (const pu_exchange_t *x, pu_header_list_t *h);
 
-/* pu_own_answer - classifies the response head R of the attempt of X.  */
-void pu_own_answer (pu_exchange_t *x, const pu_http_response_t *r);
+/* pu_builtin_classify_response - classifies the response head R of the attempt
+ * of X.  */
+void pu_builtin_classify_response (pu_exchange_t *x,
+                                   const pu_http_response_t *r);
 
 /* --- attempt.c: one attempt at a backend server or another entry --- */
 
@@ -604,16 +620,16 @@
 /* pu_deliver_stream_end - ends the caller's stream, which is complete.  */
 void pu_deliver_stream_end (pu_exchange_t *x);
 
-/* pu_deliver_whole - sends the buffered response to the caller.  */
-void pu_deliver_whole (pu_exchange_t *x);
+/* pu_deliver_response - sends the buffered response to the caller.  */
+void pu_deliver_response (pu_exchange_t *x);
 
-/* pu_deliver_kept - sends the kept error response of a backend server to the
-   caller.  */
-void pu_deliver_kept (pu_exchange_t *x);
+/* pu_deliver_saved_failure - sends the kept error response of a backend server
+   to the caller.  */
+void pu_deliver_saved_failure (pu_exchange_t *x);
 
-/* pu_deliver_claimed - ends an at-most-once call with its buffered response. X
-   must not be used afterwards: it may be freed.  */
-void pu_deliver_claimed (pu_exchange_t *x);
+/* pu_deliver_at_most_once - ends an at-most-once call with its buffered
+   response. X must not be used afterwards: it may be freed.  */
+void pu_deliver_at_most_once (pu_exchange_t *x);
 
 /* --- claim.c: at-most-once calls --- */
 
--- a/libplantainusher/entry/entry_test.cc
+++ b/libplantainusher/entry/entry_test.cc
@@ -222,10 +222,10 @@
   b.stalls = true;
   r.send_chat (c, n, "hi", true);
   r.until ([this] { return !c.body.empty (); });
-  EXPECT_EQ (1u, pu_entry_open (n.entry));
+  EXPECT_EQ (1u, pu_entry_in_flight (n.entry));
   pu_http_call_cancel (c.call);
   r.until ([&] {
-    return pu_entry_open (n.entry) == 0
+    return pu_entry_in_flight (n.entry) == 0
            && pu_http_server_requests (b.server) == 0;
   });
 }
@@ -486,7 +486,7 @@
   r.call (first, n, "POST", "/services/board/assign", "{}", KEY_HEADER);
   EXPECT_EQ (200, first.status);
   EXPECT_EQ ("ran", first.headers["x-outcome"]);
-  r.until ([this] { return pu_entry_open (n.entry) == 0; });
+  r.until ([this] { return pu_entry_in_flight (n.entry) == 0; });
   r.call (again, m, "POST", "/services/board/assign", "{}", KEY_HEADER);
   EXPECT_EQ (first.body, again.body);
   r.call (other, m, "POST", "/services/board/assign", "{1}", KEY_HEADER);
@@ -518,7 +518,7 @@
   b.rejects_requests = true;
   r.call (c, n, "POST", "/services/board/assign", "{}", KEY_HEADER);
   EXPECT_EQ ("not-run", c.headers["x-outcome"]);
-  r.until ([this] { return pu_entry_open (n.entry) == 0; });
+  r.until ([this] { return pu_entry_in_flight (n.entry) == 0; });
   b.rejects_requests = false;
   r.call (again, n, "POST", "/services/board/assign", "{}", KEY_HEADER);
   EXPECT_EQ (200, again.status);
@@ -552,7 +552,7 @@
   for (int i = 0; i < 50; i++)
     uv_run (&r.loop, UV_RUN_ONCE);
   pu_http_respond (b.pending_requests[0], 200, nullptr, 0, "done", 4);
-  r.until ([this] { return pu_entry_open (n.entry) == 0; });
+  r.until ([this] { return pu_entry_in_flight (n.entry) == 0; });
   r.call (again, n, "POST", "/services/board/assign", "{}", KEY_HEADER);
   EXPECT_EQ ("done", again.body);
   EXPECT_EQ (1u, b.executed_ids.size ());
--- a/libplantainusher/entry/front.h
+++ b/libplantainusher/entry/front.h
@@ -21,16 +21,16 @@
 /* The outcome that an error response states: whether the request ran.  */
 typedef enum
 {
-  PU_NOT_RUN,
-  PU_RAN,
-  PU_UNKNOWN
-} pu_outcome_word_t;
+  PU_RUN_OUTCOME_NOT_RUN,
+  PU_RUN_OUTCOME_RAN,
+  PU_RUN_OUTCOME_UNKNOWN
+} pu_run_outcome_t;
 
 typedef struct
 {
   int status;
   const char *type; /* machine-readable error type */
-  pu_outcome_word_t outcome;
+  pu_run_outcome_t outcome;
   guint retry_after_ms; /* 0: no Retry-After */
 } pu_refusal_t;
 
@@ -41,22 +41,24 @@
   const char *server; /* name of the backend server that the attempt is for */
   guint64 left_ms;    /* until the deadline */
   guint64 after;      /* number of the last event that the caller received */
-} pu_attempt_facts_t;
+} pu_attempt_params_t;
 
 /* A list of headers under construction.  */
 typedef struct
 {
   GArray *headers;  /* of pu_http_header_t */
   GPtrArray *owned; /* strings that live as long as the list */
-} pu_head_t;
+} pu_header_list_t;
 
-void pu_head_init (pu_head_t *h);
-void pu_head_clear (pu_head_t *h);
+void pu_header_list_init (pu_header_list_t *h);
+void pu_header_list_clear (pu_header_list_t *h);
 
-/* pu_head_add - appends a header.  NAME and VALUE are not copied and must
-   outlive H.  */
-void pu_head_add (pu_head_t *h, const char *name, const char *value);
-void pu_head_add_number (pu_head_t *h, const char *name, guint64 value);
+/* pu_header_list_add - appends a header.  NAME and VALUE are not copied and
+   must outlive H.  */
+void pu_header_list_add (pu_header_list_t *h, const char *name,
+                         const char *value);
+void pu_header_list_add_number (pu_header_list_t *h, const char *name,
+                                guint64 value);
 
 /* What the response head of a backend server says.  */
 typedef struct
@@ -67,7 +69,7 @@
   bool elsewhere; /* not run: another process has the address now */
   bool stream;    /* the body is a stream of events */
   bool failed;    /* the server failed to serve the request */
-} pu_answer_t;
+} pu_response_class_t;
 
 typedef struct
 {
@@ -81,12 +83,12 @@
   void (*refuse) (void *data, pu_http_request_t *http, const char *id,
                   const pu_refusal_t *r, const char *message);
   /* Adds the headers of an attempt to those forwarded from the caller.  */
-  void (*head) (void *data, const pu_attempt_facts_t *f, pu_head_t *h);
+  void (*head) (void *data, const pu_attempt_params_t *f, pu_header_list_t *h);
   /* Classifies the response head R to Q of the backend server SERVER.  */
   void (*answer) (void *data, const pu_request_t *q, const char *server,
-                  const pu_http_response_t *r, pu_answer_t *a);
+                  const pu_http_response_t *r, pu_response_class_t *a);
   void *data;
-} pu_front_t;
+} pu_frontend_t;
 
 G_END_DECLS
 
--- a/libplantainusher/entry/model_wait.c
+++ b/libplantainusher/entry/model_wait.c
@@ -45,7 +45,7 @@
 }
 
 bool
-pu_want_may (const pu_exchange_t *x)
+pu_model_wait_allowed (const pu_exchange_t *x)
 {
   const pu_entry_t *en = x->en;
 
@@ -82,7 +82,7 @@
 static void
 wait_refuse (pu_exchange_t *x, const model_wait_t *w, guint64 now)
 {
-  const pu_refusal_t r = { STATUS_UNAVAILABLE, "copy", PU_NOT_RUN,
+  const pu_refusal_t r = { STATUS_UNAVAILABLE, "copy", PU_RUN_OUTCOME_NOT_RUN,
                            w->ready_at > now ? (guint)(w->ready_at - now)
                                              : DEFAULT_RETRY_AFTER_MS };
 
@@ -168,7 +168,7 @@
     {
       waiting_exchanges_each (w, wait_refuse_if_useless);
     }
-  pu_entry_check (en);
+  pu_entry_check_stopped (en);
 }
 
 static void
@@ -197,7 +197,7 @@
 }
 
 void
-pu_want_begin (pu_exchange_t *x)
+pu_model_wait_begin (pu_exchange_t *x)
 {
   pu_entry_t *en = x->en;
   guint64 now = uv_now (en->o.loop);
@@ -208,15 +208,15 @@
       wait_refuse (x, w, now);
       return;
     }
-  x->phase = PU_X_WAITING;
+  x->phase = PU_EXCHANGE_WAITING;
   x->wants = true;
-  pu_trace_wants (x);
+  pu_trace_model_wait (x);
   if (!w->in_flight && now >= w->retry_at)
     load_request_send (w);
 }
 
 void
-pu_want_tick (pu_exchange_t *x, guint64 now)
+pu_model_wait_tick (pu_exchange_t *x, guint64 now)
 {
   pu_entry_t *en = x->en;
   model_wait_t *w = model_wait_get (en, x->q.model);
--- a/libplantainusher/entry/request.h
+++ b/libplantainusher/entry/request.h
@@ -19,11 +19,11 @@
 /* How a response is forwarded.  */
 typedef enum
 {
-  PU_ANSWER_TOKENS, /* a completion: a stream of events with tokens in JSON, or
-                       a buffered response */
-  PU_ANSWER_EVENTS, /* a stream of numbered events with opaque content, or a
-                       buffered response */
-  PU_ANSWER_WHOLE   /* buffered, then forwarded unchanged */
+  PU_RESPONSE_TOKENS,  /* a completion: a stream of events with tokens in JSON,
+                        or  a buffered response */
+  PU_RESPONSE_EVENTS,  /* a stream of numbered events with opaque content, or a
+                        buffered response */
+  PU_RESPONSE_BUFFERED /* buffered, then forwarded unchanged */
 } pu_response_kind_t;
 
 typedef struct
@@ -60,20 +60,20 @@
                                                 the end of each block; not set
                                                 if all blocks have one size */
   guint n_prefix;
-  bool sized;          /* prefix_tokens is set */
-  guint64 fingerprint; /* equal for identical requests */
-  guint shared_tokens; /* length of the prompt prefix that requests with the
-                          same affinity share */
-  guint64 affinity; /* hash of the shared prefix: requests with the same value
-                       go to the same copy unless another is better; 0: the
-                       fingerprint is used */
-  guint64 after;    /* number of the last event that the caller received */
+  bool has_prefix_tokens; /* prefix_tokens is set */
+  guint64 fingerprint;    /* equal for identical requests */
+  guint shared_tokens;    /* length of the prompt prefix that requests with the
+                             same affinity share */
+  guint64 affinity_key;   /* hash of the shared prefix: requests with the same
+                         value   go to the same copy unless another is better; 0:
+                         the   fingerprint is used */
+  guint64 after; /* number of the last event that the caller received */
 } pu_request_t;
 
-/* pu_request_header_keep - adds a header to forward.  Copies NAME and VALUE.
+/* pu_request_add_header - adds a header to forward.  Copies NAME and VALUE.
  */
-void pu_request_header_keep (pu_request_t *q, const char *name,
-                             const char *value);
+void pu_request_add_header (pu_request_t *q, const char *name,
+                            const char *value);
 
 /* pu_request_init - makes Q an empty request; pu_request_clear frees what it
    owns.  */
--- a/libplantainusher/entry/request_fuzz.cc
+++ b/libplantainusher/entry/request_fuzz.cc
@@ -150,7 +150,7 @@
   x->en = en;
   x->http = http;
   pu_request_init (&x->q);
-  pu_sent_init (&x->sent);
+  pu_delivered_init (&x->sent);
   return x;
 }
 
@@ -159,7 +159,7 @@
 {
   pu_request_clear (&x->q);
   g_free (x->key);
-  pu_sent_clear (&x->sent);
+  pu_delivered_clear (&x->sent);
   g_free (x);
 }
 
--- a/libplantainusher/entry/rig_test.cc
+++ b/libplantainusher/entry/rig_test.cc
@@ -224,7 +224,7 @@
         static_cast<node *> (d)->owner->state);
   };
   h.ready = [] (void *d) { return static_cast<node *> (d)->ready; };
-  h.in_touch
+  h.leader_reachable
       = [] (void *d) { return static_cast<node *> (d)->voters_reachable; };
   h.incarnation = [] (void *) { return guint64{ 1 }; };
   h.propose = propose;
@@ -236,7 +236,7 @@
   };
   h.loads = deliver_load_reports;
   h.withdraw = deliver_withdrawal;
-  if (n.owner->loads_on_demand)
+  if (n.owner->model_loads_enabled)
     h.want = [] (void *d, const char *, guint, pu_entry_json_fn *fn,
                  void *fn_data) {
       static_cast<node *> (d)->owner->load_requests.push_back (
@@ -383,13 +383,13 @@
   o.peer_key = "peer-key-0123456789";
   o.backend_keys = keys;
   o.n_backend_keys = 1;
-  o.progress_ms = 300;
-  o.probe_ms = 300;
-  o.settle_ms = 100;
-  o.propose_ms = 100;
+  o.stream_progress_timeout_ms = 300;
+  o.health_probe_timeout_ms = 300;
+  o.strike_settle_ms = 100;
+  o.log_proposal_timeout_ms = 100;
   o.seed = 1;
   o.test_breaks = test_breaks;
-  o.loads_to_all = loads_to_all;
+  o.loads_to_all_entries = loads_to_all_entries;
   o.front = front;
   o.hooks = make_hooks (n);
   n.entry = pu_entry_new (&o, nullptr);
--- a/libplantainusher/entry/rig_test.h
+++ b/libplantainusher/entry/rig_test.h
@@ -93,7 +93,7 @@
   std::string name;
   std::string address;
   bool stopped = false;
-  bool voters_reachable = true; /* result of the hook in_touch */
+  bool voters_reachable = true; /* result of the hook leader_reachable */
   bool ready = true;            /* the view may be used for requests */
 
   /* The service time in each demand report.  */
@@ -133,10 +133,10 @@
   guint withdrawals_sent = 0;
 
   /* Options of the nodes added after they are set.  */
-  guint test_breaks = 0;             /* pu_entry_break_t */
-  const pu_front_t *front = nullptr; /* NULL: the entry's own */
-  bool loads_to_all = false;
-  bool loads_on_demand = false; /* the nodes can request model loads */
+  guint test_breaks = 0;                /* pu_entry_break_t */
+  const pu_frontend_t *front = nullptr; /* NULL: the entry's own */
+  bool loads_to_all_entries = false;
+  bool model_loads_enabled = false; /* the nodes can request model loads */
   std::list<node> nodes;
   std::list<backend> backends;
 
--- a/libplantainusher/entry/stream_test.cc
+++ b/libplantainusher/entry/stream_test.cc
@@ -35,11 +35,11 @@
 /* Collects what a caller receives over several attempts.  */
 struct caller
 {
-  pu_sent_t sent{};
+  pu_delivered_t sent{};
   std::string received;
 
-  caller () { pu_sent_init (&sent); }
-  ~caller () { pu_sent_clear (&sent); }
+  caller () { pu_delivered_init (&sent); }
+  ~caller () { pu_delivered_clear (&sent); }
 
   static void
   on_bytes (void *d, const char *bytes, gsize len, guint)
@@ -107,11 +107,11 @@
   caller c;
 
   c.attempt (token_event ("a") + token_event ("b"));
-  EXPECT_EQ (PU_STREAM_FOREIGN,
+  EXPECT_EQ (PU_STREAM_MISMATCH,
              c.attempt (token_event ("a") + token_event ("x")));
-  EXPECT_EQ (PU_STREAM_FOREIGN,
+  EXPECT_EQ (PU_STREAM_MISMATCH,
              c.attempt (token_event ("ab") + token_event ("c")));
-  EXPECT_EQ (PU_STREAM_FOREIGN, c.attempt (token_event ("a") + DONE_EVENT));
+  EXPECT_EQ (PU_STREAM_MISMATCH, c.attempt (token_event ("a") + DONE_EVENT));
   EXPECT_EQ (token_event ("a") + token_event ("b"), c.received);
 }
 
@@ -150,7 +150,7 @@
              PU_STREAM_DONE);
   EXPECT_EQ (two.attempt (token_event ("a") + token_event ("a")
                           + token_event ("b") + usage_event (2) + DONE_EVENT),
-             PU_STREAM_DOUBLED);
+             PU_STREAM_DUPLICATES);
   EXPECT_EQ (resumed.attempt (token_event ("a") + token_event ("b")),
              PU_STREAM_MORE);
   EXPECT_EQ (
@@ -175,7 +175,7 @@
 {
   caller c;
 
-  EXPECT_EQ (PU_STREAM_FOREIGN,
+  EXPECT_EQ (PU_STREAM_MISMATCH,
              c.attempt (token_event ("a") + token_event ("b", "", "other")));
   EXPECT_EQ ("a", c.text ());
 }
--- a/libplantainusher/placer/placer.c
+++ b/libplantainusher/placer/placer.c
@@ -192,7 +192,7 @@
   if (o == NULL)
     return;
   pu_placer_sync_add_failure (
-      p->sync, pu_names_get (&p->sync->backends, o->backend),
+      p->sync, pu_names_intern (&p->sync->backends, o->backend),
       pu_placer_sync_intern_copy (p->sync, o->model, o->model_version));
 }
 
--- a/libplantainusher/placer/sync.c
+++ b/libplantainusher/placer/sync.c
@@ -18,15 +18,15 @@
                             const char *version)
 {
   char *name = g_strconcat (model, "\n", version, NULL);
-  guint32 handle = pu_names_get (&sync->copies, name);
+  guint32 handle = pu_names_intern (&sync->copies, name);
 
   g_free (name);
   if (handle == sync->copy_info->len)
     {
       pu_placer_sync_copy_t c;
 
-      c.item = pu_names_get (&sync->items, model);
-      c.version = pu_names_get (&sync->versions, version);
+      c.item = pu_names_intern (&sync->items, model);
+      c.version = pu_names_intern (&sync->versions, version);
       g_array_append_val (sync->copy_info, c);
       pu_placement_map_copy (sync->placement, handle, c.item, c.version);
     }
@@ -91,7 +91,7 @@
   t.max_copies = m->max_copies;
   t.importance = MAX (importance, MIN_IMPORTANCE);
   if (m->kind == PU_MODEL_ADAPTER)
-    t.base = pu_names_get (&sync->items, m->base_name);
+    t.base = pu_names_intern (&sync->items, m->base_name);
   if (m->previous_version[0] != '\0')
     {
       copy = pu_placer_sync_intern_copy (sync, m->name, m->previous_version);
@@ -110,7 +110,7 @@
     {
       const pu_model_t *m = pu_document_model (d, h);
       pu_plan_item_t t = plan_item_of_model (sync, m, importance[h]);
-      guint32 item = pu_names_get (&sync->items, m->name);
+      guint32 item = pu_names_intern (&sync->items, m->name);
 
       g_array_set_size (items,
                         MAX (items->len, pu_names_count (&sync->items)));
@@ -288,7 +288,7 @@
 intern_zone (pu_placer_sync_t *sync, const pu_backend_record *b)
 {
   char *name = g_strconcat (b->region, "/", b->zone, NULL);
-  guint32 zone = pu_names_get (&sync->zones, name);
+  guint32 zone = pu_names_intern (&sync->zones, name);
 
   g_free (name);
   return zone;
@@ -334,7 +334,7 @@
 
   if (!engine && !pu_names_find (&u->sync->backends, b->name, &handle))
     return;
-  handle = pu_names_get (&u->sync->backends, b->name);
+  handle = pu_names_intern (&u->sync->backends, b->name);
   v = known_backend_at (u->sync, handle);
   if (v->record_hash == hash)
     return;
@@ -402,7 +402,7 @@
     return;
   open.token = token;
   open.kind = (pu_ledger_kind_t)o->kind;
-  open.backend = pu_names_get (&sync->backends, o->backend);
+  open.backend = pu_names_intern (&sync->backends, o->backend);
   open.incarnation = o->incarnation;
   open.copy = pu_placer_sync_intern_copy (sync, o->model, o->model_version);
   open.memory_mb = o->memory_mb;
--- a/libplantainusher/placer/wire.h
+++ b/libplantainusher/placer/wire.h
@@ -56,7 +56,7 @@
      false and adds to F when the report is invalid.  */
   bool (*report_read) (const char *text, gsize len, pu_wire_report_t *r,
                        pu_findings_t *f);
-} pu_order_wire_t;
+} pu_order_protocol_t;
 
 G_END_DECLS
 
