--- a/libplantainusher/control/control.c
+++ b/libplantainusher/control/control.c
@@ -357,7 +357,8 @@
 }
 
 void
-pu_control_on_want (pu_control_t *c, pu_control_want_fn *fn, void *data)
+pu_control_on_copy_request (pu_control_t *c, pu_control_copy_request_fn *fn,
+                            void *data)
 {
   c->want = fn;
   c->want_data = data;
--- a/libplantainusher/control/control.h
+++ b/libplantainusher/control/control.h
@@ -134,17 +134,19 @@
 void pu_control_on_demand (pu_control_t *c, pu_control_demand_fn *fn,
                            void *data);
 
-/* pu_control_on_want - FN is asked on the leader for a copy of MODEL, which a
-   daemon has requests for: WANT is to be answered, now or later.  */
-typedef struct pu_control_want pu_control_want_t;
-typedef void pu_control_want_fn (void *data, const char *model,
-                                 pu_control_want_t *want);
-
-/* pu_control_want_answer - where the copy is ready, {"backend":NAME}, or in
-   how many milliseconds it can be at the soonest, {"due_ms":N}; taken over.
-   NULL when there will be none.  WANT is gone then.  */
-void pu_control_want_answer (pu_control_want_t *want, json_t *place);
-void pu_control_on_want (pu_control_t *c, pu_control_want_fn *fn, void *data);
+/* pu_control_on_copy_request - FN is asked on the leader for a copy of MODEL,
+   which a daemon has requests for: WANT is to be answered, now or later.  */
+typedef struct pu_control_copy_request pu_control_copy_request_t;
+typedef void pu_control_copy_request_fn (void *data, const char *model,
+                                         pu_control_copy_request_t *want);
+
+/* pu_control_copy_request_answer - where the copy is ready, {"backend":NAME},
+   or in how many milliseconds it can be at the soonest, {"due_ms":N}; taken
+   over. NULL when there will be none.  WANT is gone then.  */
+void pu_control_copy_request_answer (pu_control_copy_request_t *want,
+                                     json_t *place);
+void pu_control_on_copy_request (pu_control_t *c,
+                                 pu_control_copy_request_fn *fn, void *data);
 
 /* pu_control_backend_silent_ms - leader: how long backend server NAME has not
    been heard of; G_MAXUINT64 when it is not known.  */
--- a/libplantainusher/control/control_private.h
+++ b/libplantainusher/control/control_private.h
@@ -31,7 +31,7 @@
   GArray *duties;    /* pu_control_duty_t */
   pu_control_demand_fn *demand;
   void *demand_data;
-  pu_control_want_fn *want;
+  pu_control_copy_request_fn *want;
   void *want_data;
 
   /* polls.c */
--- a/libplantainusher/control/query.c
+++ b/libplantainusher/control/query.c
@@ -52,14 +52,14 @@
   return pu_error_set (e, PU_ERROR_INVALID, "No such action: %s.", q->action);
 }
 
-struct pu_control_want
+struct pu_control_copy_request
 {
   pu_control_t *control;
   pu_rpc_call_t *call;
 };
 
 void
-pu_control_want_answer (pu_control_want_t *want, json_t *place)
+pu_control_copy_request_answer (pu_control_copy_request_t *want, json_t *place)
 {
   if (place != NULL)
     {
@@ -76,7 +76,7 @@
 static void
 want_here (pu_control_t *c, pu_rpc_call_t *call, const pu_query *q)
 {
-  pu_control_want_t *want = g_new0 (pu_control_want_t, 1);
+  pu_control_copy_request_t *want = g_new0 (pu_control_copy_request_t, 1);
 
   want->control = c;
   want->call = call;
@@ -86,7 +86,7 @@
     }
   else
     {
-      pu_control_want_answer (want, NULL);
+      pu_control_copy_request_answer (want, NULL);
     }
 }
 
--- a/libplantainusher/placer/sequenced.c
+++ b/libplantainusher/placer/sequenced.c
@@ -8,57 +8,61 @@
 
 enum
 {
-  CONNECT_MS = 300,
-  ANSWER_MS = 300,
-  PLAN_MS = 250,
-  /* Entries learn of each other's requests by these reports alone.  */
-  POLL_MS = 400,
+  CONNECT_TIMEOUT_MS = 300,
+  ORDER_TIMEOUT_MS = 300,
+  PLAN_INTERVAL_MS = 250,
+  /* Entry instances learn of each other's requests only from these reports. */
+  REPORT_INTERVAL_MS = 400,
 };
 
-/* Demand is told in milliseconds of one engine; an engine is hot, by the
-   planner's measure, above 70 in 100 of its time.  */
+/* Daemons report demand in milliseconds of one engine's time, so an engine
+   counts as one stream.  By default, the planner treats an engine as hot above
+   a utilization of 70 %.  */
 #define ENGINE_STREAMS 1.0
 
-/* Time constants of the demand: busy models change within five seconds, and a
-   copy costs a second or two to load where the engine had it before.  */
+/* Time constants of the demand forecast.  The set of busy models changes
+   within five seconds, and a load takes a second or two where the weights are
+   cached for the engine.  */
 #define FORECAST_FAST_S 1.0
 #define FORECAST_MID_S 2.0
 #define FORECAST_SLOW_S 2.0
-#define FORECAST_HELD_S 3.0
-#define FORECAST_LEAD_S 1.0
+#define FORECAST_PEAK_DECAY_S 3.0
+#define FORECAST_HORIZON_S 1.0
 
 #define STORE_BURST 3.0
 
 void
 pu_sequenced_options_init (pu_sequenced_options_t *o)
 {
-  *o = (pu_sequenced_options_t){ .connect_ms = CONNECT_MS,
-                                 .answer_ms = ANSWER_MS,
-                                 .plan_ms = PLAN_MS,
+  *o = (pu_sequenced_options_t){ .connect_timeout_ms = CONNECT_TIMEOUT_MS,
+                                 .order_timeout_ms = ORDER_TIMEOUT_MS,
+                                 .plan_interval_ms = PLAN_INTERVAL_MS,
                                  .store_burst = STORE_BURST };
 }
 
 /* --- the document --- */
 
 static guint32
-memory_of (const lead_t *l, guint32 item)
+item_memory_mb (const leader_state_t *l, guint32 item)
 {
-  return item < l->memory->len ? g_array_index (l->memory, guint32, item) : 0;
+  return item < l->item_memory_mb->len
+             ? g_array_index (l->item_memory_mb, guint32, item)
+             : 0;
 }
 
 static void
-memory_set (lead_t *l, guint32 item, guint32 mb)
+set_item_memory (leader_state_t *l, guint32 item, guint32 mb)
 {
-  if (l->memory->len <= item)
-    g_array_set_size (l->memory, item + 1);
-  g_array_index (l->memory, guint32, item) = mb;
+  if (l->item_memory_mb->len <= item)
+    g_array_set_size (l->item_memory_mb, item + 1);
+  g_array_index (l->item_memory_mb, guint32, item) = mb;
 }
 
 static void
-item_declare (lead_t *l, const pu_model_t *m)
+declare_item (leader_state_t *l, const pu_model_t *m)
 {
-  guint32 item = pu_names_get (&l->items, m->name);
-  pu_plan_item_t t = { .name = pu_names_name (&l->items, item),
+  guint32 item = pu_names_get (&l->item_names, m->name);
+  pu_plan_item_t t = { .name = pu_names_name (&l->item_names, item),
                        .base = PU_PLAN_NONE,
                        .previous_version = PU_PLAN_NONE,
                        .memory_mb = pu_model_load_mb (m),
@@ -67,12 +71,12 @@
                        .max_copies = m->max_copies,
                        .importance = 5 };
 
-  memory_set (l, item, t.memory_mb);
+  set_item_memory (l, item, t.memory_mb);
   if (m->kind == PU_MODEL_ADAPTER)
     {
       pu_dispatcher_set_adapter (l->dispatcher, item);
       pu_adapters_set (l->adapters, item,
-                       pu_names_get (&l->items, m->base_name));
+                       pu_names_get (&l->item_names, m->base_name));
     }
   else
     {
@@ -82,7 +86,7 @@
 }
 
 static void
-options_set (const pu_sequenced_t *s, lead_t *l)
+set_planner_options (const pu_sequenced_t *s, leader_state_t *l)
 {
   const pu_placement_settings_t *p = pu_document_placement (l->document);
   pu_planner_options_t o;
@@ -93,38 +97,39 @@
   o.min_stay_s = p->min_stay_s;
   o.zone_spread = p->zone_spread;
   o.max_concurrent_loads = p->store_full_speed;
-  o.forecast_period_ms = s->o.plan_ms;
+  o.forecast_period_ms = s->options.plan_interval_ms;
   o.move_price = 1;
   o.serial_loads = true;
   o.forecast.fast_s = FORECAST_FAST_S;
   o.forecast.mid_s = FORECAST_MID_S;
   o.forecast.slow_s = FORECAST_SLOW_S;
-  o.forecast.peak_decay_s = FORECAST_HELD_S;
-  o.forecast.horizon_s = FORECAST_LEAD_S;
+  o.forecast.peak_decay_s = FORECAST_PEAK_DECAY_S;
+  o.forecast.horizon_s = FORECAST_HORIZON_S;
   pu_planner_set_options (l->planner, &o);
-  l->store_rate = p->store_loads_per_s;
+  l->store_tokens_per_s = p->store_loads_per_s;
 }
 
-/* Every adapter that was declared counts: an engine may hold one yet that is
-   declared no more.  */
+/* Memory of the largest adapter, including adapters that are no longer
+   declared: an engine may still hold them.  */
 static guint32
-largest_adapter (const lead_t *l)
+find_max_adapter_mb (const leader_state_t *l)
 {
   guint32 largest = 0;
 
-  for (guint32 i = 0; i < l->memory->len; i++)
+  for (guint32 i = 0; i < l->item_memory_mb->len; i++)
     {
       if (pu_adapters_is (l->adapters, i))
-        largest = MAX (largest, memory_of (l, i));
+        largest = MAX (largest, item_memory_mb (l, i));
     }
   return largest;
 }
 
 static void
-document_take (pu_sequenced_t *s)
+update_document (pu_sequenced_t *s)
 {
-  lead_t *l = s->lead;
-  const pu_doc_record *r = pu_state_document (pu_control_state (s->o.control));
+  leader_state_t *l = s->leader;
+  const pu_doc_record *r
+      = pu_state_document (pu_control_state (s->options.control));
   pu_findings_t *f;
   pu_document_t *d;
 
@@ -143,12 +148,12 @@
     return;
   pu_document_unref (l->document);
   l->document = d;
-  for (guint32 i = 0; i < pu_names_count (&l->items); i++)
+  for (guint32 i = 0; i < pu_names_count (&l->item_names); i++)
     pu_planner_set_item (l->planner, i, NULL);
   for (pu_model_handle_t h = 0; h < pu_document_models (d); h++)
-    item_declare (l, pu_document_model (d, h));
-  l->adapter_mb = largest_adapter (l);
-  options_set (s, l);
+    declare_item (l, pu_document_model (d, h));
+  l->max_adapter_mb = find_max_adapter_mb (l);
+  set_planner_options (s, l);
 }
 
 /* --- backend servers --- */
@@ -162,38 +167,40 @@
   g_free (e->address);
   g_free (e->zone);
   g_free (e->service);
-  if (e->cached != NULL)
-    g_hash_table_destroy (e->cached);
+  if (e->cached_items != NULL)
+    g_hash_table_destroy (e->cached_items);
 }
 
 static void
-engine_new (pu_sequenced_t *s, guint32 handle, const pu_backend_record *b)
+engine_init (pu_sequenced_t *s, guint32 handle, const pu_backend_record *b)
 {
-  lead_t *l = s->lead;
+  leader_state_t *l = s->leader;
   engine_t *e;
 
   if (l->engines->len <= handle)
     g_array_set_size (l->engines, handle + 1);
-  e = pu_sequenced_engine (l, handle);
+  e = pu_sequenced_get_engine (l, handle);
   if (e->name != NULL)
     return;
   e->name = g_strdup (b->name);
   e->incarnation = b->incarnation;
   e->zone = g_strdup (b->zone);
   e->service = g_strdup (b->service);
-  e->cached = g_hash_table_new (NULL, NULL);
+  e->cached_items = g_hash_table_new (NULL, NULL);
 }
 
-/* What a check-in says of models is as good a sign of a load's end as a
-   report.  */
+/* Marks the copies listed in the check-in B as loaded: a check-in proves the
+   end of a load as a fetched report does.  */
 static void
-copies_seen (pu_sequenced_t *s, guint32 handle, const pu_backend_record *b)
+mark_reported_copies (pu_sequenced_t *s, guint32 handle,
+                      const pu_backend_record *b)
 {
-  lead_t *l = s->lead;
+  leader_state_t *l = s->leader;
 
   for (u_int i = 0; i < b->copies.copies_len; i++)
     {
-      guint32 item = pu_names_get (&l->items, b->copies.copies_val[i].model);
+      guint32 item
+          = pu_names_get (&l->item_names, b->copies.copies_val[i].model);
 
       pu_dispatcher_mark_loaded (l->dispatcher, handle, item,
                                  pu_sequenced_now (s));
@@ -201,10 +208,10 @@
 }
 
 static void
-backend_take (const pu_backend_record *b, void *data)
+update_engine (const pu_backend_record *b, void *data)
 {
   pu_sequenced_t *s = data;
-  lead_t *l = s->lead;
+  leader_state_t *l = s->leader;
   guint32 handle;
   engine_t *e;
 
@@ -212,60 +219,61 @@
     return;
   handle
       = pu_names_get_incarnation (&l->engine_names, b->name, b->incarnation);
-  engine_new (s, handle, b);
-  e = pu_sequenced_engine (l, handle);
+  engine_init (s, handle, b);
+  e = pu_sequenced_get_engine (l, handle);
   g_free (e->address);
   e->address = g_strdup (b->address);
   e->usable = !b->down && !b->leaving;
-  e->seen = true;
+  e->in_state = true;
   if (b->down)
     {
       pu_dispatcher_remove_engine (l->dispatcher, handle);
       return;
     }
   pu_dispatcher_add_engine (l->dispatcher, handle, pu_sequenced_now (s));
-  copies_seen (s, handle, b);
+  mark_reported_copies (s, handle, b);
 }
 
 static void
-state_take (pu_sequenced_t *s)
+update_state (pu_sequenced_t *s)
 {
-  const pu_state_t *state = pu_control_state (s->o.control);
-  lead_t *l = s->lead;
+  const pu_state_t *state = pu_control_state (s->options.control);
+  leader_state_t *l = s->leader;
 
-  if (pu_state_changes (state) == l->changes)
+  if (pu_state_changes (state) == l->state_changes)
     return;
-  l->changes = pu_state_changes (state);
-  document_take (s);
+  l->state_changes = pu_state_changes (state);
+  update_document (s);
   for (guint i = 0; i < l->engines->len; i++)
-    pu_sequenced_engine (l, i)->seen = false;
-  pu_state_each_backend (state, backend_take, s);
+    pu_sequenced_get_engine (l, i)->in_state = false;
+  pu_state_each_backend (state, update_engine, s);
   for (guint i = 0; i < l->engines->len; i++)
     {
-      if (!pu_sequenced_engine (l, i)->seen)
+      if (!pu_sequenced_get_engine (l, i)->in_state)
         {
-          pu_sequenced_engine (l, i)->usable = false;
+          pu_sequenced_get_engine (l, i)->usable = false;
           pu_dispatcher_remove_engine (l->dispatcher, i);
         }
     }
 }
 
-/* --- the store --- */
+/* --- rate limit of the weights store --- */
 
 static void
-store_refill (pu_sequenced_t *s, guint64 now)
+refill_store_tokens (pu_sequenced_t *s, guint64 now)
 {
-  lead_t *l = s->lead;
-  double ms = (double)(now - l->store_at);
+  leader_state_t *l = s->leader;
+  double ms = (double)(now - l->store_refilled_at_ms);
 
-  l->store = MIN (s->o.store_burst, l->store + ms / 1000 * l->store_rate);
-  l->store_at = now;
+  l->store_tokens = MIN (s->options.store_burst,
+                         l->store_tokens + ms / 1000 * l->store_tokens_per_s);
+  l->store_refilled_at_ms = now;
 }
 
 /* --- planning --- */
 
 static const pu_engine_class_t *
-class_of (const lead_t *l, const engine_t *e)
+engine_class (const leader_state_t *l, const engine_t *e)
 {
   return l->document != NULL && e->service != NULL
              ? pu_document_engines (l->document, e->service)
@@ -273,7 +281,7 @@
 }
 
 static pu_plan_phase_t
-plan_phase (pu_dispatcher_phase_t phase)
+to_plan_phase (pu_dispatcher_phase_t phase)
 {
   switch (phase)
     {
@@ -290,20 +298,20 @@
   return PU_PLAN_LEAVING;
 }
 
-/* Memory that adapters may come to take on an engine of class C: as many of
-   the largest as there are places.  */
+/* Memory reserved for adapters on an engine of class C: each adapter slot may
+   hold the largest adapter.  */
 static guint32
-adapter_room (const lead_t *l, const pu_engine_class_t *c)
+adapter_reserve_mb (const leader_state_t *l, const pu_engine_class_t *c)
 {
-  return c->adapter_places * l->adapter_mb;
+  return c->adapter_places * l->max_adapter_mb;
 }
 
 void
-pu_sequenced_engine_plan (pu_sequenced_t *s, guint32 handle)
+pu_sequenced_refresh_engine (pu_sequenced_t *s, guint32 handle)
 {
-  lead_t *l = s->lead;
-  const engine_t *e = pu_sequenced_engine (l, handle);
-  const pu_engine_class_t *c = class_of (l, e);
+  leader_state_t *l = s->leader;
+  const engine_t *e = pu_sequenced_get_engine (l, handle);
+  const pu_engine_class_t *c = engine_class (l, e);
   guint n;
   const pu_dispatcher_item_t *items
       = pu_dispatcher_items (l->dispatcher, handle, &n);
@@ -315,16 +323,16 @@
   for (guint i = 0; i < n; i++)
     {
       pu_plan_copy_t copy = { .item = items[i].item,
-                              .memory_mb = memory_of (l, items[i].item),
-                              .phase = plan_phase (items[i].phase) };
+                              .memory_mb = item_memory_mb (l, items[i].item),
+                              .phase = to_plan_phase (items[i].phase) };
 
       if (pu_adapters_is (l->adapters, items[i].item))
         continue;
       p.committed_mb += copy.memory_mb;
       g_array_append_val (s->copies, copy);
     }
-  p.zone = pu_names_get (&l->zones, e->zone);
-  p.memory_mb = c->memory_mb - MIN (c->memory_mb, adapter_room (l, c));
+  p.zone = pu_names_get (&l->zone_names, e->zone);
+  p.memory_mb = c->memory_mb - MIN (c->memory_mb, adapter_reserve_mb (l, c));
   p.usable = e->usable && pu_dispatcher_accepts_orders (l->dispatcher, handle);
   p.closed
       = !p.usable || pu_dispatcher_has_unknown_order (l->dispatcher, handle);
@@ -333,14 +341,14 @@
   p.copies = (const pu_plan_copy_t *)(void *)s->copies->data;
   p.n_copies = s->copies->len;
   pu_planner_set_engine (l->planner, handle, &p, pu_sequenced_now (s));
-  pu_adapters_engine (l->adapters, handle, c->adapter_places, e->load,
-                      p.usable);
+  pu_adapters_engine (l->adapters, handle, c->adapter_places,
+                      e->reported_requests, p.usable);
 }
 
 static void
-move_want (pu_sequenced_t *s, const pu_move_t *m)
+enqueue_move (pu_sequenced_t *s, const pu_move_t *m)
 {
-  lead_t *l = s->lead;
+  leader_state_t *l = s->leader;
   bool load = m->kind == PU_MOVE_LOAD;
   pu_dispatcher_order_t o
       = { load ? PU_DISPATCHER_LOAD : PU_DISPATCHER_UNLOAD, m->item, false };
@@ -350,21 +358,22 @@
   if (pu_dispatcher_enqueue (l->dispatcher, m->engine, &o,
                              pu_sequenced_now (s)))
     {
-      pu_log_info (PART, "Wanted: %.*s.", (int)why->len - 1, why->str);
+      pu_log_info (PART, "Planned: %.*s.", (int)why->len - 1, why->str);
     }
   else if (load)
     {
       pu_planner_block (l->planner, m->engine, m->item,
-                        pu_sequenced_now (s) + s->o.plan_ms);
+                        pu_sequenced_now (s) + s->options.plan_interval_ms);
     }
   g_string_free (why, TRUE);
 }
 
-/* A model needs as many copies as hold the adapters in use.  */
+/* Raises the minimum of copies of each model so that the adapter slots of its
+   copies hold all of its adapters that are in use.  */
 static void
-copies_demand (pu_sequenced_t *s, guint64 now)
+set_min_copies_for_adapters (pu_sequenced_t *s, guint64 now)
 {
-  const lead_t *l = s->lead;
+  const leader_state_t *l = s->leader;
   const pu_document_t *d = l->document;
 
   for (pu_model_handle_t h = 0; h < pu_document_models (d); h++)
@@ -376,7 +385,7 @@
       guint n;
 
       if (m->kind == PU_MODEL_ADAPTER || places == 0
-          || !pu_names_find (&l->items, m->name, &item))
+          || !pu_names_find (&l->item_names, m->name, &item))
         continue;
       n = pu_adapters_active (l->adapters, item, now);
       pu_planner_set_min_copies (
@@ -384,9 +393,9 @@
     }
 }
 
-/* Loads from the store that wait for their turn at it.  */
+/* Number of queued loads that read from the weights store.  */
 static guint
-store_queue (const lead_t *l)
+count_queued_store_loads (const leader_state_t *l)
 {
   guint waiting = 0;
 
@@ -398,86 +407,88 @@
 
       for (guint k = 0; k < n; k++)
         {
-          waiting
-              += items[k].phase == PU_DISPATCHER_QUEUED
-                 && !pu_adapters_is (l->adapters, items[k].item)
-                 && !g_hash_table_contains (pu_sequenced_engine (l, i)->cached,
-                                            GUINT_TO_POINTER (items[k].item));
+          waiting += items[k].phase == PU_DISPATCHER_QUEUED
+                     && !pu_adapters_is (l->adapters, items[k].item)
+                     && !g_hash_table_contains (
+                         pu_sequenced_get_engine (l, i)->cached_items,
+                         GUINT_TO_POINTER (items[k].item));
         }
     }
   return waiting;
 }
 
-/* Loads that may be ordered: as many as the store lets begin, and one that
-   begins before the next plan.  */
+/* Number of loads from the weights store that the planner may order now: those
+   that the rate limit admits at once and one more, which may start before the
+   next plan, less those already queued.  */
 static guint
-store_free (pu_sequenced_t *s)
+count_free_store_loads (pu_sequenced_t *s)
 {
-  guint waiting = store_queue (s->lead);
+  guint waiting = count_queued_store_loads (s->leader);
   guint free;
 
-  store_refill (s, pu_sequenced_now (s));
-  free = (guint)s->lead->store + 1;
+  refill_store_tokens (s, pu_sequenced_now (s));
+  free = (guint)s->leader->store_tokens + 1;
   return free - MIN (free, waiting);
 }
 
 static void
 plan (pu_sequenced_t *s, guint64 now)
 {
-  lead_t *l = s->lead;
+  leader_state_t *l = s->leader;
 
-  if (l->document == NULL || now < l->next_plan)
+  if (l->document == NULL || now < l->next_plan_ms)
     return;
-  l->next_plan = now + s->o.plan_ms;
+  l->next_plan_ms = now + s->options.plan_interval_ms;
   for (guint32 i = 0; i < l->engines->len; i++)
-    pu_sequenced_engine_plan (s, i);
-  copies_demand (s, now);
-  pu_planner_set_load_slots (l->planner, store_free (s));
+    pu_sequenced_refresh_engine (s, i);
+  set_min_copies_for_adapters (s, now);
+  pu_planner_set_load_slots (l->planner, count_free_store_loads (s));
   g_array_set_size (s->moves, 0);
   pu_planner_step (l->planner, now, s->moves);
   for (guint i = 0; i < s->moves->len; i++)
-    move_want (s, &g_array_index (s->moves, pu_move_t, i));
+    enqueue_move (s, &g_array_index (s->moves, pu_move_t, i));
   pu_adapters_spread (l->adapters, now);
 }
 
-/* --- steps --- */
+/* --- orders --- */
 
-/* Whether a load may begin: one from the store takes one of its turns.  */
+/* A pu_dispatcher_admit_fn.  A load from the weights store takes a token of
+   its rate limit; all other orders are admitted.  */
 static bool
-load_may (void *data, guint32 engine, const pu_dispatcher_order_t *o)
+admit_order (void *data, guint32 engine, const pu_dispatcher_order_t *o)
 {
   pu_sequenced_t *s = data;
-  lead_t *l = s->lead;
-  const engine_t *e = pu_sequenced_engine (l, engine);
+  leader_state_t *l = s->leader;
+  const engine_t *e = pu_sequenced_get_engine (l, engine);
 
   if (o->op != PU_DISPATCHER_LOAD || o->adapter
-      || g_hash_table_contains (e->cached, GUINT_TO_POINTER (o->item)))
+      || g_hash_table_contains (e->cached_items, GUINT_TO_POINTER (o->item)))
     return true;
-  if (l->store < 1)
+  if (l->store_tokens < 1)
     return false;
-  l->store -= 1;
+  l->store_tokens -= 1;
   return true;
 }
 
 static void
-done_tell (pu_sequenced_t *s, const pu_dispatcher_action_t *a)
+on_order_result (pu_sequenced_t *s, const pu_dispatcher_action_t *a)
 {
-  lead_t *l = s->lead;
+  leader_state_t *l = s->leader;
   bool failed = a->what == PU_DISPATCHER_ACTION_FAILED;
 
   pu_log_info (PART, "%s to %s %s on %s.", failed ? "Failed" : "Began",
                a->order.op == PU_DISPATCHER_LOAD ? "load" : "unload",
-               pu_names_name (&l->items, a->order.item),
-               pu_sequenced_engine (l, a->engine)->name);
+               pu_names_name (&l->item_names, a->order.item),
+               pu_sequenced_get_engine (l, a->engine)->name);
   if (failed && !a->order.adapter && a->order.op == PU_DISPATCHER_LOAD)
     {
       pu_planner_block (l->planner, a->engine, a->order.item,
-                        pu_sequenced_now (s) + s->o.plan_ms);
+                        pu_sequenced_now (s) + s->options.plan_interval_ms);
     }
 }
 
 static void
-actions_carry_out (pu_sequenced_t *s, const GArray *actions)
+execute_actions (pu_sequenced_t *s, const GArray *actions)
 {
   for (guint i = 0; i < actions->len; i++)
     {
@@ -487,89 +498,89 @@
       switch (a->what)
         {
         case PU_DISPATCHER_ACTION_SEND:
-          pu_sequenced_send (s, a);
+          pu_sequenced_send_order (s, a);
           break;
         case PU_DISPATCHER_ACTION_FETCH:
-          pu_sequenced_fetch (s, a);
+          pu_sequenced_fetch_report (s, a);
           break;
         case PU_DISPATCHER_ACTION_ACCEPTED:
         case PU_DISPATCHER_ACTION_FAILED:
-          done_tell (s, a);
+          on_order_result (s, a);
           break;
         }
     }
 }
 
 void
-pu_sequenced_act (pu_sequenced_t *s)
+pu_sequenced_step (pu_sequenced_t *s)
 {
   GArray *actions
       = g_array_new (FALSE, FALSE, sizeof (pu_dispatcher_action_t));
   guint64 now = pu_sequenced_now (s);
 
-  store_refill (s, now);
-  pu_dispatcher_step (s->lead->dispatcher, load_may, s, now, actions);
-  actions_carry_out (s, actions);
+  refill_store_tokens (s, now);
+  pu_dispatcher_step (s->leader->dispatcher, admit_order, s, now, actions);
+  execute_actions (s, actions);
   g_array_unref (actions);
 }
 
 void
-pu_sequenced_act_engine (pu_sequenced_t *s, guint32 engine)
+pu_sequenced_step_engine (pu_sequenced_t *s, guint32 engine)
 {
   GArray *actions
       = g_array_new (FALSE, FALSE, sizeof (pu_dispatcher_action_t));
   guint64 now = pu_sequenced_now (s);
 
-  store_refill (s, now);
-  pu_dispatcher_step_engine (s->lead->dispatcher, engine, load_may, s, now,
-                             actions);
-  actions_carry_out (s, actions);
+  refill_store_tokens (s, now);
+  pu_dispatcher_step_engine (s->leader->dispatcher, engine, admit_order, s,
+                             now, actions);
+  execute_actions (s, actions);
   g_array_unref (actions);
 }
 
-/* --- the duty --- */
+/* --- callbacks of the control --- */
 
 static void
-lead_free (lead_t *l)
+leader_state_free (leader_state_t *l)
 {
   if (l == NULL)
     return;
   pu_adapters_free (l->adapters);
   pu_dispatcher_free (l->dispatcher);
   pu_planner_free (l->planner);
-  pu_names_clear (&l->items);
+  pu_names_clear (&l->item_names);
   pu_names_clear (&l->engine_names);
-  pu_names_clear (&l->zones);
+  pu_names_clear (&l->zone_names);
   g_array_unref (l->engines);
-  g_array_unref (l->memory);
+  g_array_unref (l->item_memory_mb);
   pu_document_unref (l->document);
   g_free (l);
 }
 
-static lead_t *
-lead_new (guint64 term, guint64 now)
+static leader_state_t *
+leader_state_new (guint64 term, guint64 now)
 {
-  lead_t *l = g_new0 (lead_t, 1);
+  leader_state_t *l = g_new0 (leader_state_t, 1);
   pu_planner_options_t planner;
   pu_dispatcher_options_t o;
 
   pu_planner_options_init (&planner);
   pu_dispatcher_options_init (&o);
-  o.poll_ms = POLL_MS;
+  o.poll_ms = REPORT_INTERVAL_MS;
   l->planner = pu_planner_new (&planner);
   l->dispatcher = pu_dispatcher_new (&o);
   l->adapters = pu_adapters_new (l->dispatcher);
-  pu_names_init (&l->items);
+  pu_names_init (&l->item_names);
   pu_names_init (&l->engine_names);
-  pu_names_init (&l->zones);
+  pu_names_init (&l->zone_names);
   l->engines = g_array_new (FALSE, TRUE, sizeof (engine_t));
   g_array_set_clear_func (l->engines, engine_clear);
-  l->memory = g_array_new (FALSE, TRUE, sizeof (guint32));
-  l->changes = G_MAXUINT64;
+  l->item_memory_mb = g_array_new (FALSE, TRUE, sizeof (guint32));
+  l->state_changes = G_MAXUINT64;
   l->term = term;
-  /* The leader before may have used the store up just now.  */
-  l->store = 0;
-  l->store_at = now;
+  /* The previous leader may have just used all tokens.  */
+  l->store_tokens = 0;
+  l->store_refilled_at_ms = now;
   return l;
 }
 
@@ -578,8 +589,8 @@
 {
   pu_sequenced_t *s = data;
 
-  s->leads++;
-  s->lead = lead_new (term, now);
+  s->leader_epoch++;
+  s->leader = leader_state_new (term, now);
 }
 
 static void
@@ -587,9 +598,9 @@
 {
   pu_sequenced_t *s = data;
 
-  pu_sequenced_calls_cancel (s);
-  pu_sequenced_wants_refuse (s);
-  g_clear_pointer (&s->lead, lead_free);
+  pu_sequenced_cancel_calls (s);
+  pu_sequenced_refuse_copy_requests (s);
+  g_clear_pointer (&s->leader, leader_state_free);
 }
 
 static void
@@ -597,22 +608,22 @@
 {
   pu_sequenced_t *s = data;
 
-  if (s->lead == NULL)
+  if (s->leader == NULL)
     return;
-  state_take (s);
+  update_state (s);
   plan (s, now);
-  pu_sequenced_act (s);
-  pu_sequenced_wants_check (s);
+  pu_sequenced_step (s);
+  pu_sequenced_check_copy_requests (s);
 }
 
 static void
 on_demand (void *data, const char *model, guint32 requests, guint32 stream_ms)
 {
   pu_sequenced_t *s = data;
-  lead_t *l = s->lead;
+  leader_state_t *l = s->leader;
   guint32 item;
 
-  if (l == NULL || !pu_names_find (&l->items, model, &item))
+  if (l == NULL || !pu_names_find (&l->item_names, model, &item))
     return;
   if (pu_adapters_is (l->adapters, item))
     {
@@ -622,7 +633,7 @@
   pu_planner_add_demand (l->planner, item, requests, stream_ms);
 }
 
-/* --- life --- */
+/* --- construction and status --- */
 
 pu_sequenced_t *
 pu_sequenced_new (const pu_sequenced_options_t *o)
@@ -630,26 +641,28 @@
   pu_sequenced_t *s = g_new0 (pu_sequenced_t, 1);
   pu_control_duty_t duty = { "placement", on_begin, on_tick, on_end, s };
   pu_http_client_options_t c
-      = { .loop = o->loop, .connect_timeout_ms = o->connect_ms };
+      = { .loop = o->loop, .connect_timeout_ms = o->connect_timeout_ms };
 
-  s->o = *o;
+  s->options = *o;
   s->client = pu_http_client_new (&c);
   s->moves = g_array_new (FALSE, FALSE, sizeof (pu_move_t));
   s->copies = g_array_new (FALSE, FALSE, sizeof (pu_plan_copy_t));
-  s->asked = g_hash_table_new_full (NULL, NULL, g_free, NULL);
-  g_queue_init (&s->wants);
-  uv_timer_init (o->loop, &s->watch);
-  s->watch.data = s;
+  s->calls = g_hash_table_new_full (NULL, NULL, g_free, NULL);
+  g_queue_init (&s->copy_requests);
+  uv_timer_init (o->loop, &s->copy_request_timer);
+  s->copy_request_timer.data = s;
   if (o->counters != NULL)
     {
-      s->sent = pu_counters_get (o->counters, "placement_orders_sent_total");
-      s->fetched
+      s->orders_sent
+          = pu_counters_get (o->counters, "placement_orders_sent_total");
+      s->reports_fetched
           = pu_counters_get (o->counters, "placement_reports_fetched_total");
-      s->lost = pu_counters_get (o->counters, "placement_answers_lost_total");
+      s->answers_lost
+          = pu_counters_get (o->counters, "placement_answers_lost_total");
     }
   pu_control_add_duty (o->control, &duty);
   pu_control_on_demand (o->control, on_demand, s);
-  pu_control_on_want (o->control, pu_sequenced_on_want, s);
+  pu_control_on_copy_request (o->control, pu_sequenced_on_copy_request, s);
   return s;
 }
 
@@ -664,15 +677,15 @@
 {
   if (s == NULL)
     return;
-  pu_sequenced_calls_cancel (s);
-  pu_sequenced_wants_refuse (s);
-  lead_free (s->lead);
-  s->lead = NULL;
+  pu_sequenced_cancel_calls (s);
+  pu_sequenced_refuse_copy_requests (s);
+  leader_state_free (s->leader);
+  s->leader = NULL;
   pu_http_client_free (s->client);
   g_array_unref (s->moves);
   g_array_unref (s->copies);
-  g_hash_table_destroy (s->asked);
-  uv_close ((uv_handle_t *)&s->watch, on_closed);
+  g_hash_table_destroy (s->calls);
+  uv_close ((uv_handle_t *)&s->copy_request_timer, on_closed);
 }
 
 static const char *
@@ -688,7 +701,7 @@
 }
 
 static json_t *
-items_json (const lead_t *l, guint32 engine)
+items_json (const leader_state_t *l, guint32 engine)
 {
   guint n;
   const pu_dispatcher_item_t *items
@@ -699,8 +712,8 @@
     {
       json_array_append_new (
           list, json_pack ("{s:s, s:s}", "model",
-                           pu_names_name (&l->items, items[i].item), "phase",
-                           phase_name (items[i].phase)));
+                           pu_names_name (&l->item_names, items[i].item),
+                           "phase", phase_name (items[i].phase)));
     }
   return list;
 }
@@ -708,14 +721,14 @@
 json_t *
 pu_sequenced_status (pu_sequenced_t *s)
 {
-  const lead_t *l = s->lead;
+  const leader_state_t *l = s->leader;
   json_t *engines = json_array ();
 
   for (guint32 i = 0; l != NULL && i < l->engines->len; i++)
     {
-      const engine_t *e = pu_sequenced_engine (l, i);
+      const engine_t *e = pu_sequenced_get_engine (l, i);
 
-      if (e->name == NULL || !e->seen)
+      if (e->name == NULL || !e->in_state)
         continue;
       json_array_append_new (
           engines,
--- /dev/null
+++ b/libplantainusher/placer/sequenced_copy_requests.c
@@ -0,0 +1,191 @@
+#include "placer/sequenced_private.h"
+
+#include "placement/due.h"
+
+/* Requests of daemons for a copy of a model or adapter.  */
+
+enum
+{
+  COPY_REQUEST_TIMEOUT_MS = 800, /* a daemon requests a slower copy again */
+  CHECK_INTERVAL_MS = 5,         /* between checks while requests wait */
+};
+
+/* A request that waits until its copy is ready.  */
+typedef struct
+{
+  pu_sequenced_t *owner;
+  GList link;
+  pu_control_copy_request_t *request;
+  guint32 engine;
+  guint32 item;
+  guint64 deadline_ms;
+} copy_request_t;
+
+static void on_check_timer (uv_timer_t *t);
+
+/* The lesser of A and B, where 0 means unknown.  */
+static guint32
+min_known (guint32 a, guint32 b)
+{
+  return a > 0 && b > 0 ? MIN (a, b) : MAX (a, b);
+}
+
+/* Milliseconds until ITEM or, if it is an adapter, its base model can be ready
+   on any engine; 0: unknown.  */
+static guint32
+model_due_ms (pu_sequenced_t *s, guint32 item)
+{
+  leader_state_t *l = s->leader;
+  guint32 base = pu_adapters_is (l->adapters, item)
+                     ? pu_adapters_base (l->adapters, item)
+                     : item;
+  pu_model_handle_t h = pu_document_find_model (
+      l->document, pu_names_name (&l->item_names, base));
+  GArray *engines = g_array_new (FALSE, FALSE, sizeof (pu_due_engine_t));
+  pu_due_times_t t = { 0 };
+  guint32 ms;
+
+  if (h != PU_HANDLE_NONE)
+    {
+      const pu_model_t *m = pu_document_model (l->document, h);
+
+      t.store_ms = m->load_ms;
+      t.cached_load_ms = min_known (m->disk_load_ms, m->host_load_ms);
+    }
+  for (guint32 i = 0; i < l->engines->len; i++)
+    {
+      const engine_t *e = pu_sequenced_get_engine (l, i);
+      pu_due_engine_t d = { i, false };
+
+      if (e->name == NULL || !e->usable)
+        continue;
+      d.quick
+          = g_hash_table_contains (e->cached_items, GUINT_TO_POINTER (base));
+      g_array_append_val (engines, d);
+    }
+  ms = pu_due_ms (l->dispatcher,
+                  (const pu_due_engine_t *)(void *)engines->data, engines->len,
+                  base, &t, pu_sequenced_now (s));
+  g_array_unref (engines);
+  return ms;
+}
+
+/* Answers REQUEST with the time until ITEM can be ready, as no engine holds it
+   or can load it at once.  */
+static void
+answer_due (pu_sequenced_t *s, guint32 item,
+            pu_control_copy_request_t *request)
+{
+  guint32 ms = s->leader->document != NULL ? model_due_ms (s, item) : 0;
+
+  pu_control_copy_request_answer (
+      request, ms > 0 ? json_pack ("{s:I}", "due_ms", (json_int_t)ms) : NULL);
+}
+
+static void
+copy_request_answer (copy_request_t *r, bool ready)
+{
+  pu_sequenced_t *s = r->owner;
+  json_t *place = NULL;
+
+  if (ready)
+    {
+      place = json_pack ("{s:s}", "backend",
+                         pu_sequenced_get_engine (s->leader, r->engine)->name);
+    }
+  g_queue_unlink (&s->copy_requests, &r->link);
+  pu_control_copy_request_answer (r->request, place);
+  g_free (r);
+}
+
+void
+pu_sequenced_check_copy_requests (pu_sequenced_t *s)
+{
+  GList *next;
+
+  for (GList *l = s->copy_requests.head; l != NULL; l = next)
+    {
+      copy_request_t *r = l->data;
+      pu_dispatcher_phase_t phase
+          = pu_dispatcher_phase (s->leader->dispatcher, r->engine, r->item);
+
+      next = l->next;
+      if (phase == PU_DISPATCHER_READY)
+        {
+          copy_request_answer (r, true);
+        }
+      else if (phase == PU_DISPATCHER_ABSENT
+               || phase == PU_DISPATCHER_UNLOADING
+               || pu_sequenced_now (s) >= r->deadline_ms)
+        {
+          copy_request_answer (r, false);
+        }
+    }
+  if (s->copy_requests.head != NULL
+      && !uv_is_active ((uv_handle_t *)&s->copy_request_timer))
+    {
+      uv_timer_start (&s->copy_request_timer, on_check_timer,
+                      CHECK_INTERVAL_MS, 0);
+    }
+}
+
+static void
+on_check_timer (uv_timer_t *t)
+{
+  pu_sequenced_t *s = t->data;
+
+  if (s->leader == NULL)
+    return;
+  pu_sequenced_step (s);
+  pu_sequenced_check_copy_requests (s);
+}
+
+void
+pu_sequenced_on_copy_request (void *data, const char *model,
+                              pu_control_copy_request_t *request)
+{
+  pu_sequenced_t *s = data;
+  leader_state_t *l = s->leader;
+  copy_request_t *r;
+  guint32 item;
+  guint32 engine;
+
+  if (l == NULL || !pu_names_find (&l->item_names, model, &item))
+    {
+      pu_control_copy_request_answer (request, NULL);
+      return;
+    }
+  /* Only adapters are loaded at once; models are loaded by the next plan.  */
+  if (!pu_adapters_is (l->adapters, item))
+    {
+      answer_due (s, item, request);
+      return;
+    }
+  for (guint32 i = 0; i < l->engines->len; i++)
+    pu_sequenced_refresh_engine (s, i);
+  engine = pu_adapters_want (l->adapters, item, pu_sequenced_now (s));
+  if (engine == PU_ADAPTERS_NONE)
+    {
+      answer_due (s, item, request);
+      return;
+    }
+  r = g_new0 (copy_request_t, 1);
+  r->owner = s;
+  r->link.data = r;
+  r->request = request;
+  r->engine = engine;
+  r->item = item;
+  r->deadline_ms = pu_sequenced_now (s) + COPY_REQUEST_TIMEOUT_MS;
+  g_queue_push_tail_link (&s->copy_requests, &r->link);
+  pu_sequenced_step (s);
+  pu_sequenced_check_copy_requests (s);
+}
+
+void
+pu_sequenced_refuse_copy_requests (pu_sequenced_t *s)
+{
+  copy_request_t *r;
+
+  while ((r = g_queue_peek_head (&s->copy_requests)) != NULL)
+    copy_request_answer (r, false);
+}
--- a/libplantainusher/placer/sequenced_private.h
+++ b/libplantainusher/placer/sequenced_private.h
@@ -10,11 +10,11 @@
 
 G_BEGIN_DECLS
 
-/* The parts of the duty: the plan and its steps (sequenced.c), the calls to
-   engines (sequenced_calls.c), the daemons that wait for a copy
-   (sequenced_wants.c).  */
+/* The files of this module: planning and the steps of the dispatcher
+   (sequenced.c), HTTP calls to engines (sequenced_calls.c), copy requests of
+   daemons (sequenced_copy_requests.c).  */
 
-/* One engine, by handle.  */
+/* An engine; its handle is the index into leader_state_t.engines.  */
 typedef struct
 {
   char *name;
@@ -22,99 +22,106 @@
   char *address;
   char *zone;
   char *service;
-  bool usable;
-  guint load;         /* requests, by its last report */
-  GHashTable *cached; /* set of items whose weights it has at hand */
-  bool seen;          /* scratch of a look at the state */
+  bool usable;              /* in the state, neither down nor leaving */
+  guint reported_requests;  /* running and waiting, by its last report */
+  GHashTable *cached_items; /* set of items whose weights are in its host's
+                               memory or on its disk */
+  bool in_state;            /* was in the state at its last update */
 } engine_t;
 
-/* What is known while this voter leads.  */
+/* The state of one leadership of this voter.  */
 typedef struct
 {
   pu_planner_t *planner;
   pu_dispatcher_t *dispatcher;
   pu_adapters_t *adapters;
-  pu_names_t items;
+  pu_names_t item_names;
   pu_names_t engine_names;
-  pu_names_t zones;
-  GArray *engines;    /* of engine_t */
-  GArray *memory;     /* of guint32, MB by item */
-  guint32 adapter_mb; /* of the largest adapter */
+  pu_names_t zone_names;
+  GArray *engines;        /* of engine_t */
+  GArray *item_memory_mb; /* of guint32, by item */
+  guint32 max_adapter_mb; /* memory of the largest adapter */
   pu_document_t *document;
   guint64 document_version;
-  guint64 changes; /* of the state, as taken in */
+  guint64 state_changes; /* pu_state_changes of the last update */
   guint64 term;
-  guint64 loads;     /* reports told of */
-  double store;      /* loads that the store lets begin now */
-  double store_rate; /* a second */
-  guint64 store_at;  /* when that was counted, ms */
-  guint64 next_plan; /* ms */
-} lead_t;
+  guint64 n_load_reports;    /* number passed to options.load */
+  double store_tokens;       /* token bucket of loads from the weights store */
+  double store_tokens_per_s; /* its refill rate */
+  guint64 store_refilled_at_ms;
+  guint64 next_plan_ms;
+} leader_state_t;
 
 struct pu_sequenced
 {
-  pu_sequenced_options_t o;
+  pu_sequenced_options_t options;
   pu_http_client_t *client;
-  lead_t *lead;      /* NULL while another voter leads */
-  guint64 leads;     /* counts the take-overs */
-  GArray *moves;     /* scratch, of pu_move_t */
-  GArray *copies;    /* scratch, of pu_plan_copy_t */
-  GHashTable *asked; /* set of asked_t of sequenced_calls.c, under way */
-  GQueue wants;      /* of want_t of sequenced_wants.c */
-  uv_timer_t watch;  /* looks after them */
-  pu_counter_t sent;
-  pu_counter_t fetched;
-  pu_counter_t lost;
+  leader_state_t *leader; /* NULL while another voter leads */
+  guint64 leader_epoch;   /* number of leaderships begun by this voter */
+  GArray *moves;          /* of pu_move_t; reused buffer */
+  GArray *copies;         /* of pu_plan_copy_t; reused buffer */
+  GHashTable *calls;      /* set of call_t in flight (sequenced_calls.c) */
+  GQueue copy_requests;   /* of copy_request_t (sequenced_copy_requests.c) */
+  uv_timer_t copy_request_timer;
+  pu_counter_t orders_sent;
+  pu_counter_t reports_fetched;
+  pu_counter_t answers_lost;
 };
 
-/* The clock of the duties, in milliseconds.  */
+/* The clock of the control, in milliseconds.  */
 static inline guint64
 pu_sequenced_now (const pu_sequenced_t *s)
 {
-  return pu_control_now (s->o.control);
+  return pu_control_now (s->options.control);
 }
 
 static inline engine_t *
-pu_sequenced_engine (const lead_t *l, guint32 engine)
+pu_sequenced_get_engine (const leader_state_t *l, guint32 engine)
 {
   return &g_array_index (l->engines, engine_t, engine);
 }
 
 /* --- sequenced.c --- */
 
-/* pu_sequenced_act - does what the dispatcher has due now.  */
-void pu_sequenced_act (pu_sequenced_t *s);
+/* pu_sequenced_step - executes the actions of the dispatcher that are due.  */
+void pu_sequenced_step (pu_sequenced_t *s);
 
-/* pu_sequenced_act_engine - the same for ENGINE alone.  */
-void pu_sequenced_act_engine (pu_sequenced_t *s, guint32 engine);
+/* pu_sequenced_step_engine - as pu_sequenced_step for ENGINE alone.  */
+void pu_sequenced_step_engine (pu_sequenced_t *s, guint32 engine);
 
-/* pu_sequenced_engine_plan - tells the planner how ENGINE stands.  */
-void pu_sequenced_engine_plan (pu_sequenced_t *s, guint32 engine);
+/* pu_sequenced_refresh_engine - passes the state and limits of ENGINE to the
+   planner, the dispatcher and the adapters.  */
+void pu_sequenced_refresh_engine (pu_sequenced_t *s, guint32 engine);
 
 /* --- sequenced_calls.c --- */
 
-/* pu_sequenced_send - sends the order of A; the dispatcher hears of the
- * answer.  */
-void pu_sequenced_send (pu_sequenced_t *s, const pu_dispatcher_action_t *a);
+/* pu_sequenced_send_order - sends the order of A and passes the answer to the
+   dispatcher.  */
+void pu_sequenced_send_order (pu_sequenced_t *s,
+                              const pu_dispatcher_action_t *a);
 
-/* pu_sequenced_fetch - fetches the report of A's engine for the dispatcher. */
-void pu_sequenced_fetch (pu_sequenced_t *s, const pu_dispatcher_action_t *a);
+/* pu_sequenced_fetch_report - fetches the report of A's engine and passes it
+   to the dispatcher.  */
+void pu_sequenced_fetch_report (pu_sequenced_t *s,
+                                const pu_dispatcher_action_t *a);
 
-/* pu_sequenced_calls_cancel - nothing is heard of calls under way any more. */
-void pu_sequenced_calls_cancel (pu_sequenced_t *s);
+/* pu_sequenced_cancel_calls - cancels all calls in flight; their callbacks are
+   not called.  */
+void pu_sequenced_cancel_calls (pu_sequenced_t *s);
 
-/* --- sequenced_wants.c --- */
+/* --- sequenced_copy_requests.c --- */
 
-/* pu_sequenced_on_want - a daemon waits for a copy of MODEL.  */
-void pu_sequenced_on_want (void *data, const char *model,
-                           pu_control_want_t *want);
+/* pu_sequenced_on_copy_request - a pu_control_copy_request_fn.  */
+void pu_sequenced_on_copy_request (void *data, const char *model,
+                                   pu_control_copy_request_t *request);
 
-/* pu_sequenced_wants_check - answers those whose copy is ready, or won't be in
-   time.  */
-void pu_sequenced_wants_check (pu_sequenced_t *s);
+/* pu_sequenced_check_copy_requests - answers the requests whose copy is ready,
+   is no longer being loaded, or has timed out.  */
+void pu_sequenced_check_copy_requests (pu_sequenced_t *s);
 
-/* pu_sequenced_wants_refuse - answers all: there will be none from here.  */
-void pu_sequenced_wants_refuse (pu_sequenced_t *s);
+/* pu_sequenced_refuse_copy_requests - answers all requests that wait with no
+   copy.  */
+void pu_sequenced_refuse_copy_requests (pu_sequenced_t *s);
 
 G_END_DECLS
 
