--- a/libplantainusher/control/control.c
+++ b/libplantainusher/control/control.c
@@ -4,24 +4,24 @@
 
 #include "base/log.h"
 
-#define TICK_MS 100
-#define SESSIONS_MS 1000
-#define RING_ENTRIES 4096
-#define GATHER_MS 250
-#define ELECTING_MS 3000
-#define RING_BYTES ((size_t)16 << 20)
-#define LOG_PERIOD_MS 60000
+#define DEFAULT_TICK_MS 100
+#define DEFAULT_SESSIONS_MS 1000
+#define DEFAULT_RING_ENTRIES 4096
+#define DEFAULT_GATHER_MS 250
+#define DEFAULT_ELECTING_MS 3000
+#define DEFAULT_RING_BYTES ((size_t)16 << 20)
+#define DROP_LOG_INTERVAL_MS 60000
 
 void
 pu_control_options_init (pu_control_options_t *o)
 {
   memset (o, 0, sizeof *o);
-  o->tick_ms = TICK_MS;
-  o->sessions_ms = SESSIONS_MS;
-  o->gather_ms = GATHER_MS;
-  o->electing_ms = ELECTING_MS;
-  o->ring_entries = RING_ENTRIES;
-  o->ring_bytes = RING_BYTES;
+  o->tick_ms = DEFAULT_TICK_MS;
+  o->sessions_ms = DEFAULT_SESSIONS_MS;
+  o->gather_ms = DEFAULT_GATHER_MS;
+  o->electing_ms = DEFAULT_ELECTING_MS;
+  o->ring_entries = DEFAULT_RING_ENTRIES;
+  o->ring_bytes = DEFAULT_RING_BYTES;
   pu_state_options_init (&o->state);
   pu_membership_options_init (&o->membership);
 }
@@ -41,7 +41,7 @@
   return leader == NULL ? "" : leader->address;
 }
 
-/* --- the group's callbacks --- */
+/* --- callbacks of the group --- */
 
 static void
 on_send (const pu_log_peer *to, GBytes *msg, void *data)
@@ -58,24 +58,25 @@
     }
 }
 
-/* apply - FEEDS says whether public copies must see COMMAND, DELTA what they
-   may see in its place.  */
+/* apply_command - applies COMMAND to the state.  *PUBLISH is set to whether
+   COMMAND goes into the feed for public copies, *DELTA to a shorter form for
+   readers that take deltas, or to NULL.  Returns whether REPLY was filled.  */
 static bool
-apply (pu_control_t *c, uint64_t index, const pu_command *command,
-       pu_reply *reply, GBytes **delta, bool *feeds)
+apply_command (pu_control_t *c, uint64_t index, const pu_command *command,
+               pu_reply *reply, GBytes **delta, bool *publish)
 {
   if (command->type == PU_COMMAND_BACKEND_UP)
     {
       return pu_state_apply_delta (c->state, index, command, reply, delta,
-                                   feeds);
+                                   publish);
     }
   *delta = NULL;
-  *feeds = pu_command_is_public (command);
+  *publish = pu_command_is_public (command);
   return pu_state_apply (c->state, index, command, reply);
 }
 
 static pu_news_t
-news_of (const pu_command *command, const GBytes *delta)
+news_kind (const pu_command *command, const GBytes *delta)
 {
   if (delta != NULL)
     return PU_NEWS_GATHERED;
@@ -90,32 +91,34 @@
   pu_reply reply;
   pu_error_t e;
   GBytes *delta;
-  bool feeds;
+  bool publish;
 
   if (!pu_command_decode (&command, bytes, len, &e))
     {
-      /* All voters skip it alike.  */
-      pu_log_warn (PU_CONTROL_PART,
-                   "Skipped the entry at %" G_GUINT64_FORMAT ": %s", index,
-                   e.message);
+      /* All voters skip the same entries, so their states stay equal.  */
+      pu_log_warn (
+          PU_CONTROL_PART,
+          "Skipped the malformed log entry at position %" G_GUINT64_FORMAT
+          ": %s",
+          index, e.message);
       pu_state_skip (c->state, index);
       return;
     }
-  if (apply (c, index, &command, &reply, &delta, &feeds))
+  if (apply_command (c, index, &command, &reply, &delta, &publish))
     {
       pu_control_keep_reply (c, index, &reply);
       pu_reply_clear (&reply);
     }
-  if (feeds)
+  if (publish)
     {
       pu_feed_add (c->feed, index, bytes, len, delta);
-      pu_control_polls_wake (c, news_of (&command, delta));
+      pu_control_polls_wake (c, news_kind (&command, delta));
     }
   pu_command_clear (&command);
 }
 
 static GBytes *
-on_take (uint64_t index, void *data)
+on_snapshot (uint64_t index, void *data)
 {
   const pu_control_t *c = data;
 
@@ -147,20 +150,22 @@
     pu_control_lead_end (c);
 }
 
-/* --- procedures and time --- */
+/* --- procedures and timer --- */
 
 static void
-on_replica (void *data, pu_rpc_call_t *call, const guint8 *body, size_t n)
+on_replica_message (void *data, pu_rpc_call_t *call, const guint8 *body,
+                    size_t n)
 {
   pu_control_t *c = data;
   pu_error_t e;
 
   pu_rpc_call_drop (call);
   if (!pu_group_receive (c->group, body, n, &e)
-      && pu_log_limited (&c->last_log, pu_control_now (c), LOG_PERIOD_MS))
+      && pu_log_limited (&c->drop_logged, pu_control_now (c),
+                         DROP_LOG_INTERVAL_MS))
     {
-      pu_log_warn (PU_CONTROL_PART, "Dropped a message of a voter: %s",
-                   e.message);
+      pu_log_warn (PU_CONTROL_PART,
+                   "Dropped an invalid message from a voter: %s", e.message);
     }
 }
 
@@ -186,15 +191,15 @@
   { PU_CONTROL_POLL_DELTAS, pu_control_on_poll_deltas },
   { PU_CONTROL_PROPOSE, pu_control_on_propose },
   { PU_CONTROL_SESSIONS, pu_control_on_sessions },
-  { PU_CONTROL_REPLICA, on_replica },
+  { PU_CONTROL_REPLICA, on_replica_message },
   { PU_CONTROL_QUERY, pu_control_on_query },
 };
 
-/* --- life --- */
+/* --- construction and options --- */
 
 static void
-group_options (const pu_control_options_t *o, pu_control_t *c,
-               pu_group_options_t *g)
+init_group_options (const pu_control_options_t *o, pu_control_t *c,
+                    pu_group_options_t *g)
 {
   pu_group_options_init (g);
   g->loop = o->loop;
@@ -202,7 +207,7 @@
   g->fs = o->fs;
   g->send = on_send;
   g->apply = on_apply;
-  g->take = on_take;
+  g->take = on_snapshot;
   g->restore = on_restore;
   g->role = on_role;
   g->data = c;
@@ -266,7 +271,7 @@
   pu_control_proposals_init (c);
   pu_control_lead_init (c);
   pu_control_polls_init (c);
-  group_options (o, c, &g);
+  init_group_options (o, c, &g);
   c->group = pu_group_new (&g, e);
   if (c->group == NULL)
     {
@@ -279,8 +284,8 @@
       pu_rpc_server_add (o->server, PU_RPC_PROGRAM_CONTROL, PU_CONTROL_VERSION,
                          procs[i].proc, procs[i].handler, c);
     }
-  c->tick = pu_rpc_timer_new (o->loop, c);
-  uv_timer_start (c->tick, on_tick, o->tick_ms, o->tick_ms);
+  c->tick_timer = pu_rpc_timer_new (o->loop, c);
+  uv_timer_start (c->tick_timer, on_tick, o->tick_ms, o->tick_ms);
   return c;
 }
 
@@ -314,7 +319,7 @@
                             PU_CONTROL_VERSION, procs[i].proc);
     }
   pu_control_lead_end (c);
-  pu_rpc_timer_free (c->tick);
+  pu_rpc_timer_free (c->tick_timer);
   pu_control_polls_clear (c);
   pu_control_drop_forwards (c);
   pu_group_close (c->group, on_group_closed, c);
@@ -360,8 +365,8 @@
 pu_control_on_copy_request (pu_control_t *c, pu_control_copy_request_fn *fn,
                             void *data)
 {
-  c->want = fn;
-  c->want_data = data;
+  c->copy_request = fn;
+  c->copy_request_data = data;
 }
 
 void
--- a/libplantainusher/control/control.h
+++ b/libplantainusher/control/control.h
@@ -17,9 +17,9 @@
 G_BEGIN_DECLS
 
 /*
- * control - what a daemon with the control role adds: a voter of the log, the
- * full state, the answers to the daemons that poll it, and the duties of the
- * leader.
+ * control - the part of a daemon with the control role: it is a voter of the
+ * replicated log, applies the full state, answers the polls of daemons and
+ * runs the leader's tasks.
  */
 
 typedef struct pu_control pu_control_t;
@@ -27,93 +27,107 @@
 typedef struct
 {
   uv_loop_t *loop;
-  pu_rpc_server_t *server;   /* the daemon's, on its peers' address; control
-                                adds its procedures.  Outlives the control */
+  pu_rpc_server_t *server;   /* the daemon's RPC server on its peer address, to
+                                which control adds its procedures; must outlive
+                                the control */
   const char *name;          /* of the instance */
-  const char *address;       /* its peers' address */
+  const char *address;       /* peer address of the instance */
   const char *source;        /* of connections, as for pu_rpc_client_new */
   const char *key;           /* the peer key */
   const char *folder;        /* of the log, in the data folder */
-  const pu_log_peer *voters; /* the first set; ids are ignored */
+  const pu_log_peer *voters; /* the initial voters; ids are ignored */
   size_t n_voters;
   pu_counters_t *counters; /* may be NULL */
   uint64_t seed;
   guint32 heartbeat_ms; /* of the log; 0 here and below: the default */
   guint32 election_ms;
   guint32 replace_after_ms;
-  guint32 voters_wanted; /* 0: operators alone add voters */
+  guint32 voters_wanted; /* 0: only operators add voters */
   guint32 snapshot_entries;
-  guint32 connect_ms;  /* to other voters */
-  guint32 tick_ms;     /* 100: polls are answered and duties run */
-  guint32 gather_ms;   /* 250: changes of copies wait for others */
-  guint32 electing_ms; /* 3000: a voter that started less than that ago, and
-                          has heard of no leader since, gives what its daemon
-                          has kept to daemons that have no state */
-  /* The public state that the daemon has kept, or NULL.  May be NULL.  */
+  guint32 connect_ms;  /* time-out of connections to other voters */
+  guint32 tick_ms;     /* 100: period of leader tasks and of the check for
+                          polls whose wait is over */
+  guint32 gather_ms;   /* 250: changes of copies are delayed by this and
+                          answered in one batch */
+  guint32 electing_ms; /* 3000: a voter that started less than this ago, and
+                          has not heard of a leader since, serves the result of
+                          `kept` to daemons without a state */
+  /* Returns the daemon's own copy of the public state, or NULL when it has
+     none.  May be NULL.  */
   const pu_state_t *(*kept) (void *data);
   void *kept_data;
-  guint32 sessions_ms;       /* 1000: sessions go to the leader */
-  guint32 claims_max;        /* at-most-once keys kept; 0: no limit */
-  guint32 ring_entries;      /* 4096: public entries kept for polls */
-  size_t ring_bytes;         /* 16 MiB */
-  const pu_journal_fs_t *fs; /* NULL: the operating system's; tests */
-  /* How the history is shown: a new array.  NULL: it is not.  */
+  guint32 sessions_ms;  /* 1000: interval between session messages to the
+                           leader */
+  guint32 claims_max;   /* at-most-once keys stored; 0: no limit */
+  guint32 ring_entries; /* 4096: public entries kept in memory for polls */
+  size_t ring_bytes;    /* 16 MiB: their total size */
+  const pu_journal_fs_t *fs; /* file system of the log, replaced by tests;
+                                NULL: the operating system's */
+  /* Returns the history of a state as a new array.  NULL: queries for the
+     history get an empty array.  */
   json_t *(*history) (const pu_state_t *s);
-  /* What the leader's status says of placement: a new object.  May be NULL. */
+  /* Returns the "placement" object of the leader's status.  May be NULL.  */
   json_t *(*placement) (void *data);
   void *placement_data;
   pu_state_options_t state;
   pu_membership_options_t membership;
 } pu_control_options_t;
 
-/* pu_control_options_init - the defaults of all that has one.  */
+/* pu_control_options_init - sets the options that have a default.  */
 void pu_control_options_init (pu_control_options_t *o);
 
-/* pu_control_new - opens the log and begins to vote and to answer.  Returns
-   NULL with the error of pu_group_new.  */
+/* pu_control_new - opens the log, takes part in it as a voter and answers
+   calls.  Returns NULL with the error of pu_group_new.  */
 pu_control_t *pu_control_new (const pu_control_options_t *o, pu_error_t *e);
 
-/* pu_control_leave - the graceful stop begins: a leader hands over.  Wait
-   until pu_control_is_leader is false, two seconds at most, then close.  */
+/* pu_control_leave - starts a graceful stop: a leader transfers the leadership
+   to another voter.  Wait until pu_control_is_leader is false, for two seconds
+   at most, then call pu_control_close.  */
 void pu_control_leave (pu_control_t *c);
 
-/* pu_control_close - answers all that waits, closes the log and then calls
-   CLOSED (may be NULL); C is gone then.  Free the server after that.  */
+/* pu_control_close - ends all waiting calls, closes the log, frees C and then
+   calls CLOSED (may be NULL).  The RPC server may be freed after that.  */
 void pu_control_close (pu_control_t *c, void (*closed) (void *data),
                        void *data);
 
-/* pu_control_set_claims_max - as claims_max of the options; claims that are
-   there stay.  */
+/* pu_control_set_claims_max - sets the option claims_max.  Claims above the
+   new limit are kept.  */
 void pu_control_set_claims_max (pu_control_t *c, guint32 claims_max);
 
-/* pu_control_meet - a voter may stand at ADDRESS, see pu_group_meet.  */
+/* pu_control_meet - adds ADDRESS as the address of a possible voter, see
+   pu_group_meet.  */
 void pu_control_meet (pu_control_t *c, const char *address);
 
-/* pu_control_state - the full state as applied on this voter.  */
+/* pu_control_state - returns the full state as applied on this voter.  */
 const pu_state_t *pu_control_state (const pu_control_t *c);
 
-/* pu_control_group - the log, for its status and its voters.  */
+/* pu_control_group - returns the replicated log, for its status and its
+   voters.  */
 pu_group_t *pu_control_group (const pu_control_t *c);
 
-/* pu_control_is_leader - leads and holds the lease, so that duties run.  */
+/* pu_control_is_leader - whether this voter leads and holds the lease, so that
+   leader tasks run.  */
 bool pu_control_is_leader (pu_control_t *c);
 
-/* pu_control_done_fn - what became of a command.  E->kind is PU_OK with R, or
-   PU_ERROR_UNAVAILABLE: certainly not run; PU_ERROR_TIMEOUT: not known.  */
+/* pu_control_done_fn - receives the result of a command.  E->kind is PU_OK and
+   R is the reply; or PU_ERROR_TIMEOUT: the outcome is unknown; or another
+   kind, such as PU_ERROR_UNAVAILABLE: the command was certainly not
+   executed.  */
 typedef void pu_control_done_fn (void *data, const pu_reply *r,
                                  const pu_error_t *e);
 
-/* pu_control_propose - proposes C on this voter, which must lead; FN is called
-   exactly once, maybe from within.  There is no retry.  */
+/* pu_control_propose - proposes COMMAND on this voter, which must lead.  FN is
+   called exactly once, possibly before this returns.  Nothing is retried.  */
 void pu_control_propose (pu_control_t *c, const pu_command *command,
                          pu_control_done_fn *fn, void *data);
 
 /*
- * A duty runs on the leader alone, on the loop, and only while the lease is
- * held: `begin` when the lease was got and everything before it is applied,
- * `tick` every tick_ms after, `end` when it was lost.  TERM is the first part
- * of a fencing token.  A duty that acts later than its own tick (a timer, an
- * answer) asks pu_control_is_leader first.
+ * A leader task runs only on the leader, on the loop, and only while the
+ * leader holds the lease: `begin` is called when the lease was acquired and
+ * everything committed before is applied, `tick` every tick_ms after that, and
+ * `end` when the lease was lost.  TERM is the first part of a fencing token.
+ * A task that acts outside its tick (from a timer or an answer) checks
+ * pu_control_is_leader first.
  */
 typedef struct
 {
@@ -124,40 +138,45 @@
   void *data;
 } pu_control_duty_t;
 
-/* pu_control_add_duty - adds DUTY (copied); functions may be NULL.  */
+/* pu_control_add_duty - registers a leader task.  DUTY is copied; its
+   functions may be NULL.  */
 void pu_control_add_duty (pu_control_t *c, const pu_control_duty_t *duty);
 
-/* pu_control_on_demand - FN gets on the leader what daemons reported: REQUESTS
-   for MODEL that need STREAM_MS in all.  */
+/* pu_control_on_demand - sets FN, which is called on the leader with the
+   demand that daemons report: REQUESTS for MODEL that need STREAM_MS in
+   all.  */
 typedef void pu_control_demand_fn (void *data, const char *model,
                                    guint32 requests, guint32 stream_ms);
 void pu_control_on_demand (pu_control_t *c, pu_control_demand_fn *fn,
                            void *data);
 
-/* pu_control_on_copy_request - FN is asked on the leader for a copy of MODEL,
-   which a daemon has requests for: WANT is to be answered, now or later.  */
+/* pu_control_on_copy_request - sets FN, which is called on the leader when a
+   daemon that has requests for MODEL asks for a ready copy of it.  FN answers
+   REQUEST with pu_control_copy_request_answer, at once or later.  */
 typedef struct pu_control_copy_request pu_control_copy_request_t;
 typedef void pu_control_copy_request_fn (void *data, const char *model,
-                                         pu_control_copy_request_t *want);
-
-/* pu_control_copy_request_answer - where the copy is ready, {"backend":NAME},
-   or in how many milliseconds it can be at the soonest, {"due_ms":N}; taken
-   over. NULL when there will be none.  WANT is gone then.  */
-void pu_control_copy_request_answer (pu_control_copy_request_t *want,
-                                     json_t *place);
+                                         pu_control_copy_request_t *request);
 void pu_control_on_copy_request (pu_control_t *c,
                                  pu_control_copy_request_fn *fn, void *data);
 
-/* pu_control_backend_silent_ms - leader: how long backend server NAME has not
-   been heard of; G_MAXUINT64 when it is not known.  */
+/* pu_control_copy_request_answer - answers and frees REQUEST.  PLACE, whose
+   reference is taken, is {"backend":NAME}: the backend server that has a ready
+   copy; or {"due_ms":N}: the shortest time until a copy can be ready.  NULL:
+   no copy is expected.  */
+void pu_control_copy_request_answer (pu_control_copy_request_t *request,
+                                     json_t *place);
+
+/* pu_control_backend_silent_ms - on the leader, returns the time since backend
+   server NAME was last heard of; G_MAXUINT64 when it is unknown.  */
 uint64_t pu_control_backend_silent_ms (pu_control_t *c, const char *name);
 
-/* pu_control_now - the clock of the duties, milliseconds, monotonic.  */
+/* pu_control_now - returns the time passed to leader tasks: monotonic, in
+   milliseconds.  */
 uint64_t pu_control_now (const pu_control_t *c);
 
-/* pu_control_status - a new object: pu_group_status with "leader_address",
-   "quorum", "state":{"position","view","document_version"} and, on the leader,
-   "placement" (options) and
+/* pu_control_status - returns a new object: pu_group_status with
+   "leader_address", "quorum", "state":{"position","view","document_version"}
+   and, on the leader, "placement" (see the options) and
    "sessions":[{"name","incarnation","position","silent_ms","allowed_ms",
    "voter"}].  */
 json_t *pu_control_status (pu_control_t *c);
--- a/libplantainusher/control/control_private.h
+++ b/libplantainusher/control/control_private.h
@@ -11,7 +11,7 @@
 
 G_BEGIN_DECLS
 
-/* What the files of this slice share.  Private to it.  */
+/* Shared by the files of this folder alone.  */
 
 #define PU_CONTROL_PART "control"
 
@@ -23,56 +23,61 @@
   pu_group_t *group;
   pu_state_t *state;
   pu_rpc_pool_t *pool;
-  uv_timer_t *tick;
+  uv_timer_t *tick_timer;
   pu_feed_t *feed;
   pu_sessions_t *sessions;
   pu_membership_t *membership;
   GHashTable *heard; /* on the leader: name of a daemon -> heard_t */
-  GArray *duties;    /* pu_control_duty_t */
+  GArray *duties;    /* the leader tasks, pu_control_duty_t */
   pu_control_demand_fn *demand;
   void *demand_data;
-  pu_control_copy_request_fn *want;
-  void *want_data;
+  pu_control_copy_request_fn *copy_request;
+  void *copy_request_data;
 
   /* polls.c */
-  GQueue polls; /* poll_t that wait */
+  GQueue polls; /* waiting poll_t */
   pu_pace_t pace;
-  pu_public_entry *news; /* scratch of one answer */
-  uv_timer_t *answer;    /* runs when polls are to be looked at */
-  GBytes *image;         /* the public image as of image_position, or NULL */
+  pu_public_entry *news; /* reused buffer for one answer */
+  uv_timer_t *answer;    /* set when waiting polls are to be answered */
+  GBytes *image;         /* public image at image_position, or NULL */
   uint64_t image_position;
 
   /* proposals.c */
   GHashTable *replies;   /* position -> GBytes of pu_reply */
-  guint proposals;       /* under way in the group */
-  GHashTable *forwards;  /* set of calls that wait for the leader */
+  guint proposals;       /* number in flight in the group */
+  GHashTable *forwards;  /* set of forward_t: calls to the leader */
   GHashTable *proposers; /* name -> proposer_t */
 
   uint64_t started;  /* ms */
-  bool heard_leader; /* since it started */
-  bool leading;      /* duties run */
+  bool heard_leader; /* a leader was known since then */
+  bool leading;      /* leader tasks run */
   uint64_t term;
   uint64_t sessions_sent;
-  guint64 last_log;
+  guint64 drop_logged; /* ms; last log line about a dropped message */
   bool closing;
   void (*closed) (void *data);
   void *closed_data;
 };
 
-/* pu_control_reply_xdr - answers CALL with RECORD and frees CALL.  */
+/* pu_control_reply_xdr - answers CALL with RECORD, encoded by PROC, and frees
+   CALL.  */
 void pu_control_reply_xdr (pu_rpc_call_t *call, xdrproc_t proc,
                            const void *record);
 
-/* pu_control_leader_address - "" when it is not known.  */
+/* pu_control_leader_address - returns the peer address of the leader; "" when
+   it is unknown.  */
 const char *pu_control_leader_address (const pu_control_t *c);
 
-/* pu_control_forward - passes BODY to PROC of the leader, and its answer to
-   CALL.  FAIL answers CALL when there is none.  */
+/* pu_control_forward - calls procedure PROC of the leader with ARGS, encoded
+   by ARGS_PROC, and relays the answer to CALL.  FAIL answers CALL when the
+   leader does not.  */
 typedef void pu_control_fail_fn (pu_control_t *c, pu_rpc_call_t *call,
                                  pu_error_kind_t kind, const char *message);
 void pu_control_forward (pu_control_t *c, pu_rpc_call_t *call, guint32 proc,
                          xdrproc_t args_proc, const void *args,
                          guint timeout_ms, pu_control_fail_fn *fail);
+
+/* pu_control_drop_forwards - drops the calls that wait for the leader.  */
 void pu_control_drop_forwards (pu_control_t *c);
 
 /* proposals.c */
@@ -90,7 +95,8 @@
 /* polls.c */
 void pu_control_polls_init (pu_control_t *c);
 void pu_control_polls_clear (pu_control_t *c);
-/* pu_control_polls_wake - there is something NEW for those who wait.  */
+/* pu_control_polls_wake - schedules the answers to the waiting polls after an
+   update of kind NEWS.  */
 void pu_control_polls_wake (pu_control_t *c, pu_news_t news);
 void pu_control_polls_tick (pu_control_t *c, uint64_t now);
 void pu_control_on_poll (void *data, pu_rpc_call_t *call, const guint8 *body,
--- a/libplantainusher/control/query.c
+++ b/libplantainusher/control/query.c
@@ -12,7 +12,7 @@
   pu_control_reply_xdr (call, (xdrproc_t)xdr_pu_query_reply, &r);
 }
 
-/* query_answer - takes over RESULT.  */
+/* query_answer - answers CALL with RESULT, whose reference is taken.  */
 static void
 query_answer (pu_rpc_call_t *call, json_t *result)
 {
@@ -41,7 +41,7 @@
 }
 
 static bool
-voters_change (pu_control_t *c, const pu_query *q, pu_error_t *e)
+change_voters (pu_control_t *c, const pu_query *q, pu_error_t *e)
 {
   if (strcmp (q->action, "add") == 0)
     return pu_group_voters_add (c->group, q->name, e);
@@ -59,39 +59,40 @@
 };
 
 void
-pu_control_copy_request_answer (pu_control_copy_request_t *want, json_t *place)
+pu_control_copy_request_answer (pu_control_copy_request_t *request,
+                                json_t *place)
 {
   if (place != NULL)
     {
-      query_answer (want->call, place);
+      query_answer (request->call, place);
     }
   else
     {
-      query_fail (want->control, want->call, PU_ERROR_NOT_FOUND,
-                  "No engine can hold it now.");
+      query_fail (request->control, request->call, PU_ERROR_NOT_FOUND,
+                  "No copy is expected to be ready soon.");
     }
-  g_free (want);
+  g_free (request);
 }
 
 static void
-want_here (pu_control_t *c, pu_rpc_call_t *call, const pu_query *q)
+begin_copy_request (pu_control_t *c, pu_rpc_call_t *call, const pu_query *q)
 {
-  pu_control_copy_request_t *want = g_new0 (pu_control_copy_request_t, 1);
+  pu_control_copy_request_t *request = g_new0 (pu_control_copy_request_t, 1);
 
-  want->control = c;
-  want->call = call;
-  if (c->want != NULL)
+  request->control = c;
+  request->call = call;
+  if (c->copy_request != NULL)
     {
-      c->want (c->want_data, q->name, want);
+      c->copy_request (c->copy_request_data, q->name, request);
     }
   else
     {
-      pu_control_copy_request_answer (want, NULL);
+      pu_control_copy_request_answer (request, NULL);
     }
 }
 
 static void
-query_here (pu_control_t *c, pu_rpc_call_t *call, const pu_query *q)
+execute_query (pu_control_t *c, pu_rpc_call_t *call, const pu_query *q)
 {
   pu_error_t e;
 
@@ -106,7 +107,7 @@
                               : json_array ());
       return;
     case PU_QUERY_VOTERS:
-      if (voters_change (c, q, &e))
+      if (change_voters (c, q, &e))
         {
           query_answer (call, voters_json (c));
         }
@@ -116,7 +117,7 @@
         }
       return;
     case PU_QUERY_WANT:
-      want_here (c, call, q);
+      begin_copy_request (c, call, q);
       return;
     }
   pu_rpc_call_garbage (call);
@@ -135,11 +136,11 @@
       pu_rpc_call_garbage (call);
       return;
     }
-  /* The leader's history has all that was answered as accepted; without a
-     leader a voter tells what it knows.  */
+  /* The leader's history contains everything that was acknowledged.  When no
+     leader is known, a voter answers from its own state.  */
   if (pu_group_is_leader (c->group) || (q.kind == PU_QUERY_HISTORY && !known))
     {
-      query_here (c, call, &q);
+      execute_query (c, call, &q);
     }
   else if (known && !q.forwarded)
     {
--- a/libplantainusher/control/sessions.c
+++ b/libplantainusher/control/sessions.c
@@ -5,7 +5,7 @@
 typedef struct
 {
   uint64_t incarnation;
-  uint64_t heard;
+  uint64_t renewed_ms;
 } renewal_t;
 
 typedef struct
@@ -18,14 +18,14 @@
 {
   uint64_t incarnation;
   uint64_t position;
-  uint64_t heard;
+  uint64_t polled_ms;
   GHashTable *renewals; /* backend server -> renewal_t */
   GHashTable *demand;   /* model -> demand_t */
 } session_t;
 
 struct pu_sessions_table
 {
-  GHashTable *sessions; /* name -> session_t */
+  GHashTable *sessions; /* name of a daemon -> session_t */
 };
 
 static void
@@ -64,7 +64,7 @@
 }
 
 static session_t *
-session_get (pu_sessions_t *s, const char *name)
+get_or_create_session (pu_sessions_t *s, const char *name)
 {
   session_t *n = g_hash_table_lookup (s->sessions, name);
 
@@ -78,9 +78,10 @@
   return n;
 }
 
-/* slot_get - the record of SIZE bytes under NAME, made when new.  */
+/* get_or_create - returns the record of NAME in T; a new one is SIZE bytes of
+   zero.  */
 static gpointer
-slot_get (GHashTable *t, const char *name, size_t size)
+get_or_create (GHashTable *t, const char *name, size_t size)
 {
   gpointer p = g_hash_table_lookup (t, name);
 
@@ -92,28 +93,28 @@
 }
 
 static void
-take_renewals (session_t *s, const pu_poll *p, uint64_t now)
+add_renewals (session_t *s, const pu_poll *p, uint64_t now)
 {
   for (u_int i = 0; i < p->renewals.renewals_len; i++)
     {
       const pu_renewal *r = &p->renewals.renewals_val[i];
-      renewal_t *n = slot_get (s->renewals, r->backend, sizeof *n);
-      uint64_t heard = now > r->age_ms ? now - r->age_ms : 0;
+      renewal_t *n = get_or_create (s->renewals, r->backend, sizeof *n);
+      uint64_t renewed_ms = now > r->age_ms ? now - r->age_ms : 0;
 
       if (r->incarnation < n->incarnation)
         continue;
       n->incarnation = r->incarnation;
-      n->heard = MAX (n->heard, heard);
+      n->renewed_ms = MAX (n->renewed_ms, renewed_ms);
     }
 }
 
 static void
-take_demand (session_t *s, const pu_poll *p)
+add_demand (session_t *s, const pu_poll *p)
 {
   for (u_int i = 0; i < p->demand.demand_len; i++)
     {
       const pu_demand *d = &p->demand.demand_val[i];
-      demand_t *n = slot_get (s->demand, d->model, sizeof *n);
+      demand_t *n = get_or_create (s->demand, d->model, sizeof *n);
 
       n->requests += d->requests;
       n->stream_ms += d->stream_ms;
@@ -123,15 +124,15 @@
 void
 pu_sessions_heard (pu_sessions_t *s, const pu_poll *p, uint64_t now)
 {
-  session_t *n = session_get (s, p->name);
+  session_t *n = get_or_create_session (s, p->name);
 
   if (p->incarnation < n->incarnation)
     return;
   n->incarnation = p->incarnation;
   n->position = p->position;
-  n->heard = now;
-  take_renewals (n, p, now);
-  take_demand (n, p);
+  n->polled_ms = now;
+  add_renewals (n, p, now);
+  add_demand (n, p);
 }
 
 static void
@@ -151,7 +152,7 @@
 
       r->backend = key;
       r->incarnation = ((renewal_t *)value)->incarnation;
-      r->age_ms = (u_int)(now - ((renewal_t *)value)->heard);
+      r->age_ms = (u_int)(now - ((renewal_t *)value)->renewed_ms);
     }
 }
 
@@ -197,7 +198,7 @@
       x->name = key;
       x->incarnation = t->incarnation;
       x->position = t->position;
-      x->age_ms = (u_int)(now - t->heard);
+      x->age_ms = (u_int)(now - t->polled_ms);
       put_renewals (t, x, now);
       put_demand (t, x);
     }
--- a/libplantainusher/control/sessions.h
+++ b/libplantainusher/control/sessions.h
@@ -9,8 +9,11 @@
 G_BEGIN_DECLS
 
 /*
- * sessions - what a voter heard from the daemons that poll it since it last
- * told the leader.  A core; times are the voter's milliseconds.
+ * sessions - collects what daemons report with their polls of a voter until it
+ * is sent to the leader.
+ *
+ * It does no I/O and reads no clock.  Times are monotonic milliseconds of the
+ * voter.
  */
 
 typedef struct pu_sessions_table pu_sessions_t;
@@ -18,16 +21,20 @@
 pu_sessions_t *pu_sessions_new (void);
 void pu_sessions_free (pu_sessions_t *s);
 
-/* pu_sessions_heard - takes in poll P, which came at NOW.  */
+/* pu_sessions_heard - adds poll P, which was received at NOW.  Polls of an
+   earlier incarnation of the daemon are ignored.  */
 void pu_sessions_heard (pu_sessions_t *s, const pu_poll *p, uint64_t now);
 
-/* pu_sessions_message - a new message of VOTER with all that was heard, ages
-   as of NOW.  Free it with pu_sessions_message_free.  */
+/* pu_sessions_message - returns a new message from VOTER to the leader with
+   what was collected, up to PU_CONTROL_LIST_MAX items in each list, and its
+   ages at NOW.  Free it with pu_sessions_message_free, before S changes: it
+   borrows strings of S.  */
 pu_sessions *pu_sessions_message (const pu_sessions_t *s, const char *voter,
                                   uint64_t now);
 void pu_sessions_message_free (pu_sessions *m);
 
-/* pu_sessions_clear - the message was sent: begins anew.  */
+/* pu_sessions_clear - discards what was collected, after its message was
+   sent.  */
 void pu_sessions_clear (pu_sessions_t *s);
 
 G_END_DECLS
