--- a/libplantainusher/placer/sequenced.c
+++ b/libplantainusher/placer/sequenced.c
@@ -61,7 +61,7 @@
 static void
 declare_item (leader_state_t *l, const pu_model_t *m)
 {
-  guint32 item = pu_names_get (&l->item_names, m->name);
+  guint32 item = pu_names_intern (&l->item_names, m->name);
   pu_plan_item_t t = { .name = pu_names_name (&l->item_names, item),
                        .base = PU_PLAN_NONE,
                        .previous_version = PU_PLAN_NONE,
@@ -75,8 +75,8 @@
   if (m->kind == PU_MODEL_ADAPTER)
     {
       pu_dispatcher_set_adapter (l->dispatcher, item);
-      pu_adapters_set (l->adapters, item,
-                       pu_names_get (&l->item_names, m->base_name));
+      pu_adapters_add (l->adapters, item,
+                       pu_names_intern (&l->item_names, m->base_name));
     }
   else
     {
@@ -118,7 +118,7 @@
 
   for (guint32 i = 0; i < l->item_memory_mb->len; i++)
     {
-      if (pu_adapters_is (l->adapters, i))
+      if (pu_adapters_contains (l->adapters, i))
         largest = MAX (largest, item_memory_mb (l, i));
     }
   return largest;
@@ -200,7 +200,7 @@
   for (u_int i = 0; i < b->copies.copies_len; i++)
     {
       guint32 item
-          = pu_names_get (&l->item_names, b->copies.copies_val[i].model);
+          = pu_names_intern (&l->item_names, b->copies.copies_val[i].model);
 
       pu_dispatcher_mark_loaded (l->dispatcher, handle, item,
                                  pu_sequenced_now (s));
@@ -217,8 +217,8 @@
 
   if (b->kind != PU_BACKEND_ENGINE)
     return;
-  handle
-      = pu_names_get_incarnation (&l->engine_names, b->name, b->incarnation);
+  handle = pu_names_intern_incarnation (&l->engine_names, b->name,
+                                        b->incarnation);
   engine_init (s, handle, b);
   e = pu_sequenced_get_engine (l, handle);
   g_free (e->address);
@@ -326,12 +326,12 @@
                               .memory_mb = item_memory_mb (l, items[i].item),
                               .phase = to_plan_phase (items[i].phase) };
 
-      if (pu_adapters_is (l->adapters, items[i].item))
+      if (pu_adapters_contains (l->adapters, items[i].item))
         continue;
       p.committed_mb += copy.memory_mb;
       g_array_append_val (s->copies, copy);
     }
-  p.zone = pu_names_get (&l->zone_names, e->zone);
+  p.zone = pu_names_intern (&l->zone_names, e->zone);
   p.memory_mb = c->memory_mb - MIN (c->memory_mb, adapter_reserve_mb (l, c));
   p.usable = e->usable && pu_dispatcher_accepts_orders (l->dispatcher, handle);
   p.closed
@@ -341,8 +341,8 @@
   p.copies = (const pu_plan_copy_t *)(void *)s->copies->data;
   p.n_copies = s->copies->len;
   pu_planner_set_engine (l->planner, handle, &p, pu_sequenced_now (s));
-  pu_adapters_engine (l->adapters, handle, c->adapter_places,
-                      e->reported_requests, p.usable);
+  pu_adapters_set_engine (l->adapters, handle, c->adapter_places,
+                          e->reported_requests, p.usable);
 }
 
 static void
@@ -387,7 +387,7 @@
       if (m->kind == PU_MODEL_ADAPTER || places == 0
           || !pu_names_find (&l->item_names, m->name, &item))
         continue;
-      n = pu_adapters_active (l->adapters, item, now);
+      n = pu_adapters_count_active (l->adapters, item, now);
       pu_planner_set_min_copies (
           l->planner, item, MAX (m->min_copies, (n + places - 1) / places));
     }
@@ -408,7 +408,7 @@
       for (guint k = 0; k < n; k++)
         {
           waiting += items[k].phase == PU_DISPATCHER_QUEUED
-                     && !pu_adapters_is (l->adapters, items[k].item)
+                     && !pu_adapters_contains (l->adapters, items[k].item)
                      && !g_hash_table_contains (
                          pu_sequenced_get_engine (l, i)->cached_items,
                          GUINT_TO_POINTER (items[k].item));
@@ -447,7 +447,7 @@
   pu_planner_step (l->planner, now, s->moves);
   for (guint i = 0; i < s->moves->len; i++)
     enqueue_move (s, &g_array_index (s->moves, pu_move_t, i));
-  pu_adapters_spread (l->adapters, now);
+  pu_adapters_replicate (l->adapters, now);
 }
 
 /* --- orders --- */
@@ -625,9 +625,9 @@
 
   if (l == NULL || !pu_names_find (&l->item_names, model, &item))
     return;
-  if (pu_adapters_is (l->adapters, item))
+  if (pu_adapters_contains (l->adapters, item))
     {
-      pu_adapters_used (l->adapters, item, pu_sequenced_now (s));
+      pu_adapters_mark_used (l->adapters, item, pu_sequenced_now (s));
       item = pu_adapters_base (l->adapters, item);
     }
   pu_planner_add_demand (l->planner, item, requests, stream_ms);
--- a/libplantainusher/placer/sequenced.h
+++ b/libplantainusher/placer/sequenced.h
@@ -30,7 +30,7 @@
   pu_control_t *control;
   const char *name;        /* of this instance, sent as the holder of orders */
   pu_counters_t *counters; /* may be NULL */
-  const pu_order_wire_t *wire;
+  const pu_order_protocol_t *wire;
   guint32 connect_timeout_ms;
   guint32 order_timeout_ms; /* for an engine's answer to an order */
   guint32 plan_interval_ms;
--- a/libplantainusher/placer/sequenced_calls.c
+++ b/libplantainusher/placer/sequenced_calls.c
@@ -166,7 +166,7 @@
 
   for (guint i = 0; i < names->len; i++)
     {
-      guint32 item = pu_names_get (&l->item_names, names->pdata[i]);
+      guint32 item = pu_names_intern (&l->item_names, names->pdata[i]);
 
       g_array_append_val (items, item);
     }
@@ -180,7 +180,7 @@
 
   for (guint i = 0; i < names->len; i++)
     {
-      guint32 item = pu_names_get (&l->item_names, names->pdata[i]);
+      guint32 item = pu_names_intern (&l->item_names, names->pdata[i]);
 
       g_hash_table_add (e->cached_items, GUINT_TO_POINTER (item));
       pu_planner_set_cached (l->planner, engine, item, true);
--- a/libplantainusher/placer/sequenced_copy_requests.c
+++ b/libplantainusher/placer/sequenced_copy_requests.c
@@ -36,7 +36,7 @@
 model_due_ms (pu_sequenced_t *s, guint32 item)
 {
   leader_state_t *l = s->leader;
-  guint32 base = pu_adapters_is (l->adapters, item)
+  guint32 base = pu_adapters_contains (l->adapters, item)
                      ? pu_adapters_base (l->adapters, item)
                      : item;
   pu_model_handle_t h = pu_document_find_model (
@@ -156,14 +156,14 @@
       return;
     }
   /* Only adapters are loaded at once; models are loaded by the next plan.  */
-  if (!pu_adapters_is (l->adapters, item))
+  if (!pu_adapters_contains (l->adapters, item))
     {
       answer_due (s, item, request);
       return;
     }
   for (guint32 i = 0; i < l->engines->len; i++)
     pu_sequenced_refresh_engine (s, i);
-  engine = pu_adapters_want (l->adapters, item, pu_sequenced_now (s));
+  engine = pu_adapters_ensure_loaded (l->adapters, item, pu_sequenced_now (s));
   if (engine == PU_ADAPTERS_NONE)
     {
       answer_due (s, item, request);
