--- a/bench/placement_bench.cc
+++ b/bench/placement_bench.cc
@@ -329,7 +329,7 @@
   {
     const pu_orders_order_t &o = a.order;
 
-    if (a.what == PU_ORDERS_ACTION_RESERVE)
+    if (a.kind == PU_ORDERS_ACTION_RESERVE)
       {
         pu_ledger_order_t l
             = { ++position_,        o.spec.kind, o.spec.backend,
@@ -337,7 +337,7 @@
         bool accepted = pu_ledger_reserve (ledger_, &l, nullptr);
         pu_placement_handle_reserved (pl_, o.id, accepted, l.token, ms (m));
       }
-    if (a.what == PU_ORDERS_ACTION_SEND)
+    if (a.kind == PU_ORDERS_ACTION_SEND)
       {
         token_[o.spec.backend] = std::max (token_[o.spec.backend], o.token);
         if (o.spec.kind == PU_LEDGER_LOAD)
@@ -346,7 +346,7 @@
           m.unload (o.spec.backend, o.spec.copy);
         pu_placement_handle_answer (pl_, o.token, PU_ORDERS_ACCEPTED, ms (m));
       }
-    if (a.what == PU_ORDERS_ACTION_RELEASE
+    if (a.kind == PU_ORDERS_ACTION_RELEASE
         && pu_ledger_release (ledger_, o.token))
       pu_placement_handle_closed (pl_, o.token, ms (m));
   }
--- a/libplantainusher/placement/adapters.c
+++ b/libplantainusher/placement/adapters.c
@@ -179,7 +179,8 @@
       o->victim = PU_ADAPTERS_NONE;
       return true;
     }
-  /* A slot being freed belongs to the load that caused the eviction.  */
+  /* While an adapter is being unloaded, no other one is evicted: the slot that
+     is being freed is for the load that caused that unload.  */
   return o->victim != PU_ADAPTERS_NONE && leaving == 0;
 }
 
@@ -289,8 +290,9 @@
              || now >= o->idle_since + ACTIVE_WINDOW_MS);
 }
 
-/* Sets BEST to the engine with the fewest requests that can take ITEM. Returns
-   false when none is REPLICATE_MIN_GAP below HOLDER.  */
+/* Sets BEST to the engine with the fewest requests that can take ITEM.
+   Returns false when no such engine has REPLICATE_MIN_GAP fewer requests than
+   HOLDER.  */
 static bool
 find_replica_engine (const pu_adapters_t *a, guint32 item, guint32 holder,
                      guint64 now, candidate_t *best)
--- a/libplantainusher/placement/adapters.h
+++ b/libplantainusher/placement/adapters.h
@@ -32,9 +32,9 @@
 /* pu_adapters_base - the base model of ITEM, which must be an adapter.  */
 guint32 pu_adapters_base (const pu_adapters_t *a, guint32 item);
 
-/* pu_adapters_set_engine - replaces the state of ENGINE: it has SLOTS for
-   adapters (0: no limit) and LOAD requests; USABLE: it accepts orders and new
-   requests.  */
+/* pu_adapters_set_engine - replaces the state of ENGINE: it has SLOTS
+   adapter slots (0: no limit); LOAD is the number of its requests; USABLE: it
+   accepts orders and new requests.  */
 void pu_adapters_set_engine (pu_adapters_t *a, guint32 engine, guint slots,
                              guint load, bool usable);
 
@@ -42,7 +42,7 @@
 void pu_adapters_mark_used (pu_adapters_t *a, guint32 item, guint64 now);
 
 /* pu_adapters_count_active - the number of adapters of BASE that were
-   requested recently.  */
+   requested within the last 8 s.  */
 guint pu_adapters_count_active (const pu_adapters_t *a, guint32 base,
                                 guint64 now);
 
--- a/libplantainusher/placement/dispatcher.c
+++ b/libplantainusher/placement/dispatcher.c
@@ -4,14 +4,15 @@
 #define ANSWER_TIMEOUT_MS 300
 #define CONFLICT_TIMEOUT_MS 4000
 #define RETRY_BACKOFF_MS 200
-#define POLL_MS 1000
+#define POLL_INTERVAL_MS 1000
 /* Limits polling to 500 reports per second; at 100 us per report that is 5 %
    of a core.  Engines that are executing an order are polled every
-   BUSY_POLL_MS regardless of this limit.  */
+   BUSY_POLL_INTERVAL_MS regardless of this limit.  */
 #define POLL_PER_ENGINE_MS 2
-#define BUSY_POLL_MS 200
-/* An unload of an unused model completes immediately, but a report shows it
-   only half a second later.  */
+#define BUSY_POLL_INTERVAL_MS 200
+/* How soon the next order is tried after an unload was accepted.  The unload
+   of an unused model completes at once, but a report shows that only half a
+   second later; the engine refuses the order while it is still unloading.  */
 #define UNLOAD_PROBE_MS 60
 /* Adapters of 12 MB and 66 MB load from the weights store in 5 ms and
    14 ms.  */
@@ -24,9 +25,10 @@
                                   .answer_timeout_ms = ANSWER_TIMEOUT_MS,
                                   .conflict_timeout_ms = CONFLICT_TIMEOUT_MS,
                                   .retry_backoff_ms = RETRY_BACKOFF_MS,
-                                  .poll_ms = POLL_MS,
+                                  .poll_interval_ms = POLL_INTERVAL_MS,
                                   .poll_per_engine_ms = POLL_PER_ENGINE_MS,
-                                  .busy_poll_ms = BUSY_POLL_MS,
+                                  .busy_poll_interval_ms
+                                  = BUSY_POLL_INTERVAL_MS,
                                   .adapter_load_ms = ADAPTER_LOAD_MS,
                                   .unload_probe_ms = UNLOAD_PROBE_MS };
 }
@@ -148,10 +150,10 @@
 static void
 finished_append (pu_dispatcher_t *d, guint32 engine,
                  const pu_dispatcher_queued_t *o,
-                 pu_dispatcher_action_kind_t what)
+                 pu_dispatcher_action_kind_t kind)
 {
   pu_dispatcher_action_t a
-      = { .what = what, .engine = engine, .order = o->order };
+      = { .kind = kind, .engine = engine, .order = o->order };
 
   g_array_append_val (d->finished, a);
 }
@@ -159,7 +161,7 @@
 /* Removes the order at the head of the queue and records its result.  */
 static void
 order_finish (pu_dispatcher_t *d, guint32 engine,
-              pu_dispatcher_action_kind_t what)
+              pu_dispatcher_action_kind_t kind)
 {
   pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
   pu_dispatcher_queued_t *o = g_queue_pop_head (&e->queue);
@@ -167,7 +169,7 @@
   e->first_sent_order = NULL;
   e->head_sent = false;
   e->outcome_unknown = false;
-  finished_append (d, engine, o, what);
+  finished_append (d, engine, o, kind);
   g_free (o);
 }
 
@@ -222,9 +224,10 @@
 
   e->changed_at = now;
   if (o.op == PU_DISPATCHER_LOAD)
-    item_set_phase (e, o.item, PU_DISPATCHER_LOADING)->since = now;
-  /* An unload waits for the requests that use the model or adapter; only an
-     unused adapter is unloaded immediately.  */
+    item_set_phase (e, o.item, PU_DISPATCHER_LOADING)->load_accepted_at = now;
+  /* An unload waits for the requests that use the model or adapter.  The
+     unload of an unused adapter does not come here: the engine completes it
+     before it answers (see order_completed).  */
   e->busy = e->busy || !o.adapter || o.op == PU_DISPATCHER_UNLOAD;
   if (o.op == PU_DISPATCHER_UNLOAD)
     {
@@ -235,7 +238,7 @@
     {
       model_unloads_end (e);
     }
-  e->fetch_at = MIN (e->fetch_at, now + d->options.busy_poll_ms);
+  e->fetch_at = MIN (e->fetch_at, now + d->options.busy_poll_interval_ms);
   order_finish (d, engine, PU_DISPATCHER_ACTION_ACCEPTED);
 }
 
@@ -440,18 +443,18 @@
 static bool
 report_lists (const pu_dispatcher_report_t *r, guint32 item)
 {
-  return list_contains (r->held, r->n_held, item)
-         || list_contains (r->coming, r->n_coming, item);
+  return list_contains (r->loaded, r->n_loaded, item)
+         || list_contains (r->loading, r->n_loading, item);
 }
 
-/* Whether R, which counts one accepted order more than expected by O, is
-   consistent with O being that order.  */
+/* Whether R, whose count of accepted orders is one higher than the count that
+   O was sent with, is consistent with O being the order accepted last.  */
 static bool
 report_confirms_order (const pu_dispatcher_report_t *r,
                        const pu_dispatcher_order_t *o)
 {
   if (o->op == PU_DISPATCHER_UNLOAD)
-    return !list_contains (r->held, r->n_held, o->item) || r->busy;
+    return !list_contains (r->loaded, r->n_loaded, o->item) || r->busy;
   return report_lists (r, o->item) || (r->busy && !o->adapter);
 }
 
@@ -479,20 +482,20 @@
                       const pu_dispatcher_report_t *r)
 {
   unlisted_items_remove (e, r);
-  for (guint i = 0; i < r->n_coming; i++)
+  for (guint i = 0; i < r->n_loading; i++)
     {
-      if (item_find (e, r->coming[i]) == NULL)
-        item_set_phase (e, r->coming[i], PU_DISPATCHER_LOADING);
+      if (item_find (e, r->loading[i]) == NULL)
+        item_set_phase (e, r->loading[i], PU_DISPATCHER_LOADING);
     }
-  for (guint i = 0; i < r->n_held; i++)
+  for (guint i = 0; i < r->n_loaded; i++)
     {
-      const pu_dispatcher_item_t *t = item_find (e, r->held[i]);
+      const pu_dispatcher_item_t *t = item_find (e, r->loaded[i]);
       bool leaving
           = t != NULL && t->phase == PU_DISPATCHER_UNLOADING
             && (r->busy || pu_dispatcher_find_order (e, t->item) != NULL);
 
       if (!leaving)
-        item_set_phase (e, r->held[i], PU_DISPATCHER_READY);
+        item_set_phase (e, r->loaded[i], PU_DISPATCHER_READY);
     }
 }
 
@@ -523,7 +526,7 @@
 
 void
 pu_dispatcher_report (pu_dispatcher_t *d, guint32 engine,
-                      const pu_dispatcher_report_t *r, guint64 asked,
+                      const pu_dispatcher_report_t *r, guint64 requested_at,
                       guint64 now)
 {
   pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
@@ -533,16 +536,17 @@
     return;
   e->fetching = false;
   e->fetch_at = now
-                + MAX (d->options.poll_ms,
+                + MAX (d->options.poll_interval_ms,
                        d->n_present * d->options.poll_per_engine_ms);
   if (r == NULL)
     {
-      e->fetch_at = now + d->options.busy_poll_ms;
+      e->fetch_at = now + d->options.busy_poll_interval_ms;
       return;
     }
-  current = !e->reported || asked >= e->changed_at + d->options.report_lag_ms;
-  /* A report that is not current may describe the engine before its last
-     change.  */
+  current = !e->reported
+            || requested_at >= e->changed_at + d->options.report_lag_ms;
+  /* A report that was requested less than report_lag_ms after the last change
+     may describe the engine before that change.  */
   if (!current && r->accepted <= e->accepted)
     return;
   if (r->accepted < e->accepted && e->outcome_unknown)
@@ -561,7 +565,7 @@
   e->busy_unloading = e->busy_unloading && e->busy;
   reported_items_apply (e, r);
   if (e->busy)
-    e->fetch_at = now + d->options.busy_poll_ms;
+    e->fetch_at = now + d->options.busy_poll_interval_ms;
 }
 
 void
@@ -588,7 +592,7 @@
   pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
   pu_dispatcher_queued_t *o = queue_head (e);
   pu_dispatcher_action_t a
-      = { .what = PU_DISPATCHER_ACTION_SEND, .engine = engine };
+      = { .kind = PU_DISPATCHER_ACTION_SEND, .engine = engine };
   pu_dispatcher_fit_t fit;
 
   if (o == NULL || !e->reported || e->fenced || now < e->send_after)
@@ -628,7 +632,7 @@
 {
   pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
   pu_dispatcher_action_t a
-      = { .what = PU_DISPATCHER_ACTION_FETCH, .engine = engine };
+      = { .kind = PU_DISPATCHER_ACTION_FETCH, .engine = engine };
 
   if (e->fetching || now < e->fetch_at)
     return;
@@ -648,7 +652,7 @@
           = &g_array_index (e->items, pu_dispatcher_item_t, i);
 
       if (t->adapter && t->phase == PU_DISPATCHER_LOADING
-          && now >= t->since + d->options.adapter_load_ms)
+          && now >= t->load_accepted_at + d->options.adapter_load_ms)
         t->phase = PU_DISPATCHER_READY;
     }
 }
--- a/libplantainusher/placement/dispatcher.h
+++ b/libplantainusher/placement/dispatcher.h
@@ -33,23 +33,23 @@
 
 typedef struct
 {
-  guint64 report_lag_ms;       /* a report requested within this time of a
-                                  change may not show the change */
-  guint64 answer_timeout_ms;   /* an order without an answer is sent again */
-  guint64 conflict_timeout_ms; /* an order that gets a conflict this long
-                                  after it was first sent fails */
-  guint64 retry_backoff_ms;    /* after a conflict or a lost answer, before
-                                  the next sending */
-  guint64 poll_ms;             /* interval between reports of an engine */
-  guint64 poll_per_engine_ms;  /* the interval is at least this times the
-                                  number of engines, as one leader polls all
-                                  of them */
-  guint64 busy_poll_ms;        /* interval while an order is executed, and
-                                  after a failed fetch */
-  guint64 adapter_load_ms;     /* time from the acceptance of an adapter's
-                                  load until it is ready */
-  guint64 unload_probe_ms;     /* after an unload was accepted, interval of
-                                  the attempts to send the next order */
+  guint64 report_lag_ms;         /* a report requested within this time of a
+                                    change may not show the change */
+  guint64 answer_timeout_ms;     /* an order without an answer is sent again */
+  guint64 conflict_timeout_ms;   /* an order that gets a conflict this long
+                                    after it was first sent fails */
+  guint64 retry_backoff_ms;      /* after a conflict or a lost answer, before
+                                    the next sending */
+  guint64 poll_interval_ms;      /* interval between reports of an engine */
+  guint64 poll_per_engine_ms;    /* the interval is at least this times the
+                                    number of engines, as one leader polls all
+                                    of them */
+  guint64 busy_poll_interval_ms; /* interval while an order is executed, and
+                                    after a failed fetch */
+  guint64 adapter_load_ms;       /* time from the acceptance of an adapter's
+                                    load until it is ready */
+  guint64 unload_probe_ms;       /* after an unload was accepted, interval of
+                                    the attempts to send the next order */
 } pu_dispatcher_options_t;
 
 void pu_dispatcher_options_init (pu_dispatcher_options_t *o);
@@ -67,7 +67,8 @@
 {
   pu_dispatcher_op_t op;
   guint32 item;
-  bool adapter; /* loads and unloads concurrently with other orders */
+  bool adapter; /* ITEM is an adapter, which engines load and unload
+                   concurrently with orders for models */
 } pu_dispatcher_order_t;
 
 /* pu_dispatcher_add_engine - adds ENGINE, which takes no orders until its
@@ -93,7 +94,7 @@
                                  guint32 capacity_mb);
 
 /* pu_dispatcher_set_adapter_slots - ENGINE has SLOTS adapter slots; 0: no
- * limit.  */
+   limit.  */
 void pu_dispatcher_set_adapter_slots (pu_dispatcher_t *d, guint32 engine,
                                       guint slots);
 
@@ -128,19 +129,19 @@
 /* An engine's report; the lists are borrowed.  */
 typedef struct
 {
-  guint64 accepted; /* number of orders accepted so far */
-  bool busy;        /* an order is being executed */
-  const guint32 *held;
-  guint n_held;
-  const guint32 *coming; /* adapters being loaded */
-  guint n_coming;
+  guint64 accepted;      /* number of orders accepted so far */
+  bool busy;             /* an order is being executed */
+  const guint32 *loaded; /* models and adapters */
+  guint n_loaded;
+  const guint32 *loading; /* adapters being loaded */
+  guint n_loading;
 } pu_dispatcher_report_t;
 
 /* pu_dispatcher_report - R is the report that ENGINE sent in response to a
-   fetch requested at ASKED; NULL: the fetch failed.  */
+   fetch requested at REQUESTED_AT; NULL: the fetch failed.  */
 void pu_dispatcher_report (pu_dispatcher_t *d, guint32 engine,
-                           const pu_dispatcher_report_t *r, guint64 asked,
-                           guint64 now);
+                           const pu_dispatcher_report_t *r,
+                           guint64 requested_at, guint64 now);
 
 /* pu_dispatcher_mark_loaded - ENGINE holds ITEM according to a source other
    than a fetched report; ends the load of ITEM.  */
@@ -149,18 +150,18 @@
 
 typedef enum
 {
-  PU_DISPATCHER_ACTION_SEND,     /* send the order to the engine and pass its
-                                answer     to pu_dispatcher_answer */
-  PU_DISPATCHER_ACTION_FETCH,    /* fetch the engine's report and pass it to
-                                pu_dispatcher_report */
-  PU_DISPATCHER_ACTION_ACCEPTED, /* the order was executed or is being executed
-                                  */
+  PU_DISPATCHER_ACTION_SEND,     /* send the order to the engine and pass
+                                    its answer to pu_dispatcher_answer */
+  PU_DISPATCHER_ACTION_FETCH,    /* fetch the engine's report and pass it
+                                    to pu_dispatcher_report */
+  PU_DISPATCHER_ACTION_ACCEPTED, /* the engine is executing the order or
+                                    has executed it */
   PU_DISPATCHER_ACTION_FAILED    /* the order failed and is not sent again */
 } pu_dispatcher_action_kind_t;
 
 typedef struct
 {
-  pu_dispatcher_action_kind_t what;
+  pu_dispatcher_action_kind_t kind;
   guint32 engine;
   pu_dispatcher_order_t order; /* unset for PU_DISPATCHER_ACTION_FETCH */
   guint64 expected;            /* for PU_DISPATCHER_ACTION_SEND: the number of
@@ -207,8 +208,8 @@
   guint32 item;
   pu_dispatcher_phase_t phase;
   bool adapter;
-  guint64 since; /* ms; in PU_DISPATCHER_LOADING: when the engine accepted an
-                    order of this dispatcher */
+  guint64 load_accepted_at; /* ms; when the engine accepted a load of this
+                               dispatcher; 0: never */
 } pu_dispatcher_item_t;
 
 /* pu_dispatcher_items - the items that ENGINE holds or may come to hold, with
--- a/libplantainusher/placement/dispatcher_private.h
+++ b/libplantainusher/placement/dispatcher_private.h
@@ -23,23 +23,27 @@
   guint64 accepted;    /* last known number of accepted orders */
   guint64 changed_at;  /* when the known state last changed, ms */
   bool busy;           /* executing an order, other than an adapter's load */
-  bool busy_unloading; /* busy with an unload of this dispatcher, accepted by
-                          the engine's own answer */
+  bool busy_unloading; /* busy with an unload of this dispatcher that the
+                          engine answered with ACCEPTED; false when its
+                          acceptance was inferred from a report */
   guint64 probe_at;    /* ms; when to send the next order to find out whether
                           the unload has completed */
   guint32 capacity_mb; /* 0: no limit */
   guint adapter_slots; /* 0: no limit */
   GArray *items;       /* of pu_dispatcher_item_t */
   GQueue queue;        /* of pu_dispatcher_queued_t *; only the head is sent */
-  bool head_sent;      /* the head was sent with the count `expected` */
-  const pu_dispatcher_queued_t *first_sent_order; /* to which first_sent_at
-                                                     belongs */
+  bool head_sent; /* the head was sent; `expected` is the count of accepted
+                     orders that it requires */
+  const pu_dispatcher_queued_t *first_sent_order; /* the order that was
+                                                     sent at first_sent_at;
+                                                     NULL: none */
   guint64 first_sent_at;                          /* ms */
   guint64 last_sent_at;                           /* ms */
   bool head_answered;   /* the last sending was answered, or timed out */
   bool outcome_unknown; /* a sending of the head had no answer and may still
                            be executed */
-  guint64 expected;     /* count that the last sending expected */
+  guint64 expected;     /* count of accepted orders that the last sending
+                           requires */
   guint64 send_after;   /* ms; back-off: nothing is sent earlier */
   bool fetching;
   guint64 fetch_at; /* ms; when to fetch the next report */
@@ -66,7 +70,7 @@
 {
   PU_DISPATCHER_FIT_NOW,
   PU_DISPATCHER_FIT_AFTER_UNLOAD, /* when an accepted unload has completed */
-  PU_DISPATCHER_FIT_NONE          /* no unload under way will make it fit */
+  PU_DISPATCHER_FIT_NONE          /* no unload in progress will make it fit */
 } pu_dispatcher_fit_t;
 
 /* dispatcher.c */
--- a/libplantainusher/placement/dispatcher_test.cc
+++ b/libplantainusher/placement/dispatcher_test.cc
@@ -130,7 +130,7 @@
   }
 
   bool
-  Want (pu_dispatcher_op_t op, guint32 item, guint64 now)
+  Enqueue (pu_dispatcher_op_t op, guint32 item, guint64 now)
   {
     pu_dispatcher_order_t o = { op, item, false };
 
@@ -170,10 +170,10 @@
 
   k.Add (0);
   k.DeliverReport ({ 7, false, {} }, 0, 10);
-  ASSERT_TRUE (k.Want (PU_DISPATCHER_LOAD, 1, 20));
+  ASSERT_TRUE (k.Enqueue (PU_DISPATCHER_LOAD, 1, 20));
   auto a = k.Step (20);
   ASSERT_EQ (a.size (), 1U);
-  EXPECT_EQ (a[0].what, PU_DISPATCHER_ACTION_SEND);
+  EXPECT_EQ (a[0].kind, PU_DISPATCHER_ACTION_SEND);
   EXPECT_EQ (a[0].expected, 7U);
 }
 
@@ -182,7 +182,7 @@
   Dispatcher k (1);
 
   k.Add (0);
-  EXPECT_FALSE (k.Want (PU_DISPATCHER_LOAD, 1, 0));
+  EXPECT_FALSE (k.Enqueue (PU_DISPATCHER_LOAD, 1, 0));
 }
 
 TEST (Dispatcher, ResendsWithTheSameCountAfterALostAnswer)
@@ -191,12 +191,12 @@
 
   k.Add (0);
   k.DeliverReport ({ 7, false, {} }, 0, 10);
-  k.Want (PU_DISPATCHER_LOAD, 1, 20);
+  k.Enqueue (PU_DISPATCHER_LOAD, 1, 20);
   k.Step (20);
   pu_dispatcher_answer (k.d, kEngine, PU_DISPATCHER_NO_ANSWER, 320);
   auto a = k.Step (600);
   ASSERT_FALSE (a.empty ());
-  EXPECT_EQ (a[0].what, PU_DISPATCHER_ACTION_SEND);
+  EXPECT_EQ (a[0].kind, PU_DISPATCHER_ACTION_SEND);
   EXPECT_EQ (a[0].expected, 7U);
 }
 
@@ -208,7 +208,7 @@
   pu_dispatcher_t *d;
 
   pu_dispatcher_options_init (&o);
-  o.poll_ms = 400;
+  o.poll_interval_ms = 400;
   d = pu_dispatcher_new (&o);
   for (guint32 i = 0; i < n; i++)
     pu_dispatcher_add_engine (d, i, 0);
@@ -285,16 +285,16 @@
 
   k.Add (0);
   k.DeliverReport ({ 4, true, {} }, 0, 10);
-  ASSERT_TRUE (k.Want (PU_DISPATCHER_LOAD, 7, 20));
+  ASSERT_TRUE (k.Enqueue (PU_DISPATCHER_LOAD, 7, 20));
   EXPECT_TRUE (k.Step (20).empty ());
   k.DeliverReport ({ 4, false, { 6 } }, 600, 610);
   auto a = k.Step (610);
   ASSERT_EQ (a.size (), 1U);
-  EXPECT_EQ (a[0].what, PU_DISPATCHER_ACTION_FAILED);
+  EXPECT_EQ (a[0].kind, PU_DISPATCHER_ACTION_FAILED);
   EXPECT_EQ (pu_dispatcher_phase (k.d, kEngine, 7), PU_DISPATCHER_ABSENT);
 }
 
-/* An engine with two adapter slots and three adapters to load.  */
+/* An engine with two adapter slots, and three adapters.  */
 class AdapterSlots : public ::testing::Test
 {
 protected:
@@ -307,7 +307,7 @@
   }
 
   bool
-  Want (pu_dispatcher_op_t op, guint32 item, guint64 now)
+  Enqueue (pu_dispatcher_op_t op, guint32 item, guint64 now)
   {
     pu_dispatcher_order_t o = { op, item, true };
 
@@ -322,31 +322,31 @@
 TEST_F (AdapterSlots, LoadFailsWhenItsSlotIsTakenAfterAConflict)
 {
   k.DeliverReport ({ 4, false, { 1 } }, 0, 10);
-  ASSERT_TRUE (Want (PU_DISPATCHER_LOAD, 3, 20));
-  ASSERT_EQ (k.Step (20)[0].what, PU_DISPATCHER_ACTION_SEND);
+  ASSERT_TRUE (Enqueue (PU_DISPATCHER_LOAD, 3, 20));
+  ASSERT_EQ (k.Step (20)[0].kind, PU_DISPATCHER_ACTION_SEND);
   pu_dispatcher_answer (k.d, kEngine, PU_DISPATCHER_CONFLICT, 30);
   k.DeliverReport ({ 5, false, { 1, 2 } }, 600, 610);
   auto a = k.Step (1000);
   ASSERT_EQ (a.size (), 1U);
-  EXPECT_EQ (a[0].what, PU_DISPATCHER_ACTION_FAILED);
+  EXPECT_EQ (a[0].kind, PU_DISPATCHER_ACTION_FAILED);
 }
 
 TEST_F (AdapterSlots, LoadWaitsForTheSlotOfAnAcceptedUnload)
 {
   k.DeliverReport ({ 4, false, { 1, 2 } }, 0, 10);
-  ASSERT_TRUE (Want (PU_DISPATCHER_UNLOAD, 1, 20));
-  ASSERT_TRUE (Want (PU_DISPATCHER_LOAD, 3, 20));
+  ASSERT_TRUE (Enqueue (PU_DISPATCHER_UNLOAD, 1, 20));
+  ASSERT_TRUE (Enqueue (PU_DISPATCHER_LOAD, 3, 20));
   ASSERT_EQ (k.Step (20)[0].order.op, PU_DISPATCHER_UNLOAD);
   pu_dispatcher_answer (k.d, kEngine, PU_DISPATCHER_ACCEPTED, 30);
   for (auto const &a : k.Step (200))
     {
-      EXPECT_NE (a.what, PU_DISPATCHER_ACTION_SEND);
-      EXPECT_NE (a.what, PU_DISPATCHER_ACTION_FAILED);
+      EXPECT_NE (a.kind, PU_DISPATCHER_ACTION_SEND);
+      EXPECT_NE (a.kind, PU_DISPATCHER_ACTION_FAILED);
     }
   k.DeliverReport ({ 5, false, { 2 } }, 600, 610);
   auto a = k.Step (610);
   ASSERT_FALSE (a.empty ());
-  EXPECT_EQ (a[0].what, PU_DISPATCHER_ACTION_SEND);
+  EXPECT_EQ (a[0].kind, PU_DISPATCHER_ACTION_SEND);
   EXPECT_EQ (a[0].order.item, 3U);
 }
 
@@ -355,26 +355,26 @@
 TEST_F (AdapterSlots, ModelLoadDoesNotFreeTheSlotOfAnUnloadingAdapter)
 {
   k.DeliverReport ({ 4, false, { 1, 2 } }, 0, 10);
-  ASSERT_TRUE (Want (PU_DISPATCHER_UNLOAD, 1, 20));
+  ASSERT_TRUE (Enqueue (PU_DISPATCHER_UNLOAD, 1, 20));
   ASSERT_EQ (k.Step (20)[0].order.op, PU_DISPATCHER_UNLOAD);
   pu_dispatcher_answer (k.d, kEngine, PU_DISPATCHER_ACCEPTED, 30);
-  ASSERT_TRUE (k.Want (PU_DISPATCHER_LOAD, 5, 40));
+  ASSERT_TRUE (k.Enqueue (PU_DISPATCHER_LOAD, 5, 40));
   guint64 now = 40;
   bool sent = false;
   for (; !sent && now < 2000; now += 20)
     for (auto const &a : k.Step (now))
-      sent = sent || a.what == PU_DISPATCHER_ACTION_SEND;
+      sent = sent || a.kind == PU_DISPATCHER_ACTION_SEND;
   ASSERT_TRUE (sent);
   pu_dispatcher_answer (k.d, kEngine, PU_DISPATCHER_ACCEPTED, now);
   now += 500;
   pu_dispatcher_mark_loaded (k.d, kEngine, 5, now);
-  ASSERT_TRUE (Want (PU_DISPATCHER_LOAD, 3, now));
+  ASSERT_TRUE (Enqueue (PU_DISPATCHER_LOAD, 3, now));
   for (auto const &a : k.Step (now))
-    EXPECT_NE (a.what, PU_DISPATCHER_ACTION_SEND);
+    EXPECT_NE (a.kind, PU_DISPATCHER_ACTION_SEND);
   k.DeliverReport ({ 6, false, { 2, 5 } }, now + 600, now + 610);
   sent = false;
   for (auto const &a : k.Step (now + 610))
-    sent = sent || (a.what == PU_DISPATCHER_ACTION_SEND && a.order.item == 3);
+    sent = sent || (a.kind == PU_DISPATCHER_ACTION_SEND && a.order.item == 3);
   EXPECT_TRUE (sent);
 }
 
@@ -383,26 +383,27 @@
 TEST_F (AdapterSlots, LoadWithoutASlotDoesNotBlockTheQueue)
 {
   k.DeliverReport ({ 4, true, { 1 } }, 0, 10);
-  ASSERT_TRUE (Want (PU_DISPATCHER_LOAD, 3, 20));
-  ASSERT_TRUE (Want (PU_DISPATCHER_UNLOAD, 1, 20));
+  ASSERT_TRUE (Enqueue (PU_DISPATCHER_LOAD, 3, 20));
+  ASSERT_TRUE (Enqueue (PU_DISPATCHER_UNLOAD, 1, 20));
   k.DeliverReport ({ 4, false, { 1, 2 } }, 600, 610);
   auto a = k.Step (610);
   ASSERT_FALSE (a.empty ());
-  EXPECT_EQ (a.back ().what, PU_DISPATCHER_ACTION_FAILED);
+  EXPECT_EQ (a.back ().kind, PU_DISPATCHER_ACTION_FAILED);
   a = k.Step (620);
   ASSERT_FALSE (a.empty ());
   EXPECT_EQ (a[0].order.op, PU_DISPATCHER_UNLOAD);
 }
 
 /* Another leader loaded the item that this dispatcher has queued, and the
-   engine is full with it.  */
+   engine is full with it.  The failure of the queued load must not remove the
+   item that the report shows.  */
 TEST (Dispatcher, FailedLoadKeepsAReportedItem)
 {
   Dispatcher k (2);
 
   k.Add (0);
   k.DeliverReport ({ 4, true, { 6 } }, 0, 10);
-  ASSERT_TRUE (k.Want (PU_DISPATCHER_LOAD, 7, 20));
+  ASSERT_TRUE (k.Enqueue (PU_DISPATCHER_LOAD, 7, 20));
   k.DeliverReport ({ 5, false, { 6, 7 } }, 600, 610);
   k.Step (610);
   EXPECT_EQ (pu_dispatcher_phase (k.d, kEngine, 7), PU_DISPATCHER_READY);
@@ -417,7 +418,7 @@
   EXPECT_TRUE (pu_dispatcher_has_unknown_order (k.d, kEngine));
   k.DeliverReport ({ 4, false, { 6 } }, 600, 610);
   EXPECT_FALSE (pu_dispatcher_has_unknown_order (k.d, kEngine));
-  k.Want (PU_DISPATCHER_LOAD, 1, 620);
+  k.Enqueue (PU_DISPATCHER_LOAD, 1, 620);
   k.Step (620);
   pu_dispatcher_answer (k.d, kEngine, PU_DISPATCHER_ACCEPTED, 630);
   EXPECT_FALSE (pu_dispatcher_has_unknown_order (k.d, kEngine));
@@ -429,7 +430,7 @@
 
   k.Add (0);
   k.DeliverReport ({ 7, false, {} }, 0, 10);
-  k.Want (PU_DISPATCHER_LOAD, 1, 1000);
+  k.Enqueue (PU_DISPATCHER_LOAD, 1, 1000);
   k.Step (1000);
   pu_dispatcher_answer (k.d, kEngine, PU_DISPATCHER_ACCEPTED, 1010);
   k.DeliverReport ({ 7, false, {} }, 1005, 1020);
@@ -443,11 +444,11 @@
 
   k.Add (0);
   k.DeliverReport ({ 7, false, {} }, 0, 10);
-  k.Want (PU_DISPATCHER_LOAD, 1, 20);
+  k.Enqueue (PU_DISPATCHER_LOAD, 1, 20);
   k.Step (20);
   pu_dispatcher_answer (k.d, kEngine, PU_DISPATCHER_FENCED, 30);
   EXPECT_FALSE (pu_dispatcher_accepts_orders (k.d, kEngine));
-  EXPECT_FALSE (k.Want (PU_DISPATCHER_LOAD, 2, 40));
+  EXPECT_FALSE (k.Enqueue (PU_DISPATCHER_LOAD, 2, 40));
 }
 
 /* Simulates one engine and a succession of leaders, of which two at a time may
@@ -512,7 +513,7 @@
   Execute (const Dispatcher &k, const pu_dispatcher_action_t &a)
   {
     pu_fuzz_report::get ().steps++;
-    if (a.what == PU_DISPATCHER_ACTION_SEND)
+    if (a.kind == PU_DISPATCHER_ACTION_SEND)
       {
         if (!IsLost ())
           sent.push_back ({ a, k.term, now + DelayMs (), true });
@@ -520,7 +521,7 @@
           sent.push_back ({ a, k.term, now + 40 * DelayMs (), false });
         timeouts.push_back ({ a, k.term, now + 300, true });
       }
-    else if (a.what == PU_DISPATCHER_ACTION_FETCH)
+    else if (a.kind == PU_DISPATCHER_ACTION_FETCH)
       {
         guint64 snapshot_at = now + DelayMs ();
 
@@ -615,12 +616,12 @@
         break;
       case 1:
       case 2:
-        k.Want (PU_DISPATCHER_UNLOAD, op / 16 % 8, now);
+        k.Enqueue (PU_DISPATCHER_UNLOAD, op / 16 % 8, now);
         break;
       case 3:
       case 4:
       case 5:
-        k.Want (PU_DISPATCHER_LOAD, op / 16 % 8, now);
+        k.Enqueue (PU_DISPATCHER_LOAD, op / 16 % 8, now);
         break;
       default:
         RunFor (op / 16 % 900);
--- a/libplantainusher/placement/due.c
+++ b/libplantainusher/placement/due.c
@@ -20,7 +20,8 @@
 static guint32
 remaining_ms (const pu_dispatcher_item_t *x, guint32 load_ms, guint64 now)
 {
-  guint64 elapsed_ms = x->phase == PU_DISPATCHER_LOADING ? now - x->since : 0;
+  guint64 elapsed_ms
+      = x->phase == PU_DISPATCHER_LOADING ? now - x->load_accepted_at : 0;
 
   return load_ms - (guint32)MIN (elapsed_ms, load_ms);
 }
--- a/libplantainusher/placement/due_test.cc
+++ b/libplantainusher/placement/due_test.cc
@@ -42,8 +42,8 @@
 
     r.accepted = busy ? 1 : 0;
     r.busy = busy;
-    r.held = held.data ();
-    r.n_held = held.size ();
+    r.loaded = held.data ();
+    r.n_loaded = held.size ();
     pu_dispatcher_report (d, engine, &r, now, now);
   }
 
--- a/libplantainusher/placement/ledger.h
+++ b/libplantainusher/placement/ledger.h
@@ -21,17 +21,21 @@
  * one sum per backend server, in MB on each accelerator, is enough.
  *
  * How the state machine uses it:
- *   BACKEND_UP      pu_ledger_backend_up; on PU_LEDGER_MERGED the backend
+ *   BACKEND_UP      pu_ledger_backend_up.  On PU_LEDGER_MERGED the backend
  *                   record keeps the result of pu_ledger_get_backend instead
- * of the report; the order records whose tokens are returned in CLOSED are
- * deleted. BACKEND_DOWN    pu_ledger_backend_down.  The record is kept and
- * marked as down: the process may be alive on the other side of a partition,
- * and its known state must be in the next snapshot. RESERVE pu_ledger_reserve
- * with the log position as the token; a refusal is answered with
- * PU_OUTCOME_CONFLICT. RELEASE         pu_ledger_release; when it returns
- * false the record is kept and the answer is PU_OUTCOME_REFUSED. image ->
- * state  pu_ledger_restore_backend for each backend record, then
+ *                   of the report.  The order records whose tokens are
+ *                   returned in CLOSED are deleted.
+ *   BACKEND_DOWN    pu_ledger_backend_down.  The record is kept and marked as
+ *                   down: the process may be alive on the other side of a
+ *                   partition, and its known state must be in the next
+ *                   snapshot.
+ *   RESERVE         pu_ledger_reserve with the log position as the token; a
+ *                   refusal is answered with PU_OUTCOME_CONFLICT.
+ *   RELEASE         pu_ledger_release.  When it returns false the record is
+ *                   kept and the answer is PU_OUTCOME_REFUSED.
+ *   image -> state  pu_ledger_restore_backend for each backend record, then
  *                   pu_ledger_restore_order for each order record.
+ *
  * Handles are small integers assigned by the state machine: one for each name
  * of a backend server, one for each pair of model and version.
  *
@@ -88,14 +92,15 @@
 {
   guint32 backend;
   guint64 incarnation;
-  guint64 seq;   /* number of the report within the incarnation; 0: the
-                    sender of the reports keeps them in order */
+  guint64 seq;   /* number of the report within the incarnation; a report
+                    whose number is not higher than the last one is stale;
+                    0: not numbered, the sender keeps the order */
   guint64 token; /* highest order token that the process has seen */
-  guint32 accelerators;
-  guint32 memory_mb; /* memory of each accelerator */
-  bool fenced;       /* checks tokens: refuses an order with an old one */
+  guint32 accelerators; /* their number */
+  guint32 memory_mb;    /* memory of each accelerator */
+  bool fenced;          /* checks tokens: refuses an order with an old one */
   bool leaving;
-  const pu_ledger_copy_t *held;
+  const pu_ledger_copy_t *held; /* copies in its memory */
   guint n_held;
 } pu_ledger_report_t;
 
@@ -115,7 +120,8 @@
 {
   PU_LEDGER_ACCEPTED, /* the report replaced the known state */
   PU_LEDGER_MERGED,   /* the report has a lower token than an earlier one:
-                         only its additions were taken */
+                         copies and memory that it adds are
+                         applied, omitted copies stay counted */
   PU_LEDGER_STALE     /* an old incarnation or an old report; ignored */
 } pu_ledger_report_result_t;
 
@@ -127,8 +133,8 @@
   = 1, /* reserve without a check of the memory */
   PU_LEDGER_BREAK_OWN_TOKEN_FENCES
   = 2, /* an order's own token fences it off */
-  PU_LEDGER_BREAK_DOWN_CLOSES_ORDERS = 4 /* a backend server that is down has
-                                    its orders closed */
+  PU_LEDGER_BREAK_DOWN_CLOSES_ORDERS
+  = 4 /* a lost lease closes the orders of the backend server */
 } pu_ledger_break_t;
 
 typedef struct
@@ -171,14 +177,15 @@
                         pu_error_t *e);
 
 /* pu_ledger_release - closes the order TOKEN, whose lifetime has ended; the
-   caller guarantees that (see above).  False when no such order is open, or
-   when it must stay open: its copy is loading, or a backend server that checks
-   tokens has not fenced it off.  The caller then keeps the record and releases
-   the order again later.  */
+   caller guarantees that (see the head of this file).
+   False when no such order is open, or when it must stay open: its copy is
+   loading, or a backend server that checks tokens has not fenced it off.  The
+   caller then keeps the record and releases the order again later.  */
 bool pu_ledger_release (pu_ledger_t *l, guint64 token);
 
 /* pu_ledger_restore_backend, pu_ledger_restore_order - rebuild a ledger from
-   an image, without checks, so that the same memory is counted again.  */
+   an image of the state, without checks, so that the same memory is counted
+   again.  */
 void pu_ledger_restore_backend (pu_ledger_t *l, const pu_ledger_report_t *r,
                                 bool down);
 void pu_ledger_restore_order (pu_ledger_t *l, const pu_ledger_order_t *o);
--- a/libplantainusher/placement/orders.c
+++ b/libplantainusher/placement/orders.c
@@ -11,9 +11,9 @@
 #define DEFAULT_QUEUE_TIMEOUT_MS 30000
 #define DEFAULT_BACKOFF_MS 5000
 #define DEFAULT_BACKOFF_MAX_MS 300000
-#define DEFAULT_PER_ENGINE 2
+#define DEFAULT_MAX_ORDERS_PER_ENGINE 2
 #define DEFAULT_LOADS_PER_S 2.0
-#define DEFAULT_LOADS_AT_ONCE 3
+#define DEFAULT_MAX_STORE_LOADS 3
 #define RELEASE_RETRY_MS 1000
 #define BACKOFF_DOUBLINGS 8
 /* Retry intervals that an order to a token-checking engine waits for the
@@ -43,8 +43,8 @@
   GHashTable *servers;  /* backend -> server_t */
   guint32 last_id;
   guint64 inherited_until; /* expiry of orders of the previous leader, ms */
-  double load_credit;      /* loads that the store's rate allows now */
-  guint64 load_credit_at;  /* last refill, ms */
+  double load_credit;      /* token bucket of loads_per_s; a load takes 1 */
+  guint64 load_credit_at;  /* when load_credit was last refilled, ms */
 };
 
 void
@@ -60,9 +60,9 @@
   o->queue_timeout_ms = DEFAULT_QUEUE_TIMEOUT_MS;
   o->backoff_ms = DEFAULT_BACKOFF_MS;
   o->backoff_max_ms = DEFAULT_BACKOFF_MAX_MS;
-  o->max_orders_per_engine = DEFAULT_PER_ENGINE;
+  o->max_orders_per_engine = DEFAULT_MAX_ORDERS_PER_ENGINE;
   o->loads_per_s = DEFAULT_LOADS_PER_S;
-  o->max_store_loads = DEFAULT_LOADS_AT_ONCE;
+  o->max_store_loads = DEFAULT_MAX_STORE_LOADS;
   o->test_breaks = PU_ORDERS_BREAK_NONE;
 }
 
@@ -349,7 +349,7 @@
 }
 
 static const pu_ledger_copy_t *
-find_held (const pu_ledger_report_t *r, guint32 copy)
+find_reported_copy (const pu_ledger_report_t *r, guint32 copy)
 {
   for (guint i = 0; i < r->n_held; i++)
     {
@@ -364,7 +364,7 @@
 apply_report (pu_orders_t *o, pu_orders_order_t *r,
               const pu_ledger_report_t *report, guint64 now)
 {
-  const pu_ledger_copy_t *h = find_held (report, r->spec.copy);
+  const pu_ledger_copy_t *h = find_reported_copy (report, r->spec.copy);
   guint64 key = backoff_key (r->spec.backend, r->spec.copy);
   bool load = r->spec.kind == PU_LEDGER_LOAD;
   bool done = load ? h != NULL && h->phase == PU_LEDGER_READY : h == NULL;
@@ -425,7 +425,7 @@
 
       if (r->spec.backend != report->backend)
         continue;
-      h = find_held (report, r->spec.copy);
+      h = find_reported_copy (report, r->spec.copy);
       r->copy_reported = h != NULL;
       r->copy_loading = h != NULL && h->phase == PU_LEDGER_LOADING;
       if (r->spec.incarnation != report->incarnation)
@@ -482,12 +482,12 @@
 }
 
 static void
-add_action (GArray *actions, pu_orders_action_kind_t what,
+add_action (GArray *actions, pu_orders_action_kind_t kind,
             const pu_orders_order_t *r)
 {
   pu_orders_action_t a;
 
-  a.what = what;
+  a.kind = kind;
   a.order = *r;
   g_array_append_val (actions, a);
 }
@@ -631,7 +631,8 @@
 }
 
 /* Whether the order has failed: no answer within its lifetime, acknowledged
-   but not done in time, or fenced off without effect.  */
+   but not done in time, acknowledged but its copy is absent, or fenced off
+   without effect.  */
 static bool
 has_failed (const pu_orders_t *o, const pu_orders_order_t *r, guint64 now)
 {
--- a/libplantainusher/placement/orders.h
+++ b/libplantainusher/placement/orders.h
@@ -24,9 +24,9 @@
  *
  * Engines that check tokens.  A load counts until the engine reports a later
  * token.  Elapsed time is no proof, since an order that has reached the engine
- * may wait there for any time.  Where a failed order could still take effect,
- * the action DO_FENCE requests another order for the same copy, which has a
- * later token.
+ * may wait there for any time.  Where an order that has ended could still take
+ * effect, PU_ORDERS_ACTION_FENCE requests another order for the same copy,
+ * which has a later token.
  *
  * Engines that ignore tokens.  An order ends by RELEASE at the end of its
  * lifetime.  It may be sent, and sent again, until `send_ms` after it was
@@ -78,7 +78,7 @@
   PU_ORDERS_LOST         /* no answer: the order may have arrived or not */
 } pu_orders_answer_t;
 
-/* What an order asks of an engine.  */
+/* The contents of an order to an engine.  */
 typedef struct
 {
   pu_ledger_kind_t kind;
@@ -119,13 +119,14 @@
   PU_ORDERS_ACTION_SEND,    /* send to the engine; answer by
                                pu_orders_handle_answer */
   PU_ORDERS_ACTION_RELEASE, /* propose RELEASE: the lifetime is over */
-  PU_ORDERS_ACTION_FENCE,   /* queue another order for the same copy */
+  PU_ORDERS_ACTION_FENCE,   /* queue another order for the same copy,
+                               whose later token fences this one off */
   PU_ORDERS_ACTION_FAIL     /* the order failed; for information only */
 } pu_orders_action_kind_t;
 
 typedef struct
 {
-  pu_orders_action_kind_t what;
+  pu_orders_action_kind_t kind;
   pu_orders_order_t order; /* a snapshot */
 } pu_orders_action_t;
 
@@ -220,7 +221,8 @@
    TOKEN.  */
 void pu_orders_handle_closed (pu_orders_t *o, guint64 token);
 
-/* pu_orders_cancel - stops sending the order ID.  */
+/* pu_orders_cancel - fails the order ID, so that it is not sent again.  An
+   order that was never sent expires at once.  */
 void pu_orders_cancel (pu_orders_t *o, guint32 id, guint64 now);
 
 /* pu_orders_step - appends the actions that are due (pu_orders_action_t) to
--- a/libplantainusher/placement/placement.c
+++ b/libplantainusher/placement/placement.c
@@ -2,7 +2,8 @@
 
 #include <string.h>
 
-/* How long the planner is kept from a load that could not be queued.  */
+/* Shortest time before the planner may plan a load again that could not be
+   queued.  */
 #define REFUSED_RETRY_MS 2000
 
 typedef struct
@@ -330,7 +331,7 @@
 }
 
 static bool
-reports_copy (const pu_ledger_report_t *r, guint32 copy)
+reports_loading_or_ready (const pu_ledger_report_t *r, guint32 copy)
 {
   for (guint i = 0; i < r->n_held; i++)
     {
@@ -341,7 +342,8 @@
 }
 
 /* Reports a load failure to the planner for each copy that was ready and is
-   missing from R without an unload order, though the process is the same.  */
+   neither loading nor ready in R, without an unload order, though the process
+   is the same.  */
 static void
 note_lost_copies (pu_placement_t *pl, const server_t *s,
                   const pu_ledger_report_t *r, guint64 now)
@@ -356,7 +358,8 @@
       copy_id_t n;
 
       if (h->phase == PU_LEDGER_READY && find_copy_id (pl, h->copy, &n)
-          && !reports_copy (r, h->copy) && !may_be_unloaded (pl, h->copy))
+          && !reports_loading_or_ready (r, h->copy)
+          && !may_be_unloaded (pl, h->copy))
         {
           pu_planner_load_failed (pl->planner, r->backend, n.item, n.version,
                                   now);
@@ -523,8 +526,8 @@
     refresh_engine (pl, g_array_index (pl->moves, pu_move_t, i).engine, now);
 }
 
-/* Whether the planner allows the unload R: another copy is ready, or this one
-   is not.  */
+/* Whether the planner allows the unload R: another copy is ready, this one is
+   not, or its item is not declared.  */
 static bool
 may_send_unload (const pu_placement_t *pl, const pu_orders_order_t *r)
 {
@@ -537,8 +540,8 @@
 
 /* Queues another order for the copy of R, whose later token fences R off.  It
    is a load when R is an unload that failed (the copy is there, so the load
-   changes nothing) or when no copy of the item is ready; otherwise an
-   unload.  */
+   changes nothing), or when no copy of the item is ready and R loads the
+   version that the item should have; otherwise an unload.  */
 static void
 queue_fence (pu_placement_t *pl, const pu_orders_order_t *r, guint64 now)
 {
@@ -562,14 +565,14 @@
                r->spec.copy, memory_mb, "to fence off an earlier order", now);
 }
 
-/* Handles A as far as it concerns the planner and the orders.  Returns whether
-   the caller must handle it too.  */
+/* Handles fence actions, forbidden unloads and failures.  Returns whether A is
+   passed on to the caller.  */
 static bool
 handle_action (pu_placement_t *pl, const pu_orders_action_t *a, guint64 now)
 {
   bool unload = a->order.spec.kind == PU_LEDGER_UNLOAD;
 
-  switch (a->what)
+  switch (a->kind)
     {
     case PU_ORDERS_ACTION_SEND:
       if (!unload || may_send_unload (pl, &a->order))
--- a/libplantainusher/placement/placement.h
+++ b/libplantainusher/placement/placement.h
@@ -14,16 +14,20 @@
  * placement - runs the leader's planner and its orders together.
  *
  * Create one at each take-over, when the log is applied up to the new term:
- *   pu_placement_new; pu_placement_map_copy for each pair of model and
- *   version; pu_planner_set_item for each declared item;
- *   pu_placement_update_backend for each backend record; pu_placement_adopt
- * for each open order. Then, as log entries are applied: BACKEND_UP
- * pu_placement_handle_closed for each order that it closed, then
- *                  pu_placement_update_backend with the ledger's state
+ *   pu_placement_new;
+ *   pu_placement_map_copy for each pair of model and version;
+ *   pu_planner_set_item for each declared item;
+ *   pu_placement_update_backend for each backend record;
+ *   pu_placement_adopt for each open order.
+ * Then, as log entries are applied:
+ *   BACKEND_UP     pu_placement_handle_closed for each order that it closed,
+ *                  then pu_placement_update_backend with the ledger's state
  *   BACKEND_DOWN   pu_placement_update_backend with DOWN set
  *   RESERVE        pu_placement_handle_reserved, for this leader's own
- * proposals RELEASE done   pu_placement_handle_closed Call pu_placement_step
- * once a second and after a loss, and carry out the actions that it returns.
+ *                  proposals
+ *   RELEASE done   pu_placement_handle_closed
+ * Call pu_placement_step once a second and after a loss, and carry out the
+ * actions that it returns.
  * The handle of a backend server is also its engine handle in the planner.
  */
 
@@ -81,8 +85,9 @@
 
 /* pu_placement_step - plans, and appends the actions that are due
    (pu_orders_action_t) to ACTIONS: propose RESERVE, send, propose RELEASE.
-   DO_FAIL is for the log only.  With PLAN false no new moves are planned and
-   only existing orders advance, for calls between two rounds of planning.  */
+   PU_ORDERS_ACTION_FAIL is for the log only.  With PLAN false no new moves are
+   planned and only existing orders advance, for calls between two rounds of
+   planning.  */
 void pu_placement_step (pu_placement_t *pl, bool plan, guint64 now,
                         GArray *actions);
 
--- a/libplantainusher/placement/planner_test.cc
+++ b/libplantainusher/placement/planner_test.cc
@@ -320,7 +320,7 @@
 
   pu_placement_step (pl, true, now, todo);
   for (guint i = 0; i < todo->len; i++)
-    n += g_array_index (todo, pu_orders_action_t, i).what
+    n += g_array_index (todo, pu_orders_action_t, i).kind
          == PU_ORDERS_ACTION_RESERVE;
   g_array_unref (todo);
   return n;
@@ -680,7 +680,7 @@
     g_array_set_size (todo, 0);
     pu_orders_step (s, now, todo);
     for (guint i = 0; i < todo->len; i++)
-      text += names[g_array_index (todo, pu_orders_action_t, i).what];
+      text += names[g_array_index (todo, pu_orders_action_t, i).kind];
     return text;
   }
 };
--- a/libplantainusher/placement/simulation_test.cc
+++ b/libplantainusher/placement/simulation_test.cc
@@ -337,13 +337,13 @@
 
   Trace ("%s: %s %lu %s copy %u engine %u: %s",
          who == leader ? "leader" : "deposed leader",
-         a.what == PU_ORDERS_ACTION_RESERVE   ? "reserve"
-         : a.what == PU_ORDERS_ACTION_SEND    ? "send"
-         : a.what == PU_ORDERS_ACTION_RELEASE ? "release"
+         a.kind == PU_ORDERS_ACTION_RESERVE   ? "reserve"
+         : a.kind == PU_ORDERS_ACTION_SEND    ? "send"
+         : a.kind == PU_ORDERS_ACTION_RELEASE ? "release"
                                               : "fail",
          (unsigned long)o.token, o.spec.kind == 0 ? "load" : "unload",
          o.spec.copy, o.spec.backend, o.spec.reason);
-  if (a.what == PU_ORDERS_ACTION_SEND)
+  if (a.kind == PU_ORDERS_ACTION_SEND)
     {
       loads += o.spec.kind == PU_LEDGER_LOAD;
       unloads += o.spec.kind == PU_LEDGER_UNLOAD;
@@ -353,7 +353,7 @@
     }
   if (who != leader)
     return; /* a deposed leader cannot reach a quorum */
-  if (a.what == PU_ORDERS_ACTION_RESERVE)
+  if (a.kind == PU_ORDERS_ACTION_RESERVE)
     {
       pu_ledger_order_t l
           = { ++log_position,     o.spec.kind, o.spec.backend,
@@ -362,7 +362,7 @@
 
       pu_placement_handle_reserved (who.get (), o.id, accepted, l.token, now);
     }
-  if (a.what == PU_ORDERS_ACTION_RELEASE
+  if (a.kind == PU_ORDERS_ACTION_RELEASE
       && pu_ledger_release (ledger, o.token))
     pu_placement_handle_closed (who.get (), o.token, now);
 }
--- a/libplantainusher/placement/simulation_test.h
+++ b/libplantainusher/placement/simulation_test.h
@@ -46,7 +46,8 @@
   }
 };
 
-/* The test_breaks of each part.  */
+/* Deliberate faults for the ledger, the planner and the orders: the
+   test_breaks of their options.  */
 struct Breaks
 {
   guint ledger = 0;
--- a/libplantainusher/placer/placer.c
+++ b/libplantainusher/placer/placer.c
@@ -244,7 +244,7 @@
 static void
 carry_out (pu_placer_t *p, const pu_orders_action_t *a, guint64 now)
 {
-  switch (a->what)
+  switch (a->kind)
     {
     case PU_ORDERS_ACTION_RESERVE:
       reserve (p, &a->order);
--- a/libplantainusher/placer/sequenced.c
+++ b/libplantainusher/placer/sequenced.c
@@ -463,7 +463,7 @@
 done_tell (pu_sequenced_t *s, const pu_dispatcher_action_t *a)
 {
   lead_t *l = s->lead;
-  bool failed = a->what == PU_DISPATCHER_ACTION_FAILED;
+  bool failed = a->kind == PU_DISPATCHER_ACTION_FAILED;
 
   pu_log_info (PART, "%s to %s %s on %s.", failed ? "Failed" : "Began",
                a->order.op == PU_DISPATCHER_LOAD ? "load" : "unload",
@@ -484,7 +484,7 @@
       const pu_dispatcher_action_t *a
           = &g_array_index (actions, pu_dispatcher_action_t, i);
 
-      switch (a->what)
+      switch (a->kind)
         {
         case PU_DISPATCHER_ACTION_SEND:
           pu_sequenced_send (s, a);
@@ -555,7 +555,7 @@
 
   pu_planner_options_init (&planner);
   pu_dispatcher_options_init (&o);
-  o.poll_ms = POLL_MS;
+  o.poll_interval_ms = POLL_MS;
   l->planner = pu_planner_new (&planner);
   l->dispatcher = pu_dispatcher_new (&o);
   l->adapters = pu_adapters_new (l->dispatcher);
--- a/libplantainusher/placer/sequenced_calls.c
+++ b/libplantainusher/placer/sequenced_calls.c
@@ -223,10 +223,10 @@
   pu_dispatcher_report_t report
       = { .accepted = r->accepted,
           .busy = r->busy,
-          .held = (const guint32 *)(void *)held->data,
-          .n_held = held->len,
-          .coming = (const guint32 *)(void *)coming->data,
-          .n_coming = coming->len };
+          .loaded = (const guint32 *)(void *)held->data,
+          .n_loaded = held->len,
+          .loading = (const guint32 *)(void *)coming->data,
+          .n_loading = coming->len };
 
   cached_clear (l, a->engine);
   cached_take (l, a->engine, r->in_memory);
