--- a/libplantainusher/daemon/daemon.c
+++ b/libplantainusher/daemon/daemon.c
@@ -152,7 +152,7 @@
 step_finishing (pu_daemon_t *d)
 {
   uint64_t limit = (uint64_t)(d->settings->limits.drain_s * MS_PER_S);
-  guint open = pu_entry_open (d->entry);
+  guint open = pu_entry_in_flight (d->entry);
 
   if (!d->hurry && in_phase_ms (d) < limit
       && !pu_break_active (PU_BREAK_STOP_CUTS))
--- a/libplantainusher/placer/placer.c
+++ b/libplantainusher/placer/placer.c
@@ -187,7 +187,8 @@
 
   if (o == NULL)
     return;
-  pu_follow_failed (p->follow, pu_names_get (&p->follow->backends, o->backend),
+  pu_follow_failed (p->follow,
+                    pu_names_intern (&p->follow->backends, o->backend),
                     pu_follow_copy (p->follow, o->model, o->model_version));
 }
 
--- a/libplantainusher/placer/sequenced.c
+++ b/libplantainusher/placer/sequenced.c
@@ -57,7 +57,7 @@
 static void
 item_declare (lead_t *l, const pu_model_t *m)
 {
-  guint32 item = pu_names_get (&l->items, m->name);
+  guint32 item = pu_names_intern (&l->items, m->name);
   pu_plan_item_t t = { .name = pu_names_name (&l->items, item),
                        .base = PU_PLAN_NONE,
                        .previous_version = PU_PLAN_NONE,
@@ -72,7 +72,7 @@
     {
       pu_dispatcher_set_adapter (l->dispatcher, item);
       pu_adapters_add (l->adapters, item,
-                       pu_names_get (&l->items, m->base_name));
+                       pu_names_intern (&l->items, m->base_name));
     }
   else
     {
@@ -193,7 +193,8 @@
 
   for (u_int i = 0; i < b->copies.copies_len; i++)
     {
-      guint32 item = pu_names_get (&l->items, b->copies.copies_val[i].model);
+      guint32 item
+          = pu_names_intern (&l->items, b->copies.copies_val[i].model);
 
       pu_dispatcher_mark_loaded (l->dispatcher, handle, item,
                                  pu_sequenced_now (s));
@@ -210,8 +211,8 @@
 
   if (b->kind != PU_BACKEND_ENGINE)
     return;
-  handle
-      = pu_names_get_incarnation (&l->engine_names, b->name, b->incarnation);
+  handle = pu_names_intern_incarnation (&l->engine_names, b->name,
+                                        b->incarnation);
   engine_new (s, handle, b);
   e = pu_sequenced_engine (l, handle);
   g_free (e->address);
@@ -323,7 +324,7 @@
       p.committed_mb += copy.memory_mb;
       g_array_append_val (s->copies, copy);
     }
-  p.zone = pu_names_get (&l->zones, e->zone);
+  p.zone = pu_names_intern (&l->zones, e->zone);
   p.memory_mb = c->memory_mb - MIN (c->memory_mb, adapter_room (l, c));
   p.usable = e->usable && pu_dispatcher_accepts_orders (l->dispatcher, handle);
   p.closed
--- a/libplantainusher/placer/sequenced_calls.c
+++ b/libplantainusher/placer/sequenced_calls.c
@@ -161,7 +161,7 @@
 
   for (guint i = 0; i < names->len; i++)
     {
-      guint32 item = pu_names_get (&l->items, names->pdata[i]);
+      guint32 item = pu_names_intern (&l->items, names->pdata[i]);
 
       g_array_append_val (items, item);
     }
@@ -175,7 +175,7 @@
 
   for (guint i = 0; i < names->len; i++)
     {
-      guint32 item = pu_names_get (&l->items, names->pdata[i]);
+      guint32 item = pu_names_intern (&l->items, names->pdata[i]);
 
       g_hash_table_add (e->cached, GUINT_TO_POINTER (item));
       pu_planner_set_cached (l->planner, engine, item, true);
