--- a/libplantainusher/placer/placer.c
+++ b/libplantainusher/placer/placer.c
@@ -252,7 +252,7 @@
 static void
 execute_action (pu_placer_t *p, const pu_orders_action_t *a, guint64 now)
 {
-  switch (a->what)
+  switch (a->kind)
     {
     case PU_ORDERS_ACTION_RESERVE:
       propose_reserve (p, &a->order);
--- a/libplantainusher/placer/sequenced.c
+++ b/libplantainusher/placer/sequenced.c
@@ -474,7 +474,7 @@
 on_order_result (pu_sequenced_t *s, const pu_dispatcher_action_t *a)
 {
   leader_state_t *l = s->leader;
-  bool failed = a->what == PU_DISPATCHER_ACTION_FAILED;
+  bool failed = a->kind == PU_DISPATCHER_ACTION_FAILED;
 
   pu_log_info (PART, "%s to %s %s on %s.", failed ? "Failed" : "Began",
                a->order.op == PU_DISPATCHER_LOAD ? "load" : "unload",
@@ -495,7 +495,7 @@
       const pu_dispatcher_action_t *a
           = &g_array_index (actions, pu_dispatcher_action_t, i);
 
-      switch (a->what)
+      switch (a->kind)
         {
         case PU_DISPATCHER_ACTION_SEND:
           pu_sequenced_send_order (s, a);
@@ -566,7 +566,7 @@
 
   pu_planner_options_init (&planner);
   pu_dispatcher_options_init (&o);
-  o.poll_ms = REPORT_INTERVAL_MS;
+  o.poll_interval_ms = REPORT_INTERVAL_MS;
   l->planner = pu_planner_new (&planner);
   l->dispatcher = pu_dispatcher_new (&o);
   l->adapters = pu_adapters_new (l->dispatcher);
--- a/libplantainusher/placer/sequenced_calls.c
+++ b/libplantainusher/placer/sequenced_calls.c
@@ -230,10 +230,10 @@
   pu_dispatcher_report_t report
       = { .accepted = r->accepted,
           .busy = r->busy,
-          .held = (const guint32 *)(void *)held->data,
-          .n_held = held->len,
-          .coming = (const guint32 *)(void *)coming->data,
-          .n_coming = coming->len };
+          .loaded = (const guint32 *)(void *)held->data,
+          .n_loaded = held->len,
+          .loading = (const guint32 *)(void *)coming->data,
+          .n_loading = coming->len };
 
   clear_cached (l, a->engine);
   add_cached (l, a->engine, r->in_memory);
