--- a/libplantainusher/control/control.h
+++ b/libplantainusher/control/control.h
@@ -44,14 +44,14 @@
   guint32 replace_after_ms;
   guint32 voters_wanted; /* 0: only operators add voters */
   guint32 snapshot_entries;
-  guint32 connect_ms;  /* time-out of connections to other voters */
-  guint32 tick_ms;     /* 100: period of leader tasks and of the check for
-                          polls whose wait is over */
-  guint32 gather_ms;   /* 250: changes of copies are delayed by this and
-                          answered in one batch */
-  guint32 electing_ms; /* 3000: a voter that started less than this ago, and
-                          has not heard of a leader since, serves the result of
-                          `kept` to daemons without a state */
+  guint32 connect_ms;       /* time-out of connections to other voters */
+  guint32 tick_ms;          /* 100: period of leader tasks and of the check for
+                               polls whose wait is over */
+  guint32 gather_ms;        /* 250: changes of copies are delayed by this and
+                               answered in one batch */
+  guint32 startup_grace_ms; /* 3000: a voter that started less than this ago,
+                          and has not heard of a leader since, serves the
+                          result of `kept` to daemons without a state */
   /* Returns the daemon's own copy of the public state, or NULL when it has
      none.  May be NULL.  */
   const pu_state_t *(*kept) (void *data);
@@ -80,10 +80,10 @@
    calls.  Returns NULL with the error of pu_group_new.  */
 pu_control_t *pu_control_new (const pu_control_options_t *o, pu_error_t *e);
 
-/* pu_control_leave - starts a graceful stop: a leader transfers the leadership
-   to another voter.  Wait until pu_control_is_leader is false, for two seconds
-   at most, then call pu_control_close.  */
-void pu_control_leave (pu_control_t *c);
+/* pu_control_step_down - starts a graceful stop: a leader transfers the
+   leadership to another voter.  Wait until pu_control_is_leader is false, for
+   two seconds at most, then call pu_control_close.  */
+void pu_control_step_down (pu_control_t *c);
 
 /* pu_control_close - ends all waiting calls, closes the log, frees C and then
    calls CLOSED (may be NULL).  The RPC server may be freed after that.  */
@@ -94,9 +94,9 @@
    new limit are kept.  */
 void pu_control_set_claims_max (pu_control_t *c, guint32 claims_max);
 
-/* pu_control_meet - adds ADDRESS as the address of a possible voter, see
+/* pu_control_add_seed - adds ADDRESS as the address of a possible voter, see
    pu_group_meet.  */
-void pu_control_meet (pu_control_t *c, const char *address);
+void pu_control_add_seed (pu_control_t *c, const char *address);
 
 /* pu_control_state - returns the full state as applied on this voter.  */
 const pu_state_t *pu_control_state (const pu_control_t *c);
@@ -136,11 +136,12 @@
   void (*tick) (void *data, uint64_t now);
   void (*end) (void *data);
   void *data;
-} pu_control_duty_t;
+} pu_control_leader_task_t;
 
-/* pu_control_add_duty - registers a leader task.  DUTY is copied; its
+/* pu_control_add_leader_task - registers a leader task.  DUTY is copied; its
    functions may be NULL.  */
-void pu_control_add_duty (pu_control_t *c, const pu_control_duty_t *duty);
+void pu_control_add_leader_task (pu_control_t *c,
+                                 const pu_control_leader_task_t *duty);
 
 /* pu_control_on_demand - sets FN, which is called on the leader with the
    demand that daemons report: REQUESTS for MODEL that need STREAM_MS in
--- a/libplantainusher/control/sessions.c
+++ b/libplantainusher/control/sessions.c
@@ -122,7 +122,7 @@
 }
 
 void
-pu_sessions_heard (pu_sessions_t *s, const pu_poll *p, uint64_t now)
+pu_sessions_add_poll (pu_sessions_t *s, const pu_poll *p, uint64_t now)
 {
   session_t *n = get_or_create_session (s, p->name);
 
--- a/libplantainusher/control/sessions.h
+++ b/libplantainusher/control/sessions.h
@@ -21,9 +21,9 @@
 pu_sessions_t *pu_sessions_new (void);
 void pu_sessions_free (pu_sessions_t *s);
 
-/* pu_sessions_heard - adds poll P, which was received at NOW.  Polls of an
+/* pu_sessions_add_poll - adds poll P, which was received at NOW.  Polls of an
    earlier incarnation of the daemon are ignored.  */
-void pu_sessions_heard (pu_sessions_t *s, const pu_poll *p, uint64_t now);
+void pu_sessions_add_poll (pu_sessions_t *s, const pu_poll *p, uint64_t now);
 
 /* pu_sessions_message - returns a new message from VOTER to the leader with
    what was collected, up to PU_CONTROL_LIST_MAX items in each list, and its
--- a/libplantainusher/placer/sequenced_calls.c
+++ b/libplantainusher/placer/sequenced_calls.c
@@ -82,8 +82,8 @@
                    complete ? f->response->status : 0,
                    pu_http_end_name (f->result.kind));
     }
-  pu_dispatcher_answer (a.owner->leader->dispatcher, a.engine, answer,
-                        pu_sequenced_now (a.owner));
+  pu_dispatcher_handle_answer (a.owner->leader->dispatcher, a.engine, answer,
+                               pu_sequenced_now (a.owner));
   pu_sequenced_step (a.owner);
 }
 
@@ -135,8 +135,9 @@
   if (!pu_control_is_leader (s->options.control)
       || !call_start (s, a->engine, &call, on_order_answer))
     {
-      pu_dispatcher_answer (l->dispatcher, a->engine, PU_DISPATCHER_NO_ANSWER,
-                            pu_sequenced_now (s));
+      pu_dispatcher_handle_answer (l->dispatcher, a->engine,
+                                   PU_DISPATCHER_NO_ANSWER,
+                                   pu_sequenced_now (s));
     }
   g_bytes_unref (call.body);
 }
@@ -154,8 +155,8 @@
   count (s, s->reports_fetched);
   if (!call_start (s, a->engine, &call, on_report))
     {
-      pu_dispatcher_report (s->leader->dispatcher, a->engine, NULL,
-                            pu_sequenced_now (s), pu_sequenced_now (s));
+      pu_dispatcher_handle_report (s->leader->dispatcher, a->engine, NULL,
+                                   pu_sequenced_now (s), pu_sequenced_now (s));
     }
 }
 
@@ -239,8 +240,8 @@
   add_cached (l, a->engine, r->in_memory);
   add_cached (l, a->engine, r->on_disk);
   e->reported_requests = r->running + r->waiting;
-  pu_dispatcher_report (l->dispatcher, a->engine, &report, a->started_ms,
-                        pu_sequenced_now (s));
+  pu_dispatcher_handle_report (l->dispatcher, a->engine, &report,
+                               a->started_ms, pu_sequenced_now (s));
   notify_load (s, e, a, r);
   g_array_unref (held);
   g_array_unref (coming);
@@ -300,8 +301,8 @@
     }
   else
     {
-      pu_dispatcher_report (s->leader->dispatcher, a.engine, NULL,
-                            a.started_ms, pu_sequenced_now (s));
+      pu_dispatcher_handle_report (s->leader->dispatcher, a.engine, NULL,
+                                   a.started_ms, pu_sequenced_now (s));
     }
   clear_wire_report (&r);
   pu_findings_free (findings);
