--- a/libplantainusher/placement/due.c
+++ b/libplantainusher/placement/due.c
@@ -37,8 +37,8 @@
   for (guint i = 0; i < n; i++)
     {
       const pu_due_engine_t *e = &engines[i];
-      bool quick = e->quick && t->cached_load_ms > 0;
-      guint32 load_ms = quick ? t->cached_load_ms : t->store_ms;
+      bool cached = e->cached && t->cached_load_ms > 0;
+      guint32 load_ms = cached ? t->cached_load_ms : t->store_ms;
       const pu_dispatcher_item_t *x = find_item (d, e->engine, item);
 
       if (!pu_dispatcher_accepts_orders (d, e->engine))
--- a/libplantainusher/placement/due.h
+++ b/libplantainusher/placement/due.h
@@ -9,8 +9,8 @@
  * due - the shortest time until a copy of an item can be ready.
  *
  * Callers of a model that no engine holds wait this long, or are told to retry
- * after it.  It is a lower bound: a load may take longer than expected, or not
- * be planned yet, but no copy is ready earlier.
+ * after it.  It is a lower bound: a load may take
+ * longer than expected, or may not be planned yet.
  */
 
 /* Expected times of a load in milliseconds; 0: unknown.  */
@@ -24,7 +24,7 @@
 typedef struct
 {
   guint32 engine;
-  bool quick; /* its disk or its host's memory has the item */
+  bool cached; /* its disk or its host's memory has the item */
 } pu_due_engine_t;
 
 /* pu_due_ms - milliseconds from NOW until ITEM can be ready on one of the N
--- a/libplantainusher/placement/due_test.cc
+++ b/libplantainusher/placement/due_test.cc
@@ -72,7 +72,7 @@
 TEST_F (Due, FullLoadTimeWhenNoLoadIsUnderWay)
 {
   EXPECT_EQ (6000u, DueMs ());
-  engines[1].quick = true;
+  engines[1].cached = true;
   EXPECT_EQ (1000u, DueMs ()) << "engine 1 has it on its disk";
 }
 
@@ -82,7 +82,7 @@
   now += 2500;
   EXPECT_EQ (3500u, DueMs ());
   now += 5000;
-  EXPECT_EQ (0u, DueMs ()) << "the load is longer under way than expected";
+  EXPECT_EQ (0u, DueMs ()) << "the load has run longer than expected";
 }
 
 TEST_F (Due, ZeroWhenACopyIsReady)
--- a/libplantainusher/placement/forecast.c
+++ b/libplantainusher/placement/forecast.c
@@ -5,8 +5,8 @@
 #define DEFAULT_FAST_S 15.0
 #define DEFAULT_MID_S 45.0
 #define DEFAULT_SLOW_S 60.0
-#define DEFAULT_HELD_S 200.0
-#define DEFAULT_LEAD_S 10.0
+#define DEFAULT_PEAK_DECAY_S 200.0
+#define DEFAULT_HORIZON_S 10.0
 #define DEFAULT_BURST_SIGMAS 4.0
 /* Limit of the extrapolated trend, as a multiple of the fast average.  */
 #define MAX_TREND_GROWTH 1.5
@@ -29,13 +29,13 @@
   o->fast_s = DEFAULT_FAST_S;
   o->mid_s = DEFAULT_MID_S;
   o->slow_s = DEFAULT_SLOW_S;
-  o->peak_decay_s = DEFAULT_HELD_S;
-  o->horizon_s = DEFAULT_LEAD_S;
+  o->peak_decay_s = DEFAULT_PEAK_DECAY_S;
+  o->horizon_s = DEFAULT_HORIZON_S;
   o->burst_sigmas = DEFAULT_BURST_SIGMAS;
 }
 
 /* STREAM_MS, the estimate for REQUESTS, with the part above the cap weighted
-   by the number of requests seen of the model.  */
+ * by the number of requests of the model so far.  */
 static double
 cap_estimate_ms (const pu_forecast_t *f, const pu_forecast_request_stats_t *c,
                  guint32 requests, double stream_ms)
@@ -92,7 +92,7 @@
   p.fast_weight = smoothing_weight (period_s, o->fast_s);
   p.mid_weight = smoothing_weight (period_s, o->mid_s);
   p.slow_weight = smoothing_weight (period_s, o->slow_s);
-  p.held_weight = smoothing_weight (period_s, o->peak_decay_s);
+  p.peak_weight = smoothing_weight (period_s, o->peak_decay_s);
   return p;
 }
 
@@ -103,7 +103,7 @@
   f->fast = sample;
   f->mid = sample;
   f->slow = sample;
-  f->held = sample;
+  f->peak = sample;
 }
 
 /* Standard deviation of the fast average for Poisson arrivals at the rate
@@ -150,6 +150,6 @@
 
       f->expected = MIN (ahead, MAX_TREND_GROWTH * f->fast);
     }
-  f->held += p->held_weight * (f->expected - f->held);
-  f->held = MAX (f->held, f->expected);
+  f->peak += p->peak_weight * (f->expected - f->peak);
+  f->peak = MAX (f->peak, f->expected);
 }
--- a/libplantainusher/placement/forecast.h
+++ b/libplantainusher/placement/forecast.h
@@ -15,7 +15,7 @@
  * exceeds the slow one by more than random variation explains, the demand is
  * in a burst, and the forecast follows the fast average and its trend; else it
  * is the slow average, or the fast one less its standard deviation where that
- * is higher.  `held` decays slowly, so that capacity is not given up in the
+ * is higher.  `peak` decays slowly, so that capacity is not given up in the
  * first quiet minute.
  *
  * The daemon that admits a request estimates how long it will run.  For a
@@ -29,10 +29,11 @@
   double fast_s; /* time constants of the averages */
   double mid_s;  /* the trend is that of the fast average against this one */
   double slow_s;
-  double peak_decay_s; /* time constant by which `held` decays */
-  double
-      horizon_s; /* the trend is extrapolated this far: the time of a load */
-  double burst_sigmas; /* deviations of the fast average that make a burst */
+  double peak_decay_s; /* time constant by which `peak` decays */
+  /* The trend is extrapolated this far: the time of a load.  */
+  double horizon_s;
+  double burst_sigmas; /* a burst begins this many standard deviations above
+                          the slow average */
 } pu_forecast_options_t;
 
 typedef struct
@@ -40,20 +41,20 @@
   double fast; /* averages of the demand, in streams */
   double mid;
   double slow;
-  double held;              /* decaying peak of `expected` */
+  double peak;              /* decaying peak of `expected` */
   double weighted_requests; /* requests, decayed like `slow` */
-  double mean_request_s;    /* stream time of a request */
+  double mean_request_s;    /* mean stream time of a request */
   double expected; /* streams expected when a load ordered now is ready */
   bool burst;
-  bool started;
+  bool started;            /* the averages have a first sample */
   guint32 period_requests; /* since the last advance */
-  double period_stream_s;  /* their stream time */
+  double period_stream_s;  /* stream time of period_requests */
 } pu_forecast_t;
 
 /* Statistics of the requests of all models.  */
 typedef struct
 {
-  double mean_request_ms; /* stream time of a request; 0: no request yet */
+  double mean_request_ms; /* mean stream time; 0: no request yet */
 } pu_forecast_request_stats_t;
 
 /* The weights of the newest sample in each average, for one period; the same
@@ -64,7 +65,7 @@
   double fast_weight;
   double mid_weight;
   double slow_weight;
-  double held_weight;
+  double peak_weight;
 } pu_forecast_weights_t;
 
 void pu_forecast_options_init (pu_forecast_options_t *o);
@@ -74,9 +75,8 @@
 void pu_forecast_add (pu_forecast_t *f, pu_forecast_request_stats_t *c,
                       guint32 requests, double stream_ms);
 
-/* pu_forecast_get_weights - returns the weights for a period of PERIOD_S
- * seconds.
- */
+/* pu_forecast_get_weights - returns the weights for a period that lasts
+   PERIOD_S seconds.  */
 pu_forecast_weights_t pu_forecast_get_weights (const pu_forecast_options_t *o,
                                                double period_s);
 
--- a/libplantainusher/placement/placement.c
+++ b/libplantainusher/placement/placement.c
@@ -174,7 +174,7 @@
 {
   if (h->phase == PU_LEDGER_DRAINING || h->phase == PU_LEDGER_UNLOADING
       || may_be_unloaded (pl, h->copy))
-    return PU_PLAN_LEAVING;
+    return PU_PLAN_UNLOADING;
   return h->phase == PU_LEDGER_LOADING ? PU_PLAN_LOADING : PU_PLAN_READY;
 }
 
@@ -269,7 +269,8 @@
   e.memory_mb = s->report.memory_mb;
   e.streams = s->streams;
   e.usable = !s->down && !s->report.leaving;
-  e.closed = !pu_orders_may_load (pl->orders, backend, s->report.fenced, now);
+  e.loads_suspended
+      = !pu_orders_may_load (pl->orders, backend, s->report.fenced, now);
   e.copies = (const pu_plan_copy_t *)(void *)pl->plan_copies->data;
   e.n_copies = pl->plan_copies->len;
   pu_planner_set_engine (pl->planner, backend, &e, now);
--- a/libplantainusher/placement/planner.c
+++ b/libplantainusher/placement/planner.c
@@ -33,7 +33,7 @@
   pu_planned_item_t *t = pu_planned_item (r->p, c->c.item);
 
   t->ready -= c->c.phase == PU_PLAN_READY;
-  c->c.phase = PU_PLAN_LEAVING;
+  c->c.phase = PU_PLAN_UNLOADING;
   c->since = r->now;
   emit (r, PU_MOVE_UNLOAD, engine, c, reason, for_item);
   pu_planner_spread_item_demand (r->p, c->c.item);
@@ -48,8 +48,8 @@
   pu_copy_location_t at = { engine, e->copies->len };
 
   g_array_append_val (e->copies, *c);
-  g_array_append_val (t->places, at);
-  t->coming++;
+  g_array_append_val (t->locations, at);
+  t->pending_loads++;
   pu_planner_reserve_for_adapters (r->p, engine, c->c.item);
   pu_planner_spread_item_demand (r->p, c->c.item);
 }
@@ -66,7 +66,7 @@
   r->loads++;
   if (pu_planned_is_cached (e, c->c.item))
     return;
-  r->p->coming++;
+  r->p->store_loads++;
   r->p->load_slots -= MIN (r->p->load_slots, 1);
 }
 
@@ -89,7 +89,7 @@
   c.price = price;
   t->no_room = false;
   t->evacuated_until = 0;
-  if (r->v.slots->len == 0
+  if (r->victims.slots->len == 0
       && (pu_round_may_start_urgent_load (r)
           || pu_planned_is_cached (e, item)))
     {
@@ -97,33 +97,34 @@
       add_copy (r, engine, &c);
       return;
     }
-  for (guint i = 0; i < r->v.slots->len; i++)
+  for (guint i = 0; i < r->victims.slots->len; i++)
     {
-      emit_unload (r, engine, g_array_index (r->v.slots, guint, i),
+      emit_unload (r, engine, g_array_index (r->victims.slots, guint, i),
                    PU_REASON_MAKE_ROOM, item);
     }
   c.deferred = true;
   e->deferred = true;
   e->deferred_load = c;
   e->deferred_until = r->now + DEFERRED_LOAD_TIMEOUT_MS;
-  r->p->deferred++;
+  r->p->deferred_loads++;
   add_copy (r, engine, &c);
 }
 
 bool
 pu_round_may_start_urgent_load (const pu_round_t *r)
 {
-  return r->full
-         || (r->p->coming < r->p->o.max_concurrent_loads
+  return r->until_stable
+         || (r->p->store_loads < r->p->o.max_concurrent_loads
              && r->p->load_slots > 0);
 }
 
 bool
 pu_round_may_start_load (const pu_round_t *r)
 {
-  return r->full
-         || (r->p->coming + r->p->deferred < r->p->o.max_concurrent_loads
-             && r->p->deferred < r->p->load_slots);
+  return r->until_stable
+         || (r->p->store_loads + r->p->deferred_loads
+                 < r->p->o.max_concurrent_loads
+             && r->p->deferred_loads < r->p->load_slots);
 }
 
 bool
@@ -146,13 +147,14 @@
   pu_planned_item_t *t = pu_planned_item (r->p, item);
   guint32 version = pu_planned_version (t);
   guint32 engine
-      = pu_planner_choose (r->p, item, version, evict, r->now, &r->v);
+      = pu_planner_choose (r->p, item, version, evict, r->now, &r->victims);
 
   if (engine == PU_PLAN_NONE && evict == PU_EVICT_TO_LAST
       && !r->p->only_loading_engines_fit)
     {
       r->p->ignore_adapters = true;
-      engine = pu_planner_choose (r->p, item, version, evict, r->now, &r->v);
+      engine = pu_planner_choose (r->p, item, version, evict, r->now,
+                                  &r->victims);
       r->p->ignore_adapters = false;
     }
   if (engine == PU_PLAN_NONE
@@ -184,14 +186,14 @@
   guint32 wanted = pu_planned_version (t);
   pu_versions_t n = { 0 };
 
-  for (guint i = 0; i < t->places->len; i++)
+  for (guint i = 0; i < t->locations->len; i++)
     {
       pu_copy_location_t at = pu_item_location (t, i);
       const pu_planned_copy_t *c
           = pu_planned_copy (pu_planned_engine (p, at.engine), at.slot);
       bool ready = c->c.phase == PU_PLAN_READY;
 
-      if (c->c.phase == PU_PLAN_LEAVING)
+      if (c->c.phase == PU_PLAN_UNLOADING)
         continue;
       if (c->c.version == wanted)
         {
@@ -220,7 +222,7 @@
       guint32 item = pu_planned_copy (e, s)->c.item;
       const pu_planned_item_t *t = pu_planned_item (r->p, item);
 
-      if (t->i.base != base || t->ready > 1 || t->coming > 0)
+      if (t->i.base != base || t->ready > 1 || t->pending_loads > 0)
         continue;
       if (pu_round_may_place (r, t) && pu_round_may_start_load (r))
         pu_round_try_load (r, item, PU_EVICT_TO_LAST, PU_REASON_VERSION);
@@ -254,7 +256,7 @@
   guint least = MAX (1, t->i.min_copies);
   guint64 watch = (guint64)(r->p->o.watch_s * MS_PER_S);
   bool observed
-      = t->rolled_back || r->full
+      = t->rolled_back || r->until_stable
         || (t->new_ready_since != 0 && r->now >= t->new_ready_since + watch);
   guint keep = t->no_room ? least : MAX (least, t->copies_before_change);
 
@@ -286,7 +288,7 @@
   if (n.new_ready > 0 && t->new_ready_since == 0)
     t->new_ready_since = r->now;
   target = MIN (t->copies_before_change, t->i.max_copies);
-  if (n.new_any < target && t->coming == 0 && pu_round_may_place (r, t)
+  if (n.new_any < target && t->pending_loads == 0 && pu_round_may_place (r, t)
       && pu_round_base_is_ready (r, t) && pu_round_may_start_load (r))
     {
       pu_eviction_t evict
@@ -305,7 +307,7 @@
     {
       const pu_planned_item_t *t = pu_planned_item (r->p, i);
 
-      if (t->declared && t->places->len > 0)
+      if (t->declared && t->locations->len > 0)
         change_version (r, i);
     }
 }
@@ -317,13 +319,13 @@
   for (guint32 i = 0; i < r->p->items->len; i++)
     {
       const pu_planned_item_t *t = pu_planned_item (r->p, i);
-      bool surplus = t->declared && t->coming == 0
+      bool surplus = t->declared && t->pending_loads == 0
                      && t->copies_before_change == 0
                      && t->ready > MAX (1, t->i.max_copies);
 
       if (t->declared && !surplus)
         continue;
-      for (guint k = 0; k < t->places->len; k++)
+      for (guint k = 0; k < t->locations->len; k++)
         {
           pu_copy_location_t at = pu_item_location (t, k);
           const pu_planned_copy_t *c
@@ -348,17 +350,17 @@
 advance_forecasts (pu_planner_t *p, guint64 now)
 {
   guint64 ms = now - p->last_forecast_ms;
-  pu_forecast_weights_t period;
+  pu_forecast_weights_t weights;
 
   if (p->last_forecast_ms != 0 && ms < p->o.forecast_period_ms)
     return;
   if (p->last_forecast_ms == 0)
     ms = p->o.forecast_period_ms;
-  period = pu_forecast_get_weights (&p->o.forecast, ms / (double)MS_PER_S);
+  weights = pu_forecast_get_weights (&p->o.forecast, ms / (double)MS_PER_S);
   for (guint i = 0; i < p->items->len; i++)
     {
       pu_forecast_advance (&pu_planned_item (p, i)->forecast, &p->o.forecast,
-                           &period);
+                           &weights);
     }
   p->last_forecast_ms = now;
 }
@@ -370,22 +372,22 @@
 
   pu_planner_rebuild_index (r->p, r->now);
   pu_planner_spread_demand (r->p);
-  r->v.slots = g_array_new (FALSE, FALSE, sizeof (guint));
+  r->victims.slots = g_array_new (FALSE, FALSE, sizeof (guint));
   pu_round_start_deferred (r, false);
   pu_round_repair_in_demand (r);
-  idle_first
-      = r->full || r->p->last_turn_was_growth || !pu_round_any_engine_hot (r);
+  idle_first = r->until_stable || r->p->last_slot_for_demand
+               || !pu_round_any_engine_hot (r);
   if (idle_first)
     pu_round_repair_idle (r);
   change_versions (r);
   unload_unneeded (r);
-  if (r->full || !r->missing_in_demand)
+  if (r->until_stable || !r->in_demand_not_loading)
     pu_round_scale_up (r);
   if (!idle_first)
     pu_round_repair_idle (r);
-  if (r->full || !r->repairing)
+  if (r->until_stable || !r->any_unreachable)
     pu_round_fill_spare_memory (r);
-  g_array_unref (r->v.slots);
+  g_array_unref (r->victims.slots);
 }
 
 void
@@ -415,7 +417,7 @@
 
           if (c->deferred)
             continue;
-          if (c->c.phase != PU_PLAN_LEAVING)
+          if (c->c.phase != PU_PLAN_UNLOADING)
             {
               c->c.phase = PU_PLAN_READY;
               continue;
@@ -443,7 +445,7 @@
   r.for_item = PU_PLAN_NONE;
   r.now = now;
   r.moves = moves;
-  r.full = true;
+  r.until_stable = true;
   for (guint i = 0; i < STABLE_ROUNDS_MAX; i++)
     {
       guint before = moves->len;
--- a/libplantainusher/placement/planner.h
+++ b/libplantainusher/placement/planner.h
@@ -21,16 +21,18 @@
  *   1. items without a ready copy,
  *   2. items below their minimum of copies,
  *   3. version changes: load the new version, observe it, unload the old one,
- *   4. copies of undeclared items, and copies above an item's maximum,
+ *   4. copies of undeclared items, and copies above an item's maximum: unload
+ * them,
  *   5. demand: one more copy where the forecast gain exceeds the price,
  *   6. spare memory: second copies in other zones, with their adapters.
  * A ready copy of a declared item is unloaded only while another copy of the
  * item is ready; in case 5 the price is higher before its minimum stay is
- * over.  A load that needs memory held by other copies is deferred: their
+ * over.  A load that needs memory of other copies is deferred: their
  * unloads are issued first, and the load once the memory is free.
  *
- * A late stream is one that is served late or rejected, weighted by the
- * importance of its item.  Gain and price are in late stream-seconds.
+ * A late stream is a stream (see forecast.h) that is served late or rejected,
+ * weighted by the importance of its item.  Gain and price are in late
+ * stream-seconds.
  */
 
 #define PU_PLAN_NONE G_MAXUINT32
@@ -42,7 +44,7 @@
   PU_PLAN_ORDERED, /* load ordered, not yet reported by the engine */
   PU_PLAN_LOADING,
   PU_PLAN_READY,
-  PU_PLAN_LEAVING /* draining, unloading, or subject to an unload order that
+  PU_PLAN_UNLOADING /* draining, unloading, or subject to an unload order that
                      may still arrive */
 } pu_plan_phase_t;
 
@@ -58,12 +60,13 @@
 {
   guint32 zone;
   guint32 accelerators;
-  guint32 memory_mb;    /* size of each accelerator */
-  guint32 committed_mb; /* counted by the ledger, plus requested loads that
-                           are not reserved yet */
+  guint32 memory_mb; /* size of each accelerator */
+  /* Memory on each accelerator that copies take or have reserved, plus that of
+     requested loads without a reservation yet.  */
+  guint32 committed_mb;
   double streams;       /* concurrent requests that run at full speed */
-  bool usable;          /* up and not leaving */
-  bool closed;          /* accepts no loads at present */
+  bool usable;          /* up and not draining */
+  bool loads_suspended; /* accepts no loads at present */
   const pu_plan_copy_t *copies;
   guint n_copies;
 } pu_plan_engine_t;
@@ -126,21 +129,24 @@
 typedef struct
 {
   double moves_weight; /* 0: attainment only, 1: fewest moves */
-  double payback_s;    /* a move must be worth its price within this time */
+  double payback_s;    /* the gain of a move within this time must exceed its
+                          price */
   double move_price;   /* late stream-seconds per move at moves_weight 0 */
-  double min_stay_s;   /* unloading a copy earlier raises the price */
+  double min_stay_s;   /* evicting a copy that was loaded more recently raises
+                          the price */
   double watch_s;      /* the new version is ready this long before the old
                           one is unloaded */
-  guint max_failures;  /* failed loads until the item is held back on all
-                          engines and a new version is rolled back */
+  guint max_failures; /* failed loads after which the item is in backoff on all
+                         engines and a new version is rolled back */
   guint forecast_period_ms; /* period at which the forecast takes in demand */
   guint max_concurrent_loads; /* loads from the store in flight: as many as it
                        serves at full speed */
-  double hot;                 /* utilization above which an engine's items are
-                                 candidates for another copy */
-  bool zone_spread;           /* prefer zones without a copy of the item */
-  bool serial_loads;          /* an engine runs one load at a time: no load is
-                             ordered on an engine that is still loading */
+  /* Utilization above which an engine's items are candidates for another copy.
+   */
+  double hot_utilization;
+  bool zone_spread;  /* prefer zones without a copy of the item */
+  bool serial_loads; /* an engine runs one load at a time: no load is
+                    ordered on an engine that is still loading */
   pu_forecast_options_t forecast;
   guint test_breaks; /* pu_planner_break_t; 0 outside tests */
 } pu_planner_options_t;
@@ -159,7 +165,7 @@
 pu_planner_t *pu_planner_clone (const pu_planner_t *p);
 
 /* pu_planner_set_engine - replaces the state of ENGINE; E is NULL when the
-   engine is gone.  NOW is in milliseconds, here and below.  */
+   engine is gone.  NOW and UNTIL are in milliseconds, here and below.  */
 void pu_planner_set_engine (pu_planner_t *p, guint32 engine,
                             const pu_plan_engine_t *e, guint64 now);
 
@@ -188,15 +194,15 @@
                                 guint32 min_copies);
 
 /* pu_planner_add_demand - adds REQUESTS for ITEM that arrived since the last
-   call. STREAM_MS is the time that they need in total on engines that are not
+   call.  STREAM_MS is the time that they need in total on engines that are not
    overloaded.  */
 void pu_planner_add_demand (pu_planner_t *p, guint32 item, guint32 requests,
                             double stream_ms);
 
 /* pu_planner_load_failed - records that a load of VERSION of ITEM on ENGINE
    failed, or that a ready copy was lost while the engine kept running.  ENGINE
-   is not tried again for a backoff period; max_failures of them hold back the
-   item on all engines, and roll back a new version.  */
+   is not tried again for a backoff period.  After max_failures of them the
+   item is in backoff on all engines, and a new version is rolled back.  */
 void pu_planner_load_failed (pu_planner_t *p, guint32 engine, guint32 item,
                              guint32 version, guint64 now);
 
@@ -250,8 +256,8 @@
                                guint32 version);
 
 /* pu_planner_may_unload - returns whether the copy of VERSION of ITEM on
-   ENGINE may be unloaded: the copy is not ready, another copy is, or the item
-   is not declared.  Call it again whenever an unload order is sent.  */
+   ENGINE may be unloaded: the copy is not ready, or another copy is, or the
+   item is not declared.  Call it again whenever an unload order is sent.  */
 bool pu_planner_may_unload (const pu_planner_t *p, guint32 engine,
                             guint32 item, guint32 version);
 
--- a/libplantainusher/placement/planner_choose.c
+++ b/libplantainusher/placement/planner_choose.c
@@ -14,8 +14,8 @@
 /* Utilization of its ready copies above which an item needs its pending loads.
  */
 #define PENDING_NEEDED_UTILIZATION 0.3
-/* Loss for each stream that must drain before its copy is unloaded, while an
-   item without a ready copy waits for the memory, in late streams.  */
+/* Loss, in late streams, for each stream of a copy that is evicted for an item
+   without a ready copy: the streams must drain before the memory is free.  */
 #define DRAIN_LOSS 2.0
 #define MS_PER_S 1000
 
@@ -57,7 +57,7 @@
 
   p->item_stamp++;
   memset (p->zone_copies, 0, p->n_zones * sizeof *p->zone_copies);
-  for (guint i = 0; i < t->places->len; i++)
+  for (guint i = 0; i < t->locations->len; i++)
     {
       pu_copy_location_t at = pu_item_location (t, i);
       const pu_planned_engine_t *e = pu_planned_engine (p, at.engine);
@@ -65,7 +65,7 @@
 
       if (c->c.version == version)
         p->holder_stamp[at.engine] = p->item_stamp;
-      if (c->c.phase != PU_PLAN_LEAVING)
+      if (c->c.phase != PU_PLAN_UNLOADING)
         p->zone_copies[e->zone]++;
     }
 }
@@ -101,7 +101,7 @@
 {
   const pu_planned_engine_t *e = pu_planned_engine (p, engine);
 
-  if (!e->usable || e->closed || e->deferred || need > e->memory_mb
+  if (!e->usable || e->loads_suspended || e->deferred || need > e->memory_mb
       || e->accelerators < t->i.accelerators
       || p->holder_stamp[engine] == p->item_stamp)
     return false;
@@ -120,15 +120,15 @@
   return can_hold (p, engine, item, t, pu_planned_need_mb (p, t));
 }
 
-/* Whether T needs its pending loads beside its ready copies, so that memory
-   would have to be freed elsewhere for a copy that is evicted.  Pending loads
-   for demand that has since gone do not protect the item's copies.  */
+/* Whether T needs its pending loads beside its ready copies.  If it does, a
+   ready copy is not evicted, as memory would have to be freed elsewhere to
+   replace it.  Loads for demand that has since gone protect no copy.  */
 static bool
 needs_pending_loads (const pu_planner_t *p, const pu_planned_item_t *t)
 {
   double capacity = 0;
 
-  for (guint i = 0; i < t->places->len; i++)
+  for (guint i = 0; i < t->locations->len; i++)
     {
       pu_copy_location_t at = pu_item_location (t, i);
       const pu_planned_engine_t *e = pu_planned_engine (p, at.engine);
@@ -157,7 +157,7 @@
     return false;
   if (!t->declared)
     return true;
-  if (evict == PU_EVICT_ABOVE_MINIMUM && t->coming > 0
+  if (evict == PU_EVICT_ABOVE_MINIMUM && t->pending_loads > 0
       && needs_pending_loads (p, t))
     return false;
   if (c->c.item == item && c->c.version == pu_planned_version (t))
@@ -190,7 +190,7 @@
       const pu_planned_copy_t *c = pu_planned_copy (e, s);
 
       if (pu_planned_item (p, c->c.item)->i.base != base
-          || c->c.phase == PU_PLAN_LEAVING)
+          || c->c.phase == PU_PLAN_UNLOADING)
         continue;
       if (!may_remove (p, e, s, item, evict))
         return false;
@@ -228,7 +228,7 @@
       if (has_slot (v->slots, s))
         continue;
       g_array_append_val (v->slots, s);
-      v->n_young += is_below_min_stay (p, c, now);
+      v->n_below_min_stay += is_below_min_stay (p, c, now);
       memory_mb += c->c.memory_mb;
       pu_planned_item (p, c->c.item)->ready--;
     }
@@ -303,7 +303,7 @@
   GArray *best;
 
   v->loss = 0;
-  v->n_young = 0;
+  v->n_below_min_stay = 0;
   g_array_set_size (v->slots, 0);
   if (have >= need || evict == PU_EVICT_NONE)
     return have >= need;
@@ -450,7 +450,7 @@
 pu_planner_choose (pu_planner_t *p, guint32 item, guint32 version,
                    pu_eviction_t evict, guint64 now, pu_victims_t *v)
 {
-  /* All engines are candidates when the item has no other way to be loaded. */
+  /* For a first copy all engines are tried, as nothing else would load it. */
   guint tries = evict == PU_EVICT_TO_LAST ? p->engines->len : EVICTION_TRIES;
   guint32 engines[tries + 1];
   double scores[tries + 1];
@@ -461,7 +461,7 @@
 
   pu_planner_mark_item (p, item, version);
   v->loss = 0;
-  v->n_young = 0;
+  v->n_below_min_stay = 0;
   g_array_set_size (v->slots, 0);
   p->only_loading_engines_fit = false;
   best = find_free (p, item, need, &least, &full);
--- a/libplantainusher/placement/planner_explain.c
+++ b/libplantainusher/placement/planner_explain.c
@@ -64,7 +64,7 @@
       return "loading";
     case PU_PLAN_READY:
       return "ready";
-    case PU_PLAN_LEAVING:
+    case PU_PLAN_UNLOADING:
       return "leaving";
     }
   return "?";
@@ -111,7 +111,7 @@
 
   g_string_append_printf (out, "%s: %s; %u ready, %u coming, %u..%u declared",
                           t->i.name, pu_item_state_name (state), t->ready,
-                          t->coming, t->i.min_copies, t->i.max_copies);
+                          t->pending_loads, t->i.min_copies, t->i.max_copies);
   g_string_append_printf (
       out, "; expects %.1f streams (now %.1f, usual %.1f%s)", f->expected,
       f->fast, f->slow, f->burst ? ", burst" : "");
--- a/libplantainusher/placement/planner_grow.c
+++ b/libplantainusher/placement/planner_grow.c
@@ -4,15 +4,19 @@
 
 #define SPARE_RETRY_MS 10000
 #define MAX_HOT_ENGINES 4
-#define DEMAND_MOVES 4       /* per step */
-#define DEMAND_MOVES_FULL 64 /* per round of the full plan */
-#define SPARE_TRIES 4        /* items tried per step */
-/* Increase of the price of a move, as a multiple, at a moves_weight of 1.  */
+/* Copies for demand per step, and per round of a plan up to a stable
+   placement.  */
+#define DEMAND_MOVES 4
+#define DEMAND_MOVES_UNTIL_STABLE 64
+/* Items per step for which a spare copy is tried.  */
+#define SPARE_TRIES 4
+/* At a moves_weight of 1, the price of a move is higher by this multiple of
+   the option move_price.  */
 #define WEIGHT_PRICE_FACTOR 9.0
 /* Extra moves charged for evicting a copy before its minimum stay is over.  */
-#define YOUNG_EXTRA_MOVES 2.0
-/* Spare copies beyond two for a demand of one engine's streams, at a
-   moves_weight of 0.  */
+#define BELOW_MIN_STAY_EXTRA_MOVES 2.0
+/* Copies beyond two that an item may have in spare memory, for each engine
+   that its peak demand would fill, at a moves_weight of 0.  */
 #define SPARE_COPIES_PER_ENGINE 3.0
 /* Ratio of demand to capacity at which the pressure is one half.  Under
    contention, demand is overestimated by up to this factor.  */
@@ -21,7 +25,7 @@
 static guint
 count_copies (const pu_planned_item_t *t)
 {
-  return t->ready + t->coming;
+  return t->ready + t->pending_loads;
 }
 
 static double
@@ -30,8 +34,9 @@
   return p->o.move_price * (1 + WEIGHT_PRICE_FACTOR * p->o.moves_weight);
 }
 
-/* Fills ENGINES with the most utilised engines whose utilisation is above
-   `hot`, at most MAX_HOT_ENGINES of them, and returns their number.  */
+/* Fills ENGINES with the engines whose utilization is above the option
+   hot_utilization, the highest first and at most MAX_HOT_ENGINES of them.
+   Returns their number.  */
 static guint
 find_hot_engines (const pu_planner_t *p, guint32 *engines)
 {
@@ -43,7 +48,7 @@
       double use = e->load / e->streams;
       guint k;
 
-      if (!e->usable || use <= p->o.hot)
+      if (!e->usable || use <= p->o.hot_utilization)
         continue;
       k = n < MAX_HOT_ENGINES ? n++ : MAX_HOT_ENGINES;
       for (; k > 0; k--)
@@ -77,12 +82,12 @@
 {
   double sum = 0;
 
-  for (guint i = 0; i < t->places->len; i++)
+  for (guint i = 0; i < t->locations->len; i++)
     {
       pu_copy_location_t at = pu_item_location (t, i);
       const pu_planned_engine_t *e = pu_planned_engine (p, at.engine);
 
-      if (pu_planned_copy (e, at.slot)->c.phase != PU_PLAN_LEAVING)
+      if (pu_planned_copy (e, at.slot)->c.phase != PU_PLAN_UNLOADING)
         sum += e->streams;
     }
   return sum;
@@ -110,13 +115,15 @@
   pu_scale_up_t o = { item, PU_PLAN_NONE, 0, 0, 0 };
 
   o.engine = pu_planner_choose (r->p, item, pu_planned_version (t),
-                                PU_EVICT_ABOVE_MINIMUM, r->now, &r->v);
+                                PU_EVICT_ABOVE_MINIMUM, r->now, &r->victims);
   if (o.engine == PU_PLAN_NONE)
     return o;
   o.gain = r->p->o.payback_s * pu_planner_gain (r->p, item, o.engine);
-  o.price = r->p->o.payback_s * r->v.loss
-            + move_price (r->p)
-                  * (1 + r->v.slots->len + YOUNG_EXTRA_MOVES * r->v.n_young);
+  o.price
+      = r->p->o.payback_s * r->victims.loss
+        + move_price (r->p)
+              * (1 + r->victims.slots->len
+                 + BELOW_MIN_STAY_EXTRA_MOVES * r->victims.n_below_min_stay);
   o.rank = (o.gain - o.price) * demand_pressure (r->p, t);
   return o;
 }
@@ -142,7 +149,7 @@
 static double
 streams_per_copy (const pu_planner_t *p)
 {
-  return p->o.hot * mean_engine_streams (p);
+  return p->o.hot_utilization * mean_engine_streams (p);
 }
 
 /* Whether T, which has a ready copy, may get one more now.  */
@@ -223,28 +230,29 @@
   return find_hot_engines (r->p, hot) > 0;
 }
 
-/* While unreachable items without demand wait for the store, they and growth
-   take turns: an item with ten times the demand that its copies can serve
-   can't wait for all of them.  */
+/* Whether the store may run a load for demand.  While unreachable items
+   without demand wait for the store, they and loads for demand alternate: an
+   item with ten times the demand that its copies can serve can't wait for all
+   of them.  */
 static bool
-store_admits_growth (const pu_round_t *r)
+may_load_for_demand (const pu_round_t *r)
 {
-  if (r->full || !r->missing_any)
+  if (r->until_stable || !r->any_not_loading)
     return pu_round_may_start_load (r);
-  return !r->p->last_turn_was_growth && pu_round_may_start_urgent_load (r);
+  return !r->p->last_slot_for_demand && pu_round_may_start_urgent_load (r);
 }
 
 /* Phase 5.  */
 void
 pu_round_scale_up (pu_round_t *r)
 {
-  guint max = r->full ? DEMAND_MOVES_FULL : DEMAND_MOVES;
+  guint max = r->until_stable ? DEMAND_MOVES_UNTIL_STABLE : DEMAND_MOVES;
 
   for (guint i = 0; i < max; i++)
     {
       pu_scale_up_t o;
 
-      r->p->cached_only = !store_admits_growth (r);
+      r->p->cached_only = !may_load_for_demand (r);
       if (r->p->cached_only && !r->p->any_cached)
         break;
       o = best_scale_up (r);
@@ -254,10 +262,10 @@
          overwrote them.  */
       o.engine = pu_planner_choose (
           r->p, o.item, pu_planned_version (pu_planned_item (r->p, o.item)),
-          PU_EVICT_ABOVE_MINIMUM, r->now, &r->v);
+          PU_EVICT_ABOVE_MINIMUM, r->now, &r->victims);
       pu_round_load (r, o.engine, o.item, PU_REASON_DEMAND, o.gain, o.price);
-      r->p->last_turn_was_growth
-          = r->p->last_turn_was_growth || !r->p->cached_only;
+      r->p->last_slot_for_demand
+          = r->p->last_slot_for_demand || !r->p->cached_only;
     }
   r->p->cached_only = false;
 }
@@ -268,7 +276,7 @@
                   double streams)
 {
   double more = (1 - p->o.moves_weight) * SPARE_COPIES_PER_ENGINE
-                * t->forecast.held / MAX (1.0, streams);
+                * t->forecast.peak / MAX (1.0, streams);
 
   return MIN (t->i.max_copies, 2 + (guint)ceil (more));
 }
@@ -283,7 +291,7 @@
     {
       const pu_planned_engine_t *e = pu_planned_engine (p, i);
 
-      if (e->usable && !e->closed && !e->deferred)
+      if (e->usable && !e->loads_suspended && !e->deferred)
         most = MAX (most, pu_planned_free_mb (e));
     }
   return most;
@@ -309,11 +317,11 @@
       double n = count_copies (t);
       pu_spare_candidate_t x = { i, 0 };
 
-      if (t->coming > 0 || t->i.memory_mb > free_mb
+      if (t->pending_loads > 0 || t->i.memory_mb > free_mb
           || r->now < t->spare_not_before || !may_add_copy (r, t)
           || n >= spare_copy_limit (r->p, t, streams))
         continue;
-      x.exposure = (1 + t->forecast.held) * t->i.importance / (n * n);
+      x.exposure = (1 + t->forecast.peak) * t->i.importance / (n * n);
       g_array_append_val (candidates, x);
     }
   return candidates;
@@ -341,12 +349,12 @@
   return item;
 }
 
-/* Phase 6.  The list of candidates is made only once: a load changes the state
-   of its own item alone, as spare copies evict nothing.  */
+/* Phase 6.  The list of candidates is made only once: spare copies evict
+   nothing, so that a load changes only its own item.  */
 void
 pu_round_fill_spare_memory (pu_round_t *r)
 {
-  guint tries = r->full ? r->p->items->len : SPARE_TRIES;
+  guint tries = r->until_stable ? r->p->items->len : SPARE_TRIES;
   bool any_hot = pu_round_any_engine_hot (r);
   GArray *candidates;
 
@@ -364,7 +372,7 @@
       r->p->cached_only = any_hot || !pu_round_may_start_load (r);
       engine = pu_planner_choose (
           r->p, item, pu_planned_version (pu_planned_item (r->p, item)),
-          PU_EVICT_NONE, r->now, &r->v);
+          PU_EVICT_NONE, r->now, &r->victims);
 
       if (engine != PU_PLAN_NONE)
         {
--- a/libplantainusher/placement/planner_internal.h
+++ b/libplantainusher/placement/planner_internal.h
@@ -16,6 +16,8 @@
  *                     item without a ready copy
  *   planner_grow.c    copies for demand and in spare memory
  *   planner_explain.c messages
+ *
+ * Times are in milliseconds of the caller's clock.
  */
 
 typedef struct
@@ -41,7 +43,7 @@
 {
   bool known;
   bool usable;
-  bool closed;
+  bool loads_suspended;
   guint32 zone;
   guint32 accelerators;
   guint32 memory_mb;
@@ -71,25 +73,28 @@
   bool declared;
   pu_plan_item_t i; /* its name is owned */
   bool rolled_back;
+  /* Failed loads since the last success or change of version.  */
   guint failures;
-  guint64 new_ready_since; /* when the new version became ready beside an
-                              older one; 0: not yet */
-  guint64 lost_since; /* when it was found without a ready copy; 0: has one */
+  guint64 new_ready_since;   /* when the new version became ready beside an
+                                older one; 0: not yet */
+  guint64 unreachable_since; /* when it was found without a ready copy; 0: has
+                                one */
   guint64 not_before; /* no load earlier: backoff after a failure, or after
                          no engine had memory */
   guint64 spare_not_before; /* no spare copy earlier: backoff after no engine
                           was found for one */
-  guint32
-      evacuated_engine;    /* engine whose last copies are moved away for it */
-  guint64 evacuated_until; /* deadline of that; 0: none in progress */
+  /* Engine whose last copies are moved to others to free memory for it.  */
+  guint32 evacuated_engine;
+  guint64 evacuated_until; /* deadline of the move; 0: none in progress */
   bool no_room;            /* the last attempt found no engine */
   pu_forecast_t forecast;
-  GArray *places;   /* of pu_copy_location_t: copies on usable engines */
-  GArray *adapters; /* of guint32: the items whose base it is */
-  guint ready;
-  guint coming; /* ordered, loading or deferred */
-  guint slow;   /* of them, deferred for long with memory still not
-                   free, while ready is 0 */
+  GArray *locations;   /* of pu_copy_location_t: copies on usable engines */
+  GArray *adapters;    /* of guint32: the items whose base it is */
+  guint ready;         /* copies */
+  guint pending_loads; /* ordered, loading or deferred */
+  /* Pending loads deferred for at least STALLED_LOAD_MS, with the memory still
+     not free; counted while ready is 0.  */
+  guint stalled_loads;
   guint copies_before_change; /* ready when a version change began, at least 1;
                           0: no change in progress */
 } pu_planned_item_t;
@@ -100,16 +105,19 @@
   GArray *engines; /* of pu_planned_engine_t */
   GArray *items;   /* of pu_planned_item_t */
   guint64 last_forecast_ms;
-  pu_forecast_request_stats_t common;
-  guint coming;     /* loads from the store in flight, all items */
-  guint load_slots; /* loads from the store that may still be ordered */
-  bool last_turn_was_growth; /* the last turn at the store went to demand, not
-                to items without demand */
-  bool any_cached;           /* weights were cached on some engine so far */
-  bool cached_only; /* the store accepts no load: only cached weights */
-  bool only_loading_engines_fit; /* the last pu_planner_choose found free
-                      memory only on engines that are loading */
-  guint deferred;                /* deferred loads, all items */
+  pu_forecast_request_stats_t request_stats;
+  guint store_loads; /* loads from the store in flight, all items */
+  guint load_slots;  /* loads from the store that may still be ordered */
+  /* The last load slot went to a copy for demand, not to an unreachable item
+     without demand.  */
+  bool last_slot_for_demand;
+  bool any_cached; /* an engine has or had cached weights */
+  /* The store accepts no load: only engines with cached weights are chosen. */
+  bool cached_only;
+  /* The last pu_planner_choose found free memory only on engines that are
+     loading.  */
+  bool only_loading_engines_fit;
+  guint deferred_loads; /* deferred loads, all items */
   bool ignore_adapters; /* the memory need of a base leaves out its adapters */
   guint32 *holder_stamp; /* by engine: equals item_stamp if the engine holds
                             the marked item */
@@ -143,7 +151,7 @@
 static inline pu_copy_location_t
 pu_item_location (const pu_planned_item_t *t, guint i)
 {
-  return g_array_index (t->places, pu_copy_location_t, i);
+  return g_array_index (t->locations, pu_copy_location_t, i);
 }
 
 static inline bool
@@ -191,17 +199,17 @@
 
 /* pu_planner_eviction_loss - returns the late streams that the removal of the
    copy of ITEM at PLACE, with its adapters there, would cost at the forecast's
-   held demand.  WITH_BASE: ITEM is an adapter that is removed along with its
+   peak demand.  WITH_BASE: ITEM is an adapter that is removed along with its
    base, whose loss already includes its demand.  */
 double pu_planner_eviction_loss (pu_planner_t *p, guint32 item,
                                  pu_copy_location_t place, bool with_base);
 
-/* Copies on one engine to evict.  */
+/* Copies on one engine to evict.  A late stream is defined in planner.h.  */
 typedef struct
 {
-  GArray *slots; /* of guint */
-  double loss;   /* late streams */
-  guint n_young; /* victims below their minimum stay */
+  GArray *slots;          /* of guint */
+  double loss;            /* late streams */
+  guint n_below_min_stay; /* victims below their minimum stay */
 } pu_victims_t;
 
 /* Which copies a load may evict.  */
--- a/libplantainusher/placement/planner_load.c
+++ b/libplantainusher/placement/planner_load.c
@@ -42,16 +42,16 @@
 static void
 clear_counts (pu_planner_t *p)
 {
-  p->coming = 0;
-  p->deferred = 0;
+  p->store_loads = 0;
+  p->deferred_loads = 0;
   for (guint i = 0; i < p->items->len; i++)
     {
       pu_planned_item_t *t = pu_planned_item (p, i);
 
-      g_array_set_size (t->places, 0);
+      g_array_set_size (t->locations, 0);
       t->ready = 0;
-      t->coming = 0;
-      t->slow = 0;
+      t->pending_loads = 0;
+      t->stalled_loads = 0;
     }
 }
 
@@ -86,14 +86,14 @@
       pu_copy_location_t place = { engine, s };
 
       c->share = 0;
-      g_array_append_val (t->places, place);
+      g_array_append_val (t->locations, place);
       t->ready += c->c.phase == PU_PLAN_READY;
       if (c->c.phase > PU_PLAN_LOADING)
         continue;
-      t->coming++;
+      t->pending_loads++;
       e->models_loading += !c->deferred && t->i.base == PU_PLAN_NONE;
-      p->coming += !c->deferred && !pu_planned_is_cached (e, c->c.item);
-      p->deferred += c->deferred;
+      p->store_loads += !c->deferred && !pu_planned_is_cached (e, c->c.item);
+      p->deferred_loads += c->deferred;
     }
 }
 
@@ -117,7 +117,7 @@
       const pu_planned_item_t *a
           = pu_planned_item (p, g_array_index (t->adapters, guint32, i));
 
-      if (a->ready + a->coming == 0)
+      if (a->ready + a->pending_loads == 0)
         pu_planned_engine (p, engine)->for_adapters_mb += a->i.memory_mb;
     }
 }
@@ -131,7 +131,7 @@
 
       if (t->adapters->len == 0)
         continue;
-      for (guint k = 0; k < t->places->len; k++)
+      for (guint k = 0; k < t->locations->len; k++)
         pu_planner_reserve_for_adapters (p, pu_item_location (t, k).engine, i);
     }
 }
@@ -195,18 +195,18 @@
 static bool
 takes_demand (const pu_planned_copy_t *c)
 {
-  return c->c.phase != PU_PLAN_LEAVING;
+  return c->c.phase != PU_PLAN_UNLOADING;
 }
 
 void
 pu_planner_spread_item_demand (pu_planner_t *p, guint32 item)
 {
   pu_planned_item_t *t = pu_planned_item (p, item);
-  double capacity[t->places->len + 1];
+  double capacity[t->locations->len + 1];
   guint n = 0;
 
-  reserve_scratch (p, t->places->len + 1);
-  for (guint i = 0; i < t->places->len; i++)
+  reserve_scratch (p, t->locations->len + 1);
+  for (guint i = 0; i < t->locations->len; i++)
     {
       pu_copy_location_t at = pu_item_location (t, i);
       pu_planned_engine_t *e = pu_planned_engine (p, at.engine);
@@ -225,7 +225,7 @@
 
   level_utilization (p, n, capacity, t->forecast.expected);
   n = 0;
-  for (guint i = 0; i < t->places->len; i++)
+  for (guint i = 0; i < t->locations->len; i++)
     {
       pu_copy_location_t at = pu_item_location (t, i);
       pu_planned_engine_t *e = pu_planned_engine (p, at.engine);
@@ -265,7 +265,7 @@
 static bool
 covers_base (const pu_planner_t *p, const pu_planned_item_t *t)
 {
-  return t->places->len >= pu_planned_item (p, t->i.base)->places->len;
+  return t->locations->len >= pu_planned_item (p, t->i.base)->locations->len;
 }
 
 /* Returns the demand on E for ITEM and its adapters, in streams.
@@ -305,9 +305,10 @@
 /* Whether copy I of T, which is on E, takes no demand.  The index after the
    last copy stands for a copy to be added.  */
 static bool
-is_leaving (const pu_planned_item_t *t, guint i, const pu_planned_engine_t *e)
+takes_no_demand (const pu_planned_item_t *t, guint i,
+                 const pu_planned_engine_t *e)
 {
-  return i < t->places->len
+  return i < t->locations->len
          && !takes_demand (pu_planned_copy (e, pu_item_location (t, i).slot));
 }
 
@@ -319,7 +320,7 @@
                     double scale)
 {
   pu_planned_item_t *t = pu_planned_item (p, item);
-  guint n_max = t->places->len + 1;
+  guint n_max = t->locations->len + 1;
   pu_planned_engine_t *at[n_max];
   double capacity[n_max];
   double share[n_max];
@@ -329,10 +330,10 @@
   guint n = 0;
 
   reserve_scratch (p, n_max);
-  for (guint i = 0; i <= t->places->len; i++)
+  for (guint i = 0; i <= t->locations->len; i++)
     {
       guint32 engine
-          = i < t->places->len ? pu_item_location (t, i).engine : extra;
+          = i < t->locations->len ? pu_item_location (t, i).engine : extra;
       pu_planned_engine_t *e;
       double mine;
 
@@ -344,7 +345,7 @@
       before += late_streams (
           e->load + mine * (scale - 1),
           e->weighted_load + mine * (scale - 1) * t->i.importance, e->streams);
-      if (engine == skip || is_leaving (t, i, e))
+      if (engine == skip || takes_no_demand (t, i, e))
         {
           after += late_streams (e->load - mine,
                                  e->weighted_load - mine * t->i.importance,
@@ -383,7 +384,7 @@
 {
   pu_planned_item_t *t = pu_planned_item (p, item);
   const pu_forecast_t *f = &t->forecast;
-  double scale = f->expected > 0 ? MAX (1.0, f->held / f->expected) : 1.0;
+  double scale = f->expected > 0 ? MAX (1.0, f->peak / f->expected) : 1.0;
   double loss = 0;
 
   if (!with_base)
@@ -393,6 +394,6 @@
     }
 
   if (t->ready <= 2)
-    loss += LAST_COPY_LOSS * (1 + f->held) * t->i.importance / MEAN_IMPORTANCE;
+    loss += LAST_COPY_LOSS * (1 + f->peak) * t->i.importance / MEAN_IMPORTANCE;
   return loss;
 }
--- a/libplantainusher/placement/planner_repair.c
+++ b/libplantainusher/placement/planner_repair.c
@@ -3,19 +3,18 @@
 /* An item unreachable for longer than this no longer defers loads that are not
    urgent.  */
 #define GROWTH_DEFERRAL_MS 60000
-/* An unreachable item whose pending load has waited this long for memory may
-   get a second one, on another engine.  */
-#define PENDING_SLOW_MS 3000
-#define MAX_PENDING_PER_ITEM 2
-/* Pending loads allowed for each load that the store runs at once: memory is
+/* A deferred load of an unreachable item that has waited this long for memory
+   is stalled: the item may get a second one, on another engine.  */
+#define STALLED_LOAD_MS 3000
+#define MAX_DEFERRED_PER_ITEM 2
+/* Deferred loads allowed for each load that the store runs at once: memory is
    freed while the store is busy.  */
-#define PENDING_PER_STORE_LOAD 2
+#define DEFERRED_PER_STORE_LOAD 2
 
-/* A load that waits for memory on its engine is `promised`, and called pending
-   here.  Returns the slot of E's pending copy: index_engine lists it last, but
-   a load ordered since may follow it.  */
+/* Returns the slot of E's deferred copy: index_engine lists it last, but a
+   load ordered since may follow it.  */
 static guint
-pending_slot (const pu_planned_engine_t *e)
+deferred_slot (const pu_planned_engine_t *e)
 {
   guint s = e->copies->len - 1;
 
@@ -25,47 +24,47 @@
 }
 
 static void
-cancel_pending (pu_round_t *r, pu_planned_engine_t *e)
+cancel_deferred (pu_round_t *r, pu_planned_engine_t *e)
 {
-  pu_planned_copy_t *c = pu_planned_copy (e, pending_slot (e));
+  pu_planned_copy_t *c = pu_planned_copy (e, deferred_slot (e));
 
   e->deferred = false;
-  r->p->deferred--;
-  pu_planned_item (r->p, c->c.item)->coming--;
-  c->c.phase = PU_PLAN_LEAVING;
+  r->p->deferred_loads--;
+  pu_planned_item (r->p, c->c.item)->pending_loads--;
+  c->c.phase = PU_PLAN_UNLOADING;
   pu_planner_spread_item_demand (r->p, c->c.item);
 }
 
-/* Cancels all pending loads of the unreachable ITEM.  */
+/* Cancels all deferred loads of the unreachable ITEM.  */
 static void
-cancel_item_pending (pu_round_t *r, guint32 item)
+cancel_item_deferred (pu_round_t *r, guint32 item)
 {
   for (guint32 i = 0; i < r->p->engines->len; i++)
     {
       pu_planned_engine_t *e = pu_planned_engine (r->p, i);
 
       if (e->deferred && e->usable && e->deferred_load.c.item == item)
-        cancel_pending (r, e);
+        cancel_deferred (r, e);
     }
 }
 
-/* Orders the pending load of ENGINE, whose memory is free now.  */
+/* Orders the deferred load of ENGINE, whose memory is free now.  */
 static void
-start_pending (pu_round_t *r, guint32 engine)
+start_deferred (pu_round_t *r, guint32 engine)
 {
   pu_planned_engine_t *e = pu_planned_engine (r->p, engine);
-  pu_planned_copy_t *c = pu_planned_copy (e, pending_slot (e));
+  pu_planned_copy_t *c = pu_planned_copy (e, deferred_slot (e));
 
   e->deferred = false;
   c->deferred = false;
-  r->p->deferred--;
+  r->p->deferred_loads--;
   pu_round_emit_load (r, engine, c);
-  if (pu_planned_item (r->p, c->c.item)->slow > 0)
-    cancel_item_pending (r, c->c.item);
+  if (pu_planned_item (r->p, c->c.item)->stalled_loads > 0)
+    cancel_item_deferred (r, c->c.item);
 }
 
 static bool
-pending_is_valid (const pu_round_t *r, const pu_planned_engine_t *e)
+deferred_is_valid (const pu_round_t *r, const pu_planned_engine_t *e)
 {
   const pu_planned_item_t *t = pu_planned_item (r->p, e->deferred_load.c.item);
 
@@ -73,12 +72,13 @@
          && r->now < e->deferred_until;
 }
 
-/* An item that needs a load, or the pending load on ENGINE.  */
+/* An item that needs a load, or the deferred load on ENGINE.  */
 typedef struct
 {
   guint32 item;
-  guint32 engine;
-  bool unreachable; /* no copy is ready, and none is under way but pending */
+  guint32 engine; /* PU_PLAN_NONE: no deferred load */
+  /* Needs a first copy; for a deferred load: the item has no ready copy.  */
+  bool unreachable;
   pu_planned_item_t *t;
 } pu_repair_t;
 
@@ -109,7 +109,7 @@
 {
   GArray *startable;
 
-  if (r->p->deferred == 0)
+  if (r->p->deferred_loads == 0)
     return;
   startable = g_array_new (FALSE, FALSE, sizeof (pu_repair_t));
   for (guint32 i = 0; i < r->p->engines->len; i++)
@@ -119,9 +119,9 @@
 
       if (!e->deferred || !e->usable)
         continue;
-      if (!pending_is_valid (r, e))
+      if (!deferred_is_valid (r, e))
         {
-          cancel_pending (r, e);
+          cancel_deferred (r, e);
           continue;
         }
       n.t = pu_planned_item (r->p, n.item);
@@ -133,9 +133,9 @@
           g_array_append_val (startable, n);
         }
       else if (n.unreachable
-               && r->now >= e->deferred_load.since + PENDING_SLOW_MS)
+               && r->now >= e->deferred_load.since + STALLED_LOAD_MS)
         {
-          n.t->slow++;
+          n.t->stalled_loads++;
         }
     }
   g_array_sort (startable, compare_repairs);
@@ -146,16 +146,16 @@
 
       /* A load of the same item, started before, may have cancelled it.  */
       if (pu_planned_engine (r->p, engine)->deferred)
-        start_pending (r, engine);
+        start_deferred (r, engine);
     }
   g_array_unref (startable);
 }
 
-/* Whether a load of T is ordered or loading; a pending one doesn't count.  */
+/* Whether a load of T is ordered or loading; a deferred one doesn't count.  */
 static bool
 has_ordered_load (const pu_planner_t *p, const pu_planned_item_t *t)
 {
-  for (guint i = 0; i < t->places->len; i++)
+  for (guint i = 0; i < t->locations->len; i++)
     {
       pu_copy_location_t at = pu_item_location (t, i);
       const pu_planned_copy_t *c
@@ -167,34 +167,35 @@
   return false;
 }
 
-/* Records since when T has had no ready copy, and notes in R what its repair
-   defers.  */
+/* Records since when T has had no ready copy, and sets the flags of R by which
+   other loads wait for its repair.  */
 static void
 note_unreachable (pu_round_t *r, pu_planned_item_t *t)
 {
   if (!t->declared || t->ready > 0)
     {
-      t->lost_since = 0;
+      t->unreachable_since = 0;
       return;
     }
-  if (t->lost_since == 0)
-    t->lost_since = r->now;
-  if (t->failures > 0 || r->now >= t->lost_since + GROWTH_DEFERRAL_MS)
+  if (t->unreachable_since == 0)
+    t->unreachable_since = r->now;
+  if (t->failures > 0 || r->now >= t->unreachable_since + GROWTH_DEFERRAL_MS)
     return;
-  r->repairing = true;
+  r->any_unreachable = true;
   if (has_ordered_load (r->p, t))
     return;
-  r->missing_in_demand = r->missing_in_demand || pu_planned_in_demand (t);
-  r->missing_any = true;
+  r->in_demand_not_loading
+      = r->in_demand_not_loading || pu_planned_in_demand (t);
+  r->any_not_loading = true;
 }
 
-/* Whether T needs a first copy: none is ready, and only slow pending loads are
-   under way, fewer than the limit.  */
+/* Whether T needs a first copy: none is ready, and it has only stalled loads,
+   fewer than the limit.  */
 static bool
 needs_first_copy (const pu_planned_item_t *t)
 {
-  return t->ready == 0 && t->coming == t->slow
-         && t->slow < MAX_PENDING_PER_ITEM;
+  return t->ready == 0 && t->pending_loads == t->stalled_loads
+         && t->stalled_loads < MAX_DEFERRED_PER_ITEM;
 }
 
 static GArray *
@@ -210,27 +211,28 @@
       note_unreachable (r, t);
       if (!pu_round_may_place (r, t) || !pu_round_base_is_ready (r, t))
         continue;
-      if (n.unreachable || t->ready + t->coming < MAX (1, t->i.min_copies))
+      if (n.unreachable
+          || t->ready + t->pending_loads < MAX (1, t->i.min_copies))
         g_array_append_val (repairs, n);
     }
   g_array_sort (repairs, compare_repairs);
   return repairs;
 }
 
-/* Whether an unreachable item may get a pending load: memory is freed for it
+/* Whether an unreachable item may get a deferred load: memory is freed for it
    while the store is still busy.  */
 static bool
-may_add_pending (const pu_round_t *r)
+may_add_deferred (const pu_round_t *r)
 {
   return pu_round_may_start_urgent_load (r)
-         || r->p->deferred
-                < PENDING_PER_STORE_LOAD * r->p->o.max_concurrent_loads;
+         || r->p->deferred_loads
+                < DEFERRED_PER_STORE_LOAD * r->p->o.max_concurrent_loads;
 }
 
 static bool
 may_repair (const pu_round_t *r, const pu_repair_t *n)
 {
-  return n->unreachable ? may_add_pending (r)
+  return n->unreachable ? may_add_deferred (r)
                         : pu_round_may_start_urgent_load (r);
 }
 
@@ -240,11 +242,11 @@
   guint before = r->loads;
 
   if (!pu_round_try_load (r, n->item, PU_EVICT_TO_LAST, PU_REASON_UNREACHABLE)
-      && n->t->slow == 0 && !r->p->cached_only
+      && n->t->stalled_loads == 0 && !r->p->cached_only
       && !r->p->only_loading_engines_fit)
     pu_round_evacuate (r, n->item);
-  if (n->t->slow > 0 && r->loads > before)
-    cancel_item_pending (r, n->item);
+  if (n->t->stalled_loads > 0 && r->loads > before)
+    cancel_item_deferred (r, n->item);
 }
 
 static void
@@ -261,9 +263,9 @@
     }
 }
 
-/* Repairs the items that have demand (ASKED), or those that have none.  */
+/* Repairs the items in demand (IN_DEMAND), or those that are not.  */
 static void
-repair_items (pu_round_t *r, bool asked)
+repair_items (pu_round_t *r, bool in_demand)
 {
   GArray *repairs = find_repairs (r);
 
@@ -271,7 +273,7 @@
     {
       const pu_repair_t *n = &g_array_index (repairs, pu_repair_t, i);
 
-      if (pu_planned_in_demand (n->t) != asked)
+      if (pu_planned_in_demand (n->t) != in_demand)
         continue;
       r->p->cached_only = !may_repair (r, n);
       if (r->p->cached_only && !r->p->any_cached)
@@ -291,10 +293,10 @@
 void
 pu_round_repair_idle (pu_round_t *r)
 {
-  /* The next turn of the store goes to growth again, even if none of the idle
-     items found room.  */
+  /* Copies for demand get the next load slot, even if none of the idle items
+     found an engine.  */
   if (pu_round_may_start_urgent_load (r))
-    r->p->last_turn_was_growth = false;
+    r->p->last_slot_for_demand = false;
   pu_round_start_deferred (r, true);
   repair_items (r, false);
 }
--- a/libplantainusher/placement/planner_room.c
+++ b/libplantainusher/placement/planner_room.c
@@ -67,7 +67,7 @@
   for (guint s = 0; s < e->copies->len; s++)
     {
       if (pu_planner_bundle (r->p, engine, s, item, PU_EVICT_TO_LAST,
-                             r->v.slots))
+                             r->victims.slots))
         have += pu_planned_copy (e, s)->c.memory_mb;
     }
   return need - MIN (need, have);
@@ -91,7 +91,7 @@
 
       if (u.id == base
           || pu_planner_bundle (r->p, engine, s, item, PU_EVICT_TO_LAST,
-                                r->v.slots))
+                                r->victims.slots))
         continue;
       u.memory_mb = bundle_mb (r->p, e, u.id);
       if (u.memory_mb > 0)
@@ -119,7 +119,7 @@
 {
   const pu_planned_item_t *t = pu_planned_item (r->p, item);
   guint32 engine = pu_planner_choose (r->p, item, pu_planned_version (t),
-                                      PU_EVICT_TO_LAST, r->now, &r->v);
+                                      PU_EVICT_TO_LAST, r->now, &r->victims);
 
   if (engine == PU_PLAN_NONE)
     return false;
@@ -139,7 +139,7 @@
       const pu_planned_copy_t *c = pu_planned_copy (e, s);
       const pu_planned_item_t *t = pu_planned_item (p, c->c.item);
 
-      if (c->c.phase == PU_PLAN_READY && t->ready == 1 && t->coming > 0)
+      if (c->c.phase == PU_PLAN_READY && t->ready == 1 && t->pending_loads > 0)
         return true;
     }
   return false;
--- a/libplantainusher/placement/planner_round.h
+++ b/libplantainusher/placement/planner_round.h
@@ -14,20 +14,24 @@
   pu_planner_t *p;
   guint64 now;
   GArray *moves;
-  pu_victims_t v;
+  pu_victims_t victims;
   guint32 for_item; /* the item that loads free memory for; PU_PLAN_NONE */
-  bool full;        /* plans up to a stable placement: the store's limits do
-                       not apply */
-  bool repairing;   /* an item has no ready copy: spare copies wait */
-  guint loads;      /* ordered in this round */
-  bool missing_in_demand; /* an item in demand has no ready copy and no load in
-                   flight: copies for demand wait */
-  bool missing_any; /* any item has none: copies for demand get every other
-                        load slot */
+  /* Plans up to a stable placement: the store's limits do not apply.  */
+  bool until_stable;
+  /* An item has had no ready copy for less than GROWTH_DEFERRAL_MS, and no
+     load of it failed: spare copies wait.  */
+  bool any_unreachable;
+  guint loads; /* ordered in this round */
+  /* Such an item is in demand and has no load in flight: copies for demand
+     wait.  */
+  bool in_demand_not_loading;
+  /* Such an item, in demand or not, has no load in flight: copies for demand
+     get every other load slot.  */
+  bool any_not_loading;
 } pu_round_t;
 
 /* pu_round_load - plans a load of ITEM on ENGINE.  The load is ordered now if
-   r->v has no victims, and the store accepts it or the weights are cached.
+   r->victims is empty, and the store accepts it or the weights are cached.
    Otherwise unloads of the victims are ordered and the load is deferred.  */
 void pu_round_load (pu_round_t *r, guint32 engine, guint32 item,
                     pu_plan_reason_t reason, double gain, double price);
@@ -58,12 +62,13 @@
 bool pu_round_base_is_ready (const pu_round_t *r, const pu_planned_item_t *t);
 
 /* pu_round_start_deferred - orders deferred loads whose memory is free now,
-   those of items without a ready copy first.  IDLE: only those of items that
-   have neither a ready copy nor demand, else all others.  */
+   those of items without a ready copy first, and cancels those that timed out
+   or are no longer needed.  IDLE: orders only those of items that have neither
+   a ready copy nor demand, else all others.  */
 void pu_round_start_deferred (pu_round_t *r, bool idle);
 
 /* pu_round_any_engine_hot - returns whether the utilization of any engine is
-   above the option `hot`.  */
+   above the option hot_utilization.  */
 bool pu_round_any_engine_hot (const pu_round_t *r);
 
 /* pu_round_evacuate - starts or continues to move last copies from one engine
@@ -72,7 +77,7 @@
 
 /* pu_round_repair_in_demand, pu_round_repair_idle - phases 1 and 2: plan loads
    for items without a ready copy, then for those below their minimum of
-   copies. The first handles the items in demand, the second the others.  */
+   copies.  The first handles the items in demand, the second the others.  */
 void pu_round_repair_in_demand (pu_round_t *r);
 void pu_round_repair_idle (pu_round_t *r);
 
--- a/libplantainusher/placement/planner_tables.c
+++ b/libplantainusher/placement/planner_tables.c
@@ -10,7 +10,7 @@
 #define DEFAULT_MAX_FAILURES 3
 #define DEFAULT_MAX_CONCURRENT_LOADS 3
 #define DEFAULT_FORECAST_PERIOD_MS 1000
-#define DEFAULT_HOT 0.7
+#define DEFAULT_HOT_UTILIZATION 0.7
 #define MS_PER_S 1000
 /* Lower limit for the streams of an engine, by which loads are divided.  */
 #define MIN_STREAMS 0.001
@@ -29,7 +29,7 @@
   o->max_failures = DEFAULT_MAX_FAILURES;
   o->max_concurrent_loads = DEFAULT_MAX_CONCURRENT_LOADS;
   o->forecast_period_ms = DEFAULT_FORECAST_PERIOD_MS;
-  o->hot = DEFAULT_HOT;
+  o->hot_utilization = DEFAULT_HOT_UTILIZATION;
   o->zone_spread = true;
   o->serial_loads = false;
   pu_forecast_options_init (&o->forecast);
@@ -52,7 +52,7 @@
   pu_planned_item_t *t = data;
 
   g_free ((char *)t->i.name);
-  g_array_unref (t->places);
+  g_array_unref (t->locations);
   g_array_unref (t->adapters);
 }
 
@@ -132,7 +132,7 @@
       pu_planned_item_t t = *pu_planned_item (p, i);
 
       t.i.name = g_strdup (t.i.name);
-      t.places = g_array_copy (t.places);
+      t.locations = g_array_copy (t.locations);
       t.adapters = g_array_copy (t.adapters);
       g_array_append_val (q->items, t);
     }
@@ -161,7 +161,7 @@
       pu_planned_item_t t = { 0 };
 
       t.i.base = PU_PLAN_NONE;
-      t.places = g_array_new (FALSE, FALSE, sizeof (pu_copy_location_t));
+      t.locations = g_array_new (FALSE, FALSE, sizeof (pu_copy_location_t));
       t.adapters = g_array_new (FALSE, FALSE, sizeof (guint32));
       g_array_append_val (p->items, t);
     }
@@ -217,8 +217,8 @@
   return copies;
 }
 
-/* Resets the count of failed loads of items whose wanted version has been
-   ready on E for watch_s.  */
+/* Resets the count of failed loads of items whose version, as given by
+   pu_planned_version, has been ready on E for watch_s.  */
 static void
 reset_failures (const pu_planner_t *p, const pu_planned_engine_t *e,
                 guint64 now)
@@ -272,7 +272,7 @@
   e->copies = copies;
   e->known = true;
   e->usable = from->usable;
-  e->closed = from->closed;
+  e->loads_suspended = from->loads_suspended;
   e->zone = from->zone;
   e->accelerators = from->accelerators;
   e->memory_mb = from->memory_mb;
@@ -359,8 +359,8 @@
                        double stream_ms)
 {
   grow_items (p, item);
-  pu_forecast_add (&pu_planned_item (p, item)->forecast, &p->common, requests,
-                   stream_ms);
+  pu_forecast_add (&pu_planned_item (p, item)->forecast, &p->request_stats,
+                   requests, stream_ms);
 }
 
 /* Returns a version of ITEM other than the declared one that has a ready copy,
@@ -496,7 +496,7 @@
 
       if (e->deferred && e->usable && e->deferred_load.c.item == item)
         {
-          return pu_planned_item (p, item)->coming == 1
+          return pu_planned_item (p, item)->pending_loads == 1
                  && pu_planned_free_mb (e) >= e->deferred_load.c.memory_mb;
         }
     }
@@ -513,7 +513,7 @@
   t = pu_planned_item (p, item);
   if (t->ready > 0)
     return PU_ITEM_STATE_READY;
-  if (t->coming > 0)
+  if (t->pending_loads > 0)
     {
       return waits_for_store (p, item) ? PU_ITEM_STATE_WAIT_STORE
                                        : PU_ITEM_STATE_LOADING;
@@ -525,8 +525,8 @@
   return PU_ITEM_STATE_WAIT_STORE;
 }
 
-/* Whether the copy of VERSION of ITEM on E is ready, or is leaving and may
-   still be ready.  */
+/* Whether the copy of VERSION of ITEM on E is ready, or is being unloaded and
+   may still be ready.  */
 static bool
 may_be_ready_on (const pu_planned_engine_t *e, guint32 item, guint32 version)
 {
--- a/libplantainusher/placement/planner_test.cc
+++ b/libplantainusher/placement/planner_test.cc
@@ -432,9 +432,9 @@
       << "all engines but the one with item 1's last copy";
 }
 
-/* Two models are overloaded: one by half of what its four copies can serve,
-   the other forty times.  The second gets the copy, although that needs an
-   eviction.  */
+/* Two models are overloaded: the demand for one is 1.5 times what its four
+   copies can serve, that for the other forty times.  The second gets the copy,
+   although that needs an eviction.  */
 TEST_F (Planner, MostOverloadedItemGrowsFirst)
 {
   AddEngines (7);
@@ -460,13 +460,13 @@
 /* Guards against counting the load of a busy engine as the demand of a copy
    that is being unloaded there.  Item 0 has hardly any demand, so one more
    copy of it relieves no engine.  */
-TEST_F (Planner, LoadBesideALeavingCopyDoesNotGrowItsItem)
+TEST_F (Planner, LoadBesideAnUnloadingCopyDoesNotGrowItsItem)
 {
   AddEngines (3);
   DeclareItem (0, 30);
   DeclareItem (1, 60);
   DeclareItem (2, 60);
-  copies[0] = { { 1, 1, 60, PU_PLAN_READY }, { 0, 1, 30, PU_PLAN_LEAVING } };
+  copies[0] = { { 1, 1, 60, PU_PLAN_READY }, { 0, 1, 30, PU_PLAN_UNLOADING } };
   copies[1] = { { 2, 1, 60, PU_PLAN_READY }, { 0, 1, 30, PU_PLAN_READY } };
   for (guint32 i = 0; i < 3; i++)
     ReportEngine (i);
--- a/libplantainusher/placer/sequenced.c
+++ b/libplantainusher/placer/sequenced.c
@@ -287,7 +287,7 @@
     case PU_DISPATCHER_ABSENT:
       break;
     }
-  return PU_PLAN_LEAVING;
+  return PU_PLAN_UNLOADING;
 }
 
 /* Memory that adapters may come to take on an engine of class C: as many of
@@ -326,7 +326,7 @@
   p.zone = pu_names_get (&l->zones, e->zone);
   p.memory_mb = c->memory_mb - MIN (c->memory_mb, adapter_room (l, c));
   p.usable = e->usable && pu_dispatcher_accepts_orders (l->dispatcher, handle);
-  p.closed
+  p.loads_suspended
       = !p.usable || pu_dispatcher_has_unknown_order (l->dispatcher, handle);
   pu_dispatcher_set_capacity (l->dispatcher, handle, p.memory_mb);
   pu_dispatcher_set_adapter_slots (l->dispatcher, handle, c->adapter_places);
--- a/libplantainusher/placer/sequenced_wants.c
+++ b/libplantainusher/placer/sequenced_wants.c
@@ -59,7 +59,7 @@
 
       if (e->name == NULL || !e->usable)
         continue;
-      d.quick = g_hash_table_contains (e->cached, GUINT_TO_POINTER (base));
+      d.cached = g_hash_table_contains (e->cached, GUINT_TO_POINTER (base));
       g_array_append_val (engines, d);
     }
   ms = pu_due_ms (l->dispatcher,
