--- a/libplantainusher/placement/planner.h
+++ b/libplantainusher/placement/planner.h
@@ -128,7 +128,7 @@
 
 typedef struct
 {
-  double moves_weight; /* 0: attainment only, 1: fewest moves */
+  double moves_weight; /* 0: most requests served on time, 1: fewest moves */
   double payback_s;    /* the gain of a move within this time must exceed its
                           price */
   double move_price;   /* late stream-seconds per move at moves_weight 0 */
