--- a/libplantainusher/placer/sequenced_copy_requests.c
+++ b/libplantainusher/placer/sequenced_copy_requests.c
@@ -59,7 +59,7 @@
 
       if (e->name == NULL || !e->usable)
         continue;
-      d.quick
+      d.cached
           = g_hash_table_contains (e->cached_items, GUINT_TO_POINTER (base));
       g_array_append_val (engines, d);
     }
