--- a/libplantainusher/control/feed.c
+++ b/libplantainusher/control/feed.c
@@ -4,16 +4,16 @@
 {
   uint64_t position;
   GBytes *bytes;
-  GBytes *delta; /* or NULL */
-} item_t;
+  GBytes *delta; /* may be NULL */
+} feed_entry_t;
 
 struct pu_feed
 {
-  GQueue items; /* item_t, oldest first */
+  GQueue entries; /* feed_entry_t, oldest first */
   guint entries_max;
   size_t bytes_max;
   size_t bytes;
-  uint64_t from; /* everything public after it is in ITEMS */
+  uint64_t covered_after; /* ENTRIES holds all public entries after it */
   uint64_t newest;
 };
 
@@ -22,14 +22,14 @@
 {
   pu_feed_t *f = g_new0 (pu_feed_t, 1);
 
-  g_queue_init (&f->items);
+  g_queue_init (&f->entries);
   f->entries_max = entries_max;
   f->bytes_max = bytes_max;
   return f;
 }
 
 static size_t
-item_size (const item_t *i)
+entry_size (const feed_entry_t *i)
 {
   size_t size = g_bytes_get_size (i->bytes);
 
@@ -37,12 +37,12 @@
 }
 
 static void
-drop_oldest (pu_feed_t *f)
+evict_oldest (pu_feed_t *f)
 {
-  item_t *i = g_queue_pop_head (&f->items);
+  feed_entry_t *i = g_queue_pop_head (&f->entries);
 
-  f->from = i->position;
-  f->bytes -= item_size (i);
+  f->covered_after = i->position;
+  f->bytes -= entry_size (i);
   g_bytes_unref (i->bytes);
   if (i->delta != NULL)
     g_bytes_unref (i->delta);
@@ -52,11 +52,11 @@
 void
 pu_feed_reset (pu_feed_t *f, uint64_t position)
 {
-  while (!g_queue_is_empty (&f->items))
+  while (!g_queue_is_empty (&f->entries))
     {
-      drop_oldest (f);
+      evict_oldest (f);
     }
-  f->from = position;
+  f->covered_after = position;
   f->newest = position;
 }
 
@@ -73,24 +73,24 @@
 pu_feed_add (pu_feed_t *f, uint64_t position, const void *bytes, size_t len,
              GBytes *delta)
 {
-  item_t *i = g_new0 (item_t, 1);
+  feed_entry_t *i = g_new0 (feed_entry_t, 1);
 
   i->position = position;
   i->bytes = g_bytes_new (bytes, len);
   i->delta = delta;
-  g_queue_push_tail (&f->items, i);
-  f->bytes += item_size (i);
+  g_queue_push_tail (&f->entries, i);
+  f->bytes += entry_size (i);
   f->newest = position;
-  while (f->items.length > f->entries_max || f->bytes > f->bytes_max)
+  while (f->entries.length > f->entries_max || f->bytes > f->bytes_max)
     {
-      drop_oldest (f);
+      evict_oldest (f);
     }
 }
 
 bool
 pu_feed_covers (const pu_feed_t *f, uint64_t position)
 {
-  return position >= f->from;
+  return position >= f->covered_after;
 }
 
 uint64_t
@@ -99,15 +99,16 @@
   return f->newest;
 }
 
-/* first_after - the oldest link after POSITION; readers are near the end.  */
+/* first_after - returns the link of the oldest entry after POSITION, or NULL.
+   Searches from the newest entry, as most readers are close to it.  */
 static const GList *
 first_after (const pu_feed_t *f, uint64_t position)
 {
   const GList *found = NULL;
 
-  for (const GList *l = f->items.tail; l != NULL; l = l->prev)
+  for (const GList *l = f->entries.tail; l != NULL; l = l->prev)
     {
-      if (((const item_t *)l->data)->position <= position)
+      if (((const feed_entry_t *)l->data)->position <= position)
         break;
       found = l;
     }
@@ -124,7 +125,7 @@
   for (const GList *l = first_after (f, position); l != NULL && n < max;
        l = l->next)
     {
-      const item_t *i = l->data;
+      const feed_entry_t *i = l->data;
       gsize size;
       gconstpointer bytes = g_bytes_get_data (
           deltas && i->delta != NULL ? i->delta : i->bytes, &size);
--- a/libplantainusher/control/feed.h
+++ b/libplantainusher/control/feed.h
@@ -10,36 +10,44 @@
 G_BEGIN_DECLS
 
 /*
- * feed - the newest public entries of the log, bounded, for those who poll.
+ * feed - bounded buffer of the newest public entries of the log, from which a
+ * voter answers polls.
  *
- * A core.  A reader whose position lies before the oldest entry kept needs an
- * image.
+ * The feed does no I/O and reads no clock.  A reader whose position lies
+ * before the oldest retained entry needs an image of the state instead.
  */
 
 typedef struct pu_feed pu_feed_t;
 
+/* pu_feed_new - returns an empty feed that retains at most ENTRIES_MAX entries
+   and BYTES_MAX bytes.  */
 pu_feed_t *pu_feed_new (guint entries_max, size_t bytes_max);
 void pu_feed_free (pu_feed_t *f);
 
-/* pu_feed_reset - forgets all: the state is an image as of POSITION.  */
+/* pu_feed_reset - removes all entries after the state was replaced by an image
+   as of POSITION.  */
 void pu_feed_reset (pu_feed_t *f, uint64_t position);
 
-/* pu_feed_add - the public entry at POSITION, above all earlier ones.  DELTA,
-   which is taken, says the same in less to a reader that takes deltas; it may
-   be NULL.  */
+/* pu_feed_add - appends the public entry at POSITION, which is higher than all
+   earlier positions, and evicts the oldest entries beyond the limits.  DELTA
+   is a shorter encoding of the same change for readers that accept deltas, or
+   NULL; the feed takes ownership of it.  */
 void pu_feed_add (pu_feed_t *f, uint64_t position, const void *bytes,
                   size_t len, GBytes *delta);
 
-/* pu_feed_covers - whether a reader at POSITION can go on without an image. */
+/* pu_feed_covers - whether the feed holds all public entries after POSITION,
+   so that a reader there needs no image.  */
 bool pu_feed_covers (const pu_feed_t *f, uint64_t position);
 
-/* pu_feed_newest - position of the newest public entry or image.  */
+/* pu_feed_newest - returns the position of the newest public entry, or of the
+   image if there is none after it.  */
 uint64_t pu_feed_newest (const pu_feed_t *f);
 
-/* pu_feed_read - fills ENTRIES, of room for MAX, with those after POSITION, up
-   to BYTES_MAX (one at least), as DELTAS where there are and those are wanted.
-    The bytes stay the feed's, until the next
-   change.  Returns how many.  */
+/* pu_feed_read - fills ENTRIES with at most MAX entries after POSITION, oldest
+   first, of at most BYTES_MAX bytes in total; the first entry may exceed that.
+   With DELTAS, an entry that has a delta is given as the delta.  The bytes
+   belong to the feed and are valid until it changes.  Returns the number of
+   entries.  */
 guint pu_feed_read (const pu_feed_t *f, uint64_t position,
                     pu_public_entry *entries, guint max, size_t bytes_max,
                     bool deltas);
--- a/libplantainusher/control/feed_test.cc
+++ b/libplantainusher/control/feed_test.cc
@@ -12,8 +12,8 @@
 {
 
 std::vector<uint64_t>
-read_feed (pu_feed_t *f, uint64_t after, size_t bytes = 1000,
-           bool deltas = false)
+read_positions (pu_feed_t *f, uint64_t after, size_t bytes = 1000,
+                bool deltas = false)
 {
   pu_public_entry e[16];
   std::vector<uint64_t> got;
@@ -24,7 +24,7 @@
   return got;
 }
 
-TEST (Feed, KeepsTheNewestAndKnowsWhatItCovers)
+TEST (Feed, RetainsTheNewestEntriesAndTellsWhetherAPositionIsCovered)
 {
   using List = std::vector<uint64_t>;
   pu_feed_t *f = pu_feed_new (3, 100);
@@ -34,20 +34,21 @@
   EXPECT_TRUE (pu_feed_covers (f, 5));
   for (uint64_t p : { 7, 8, 10, 12 })
     pu_feed_add (f, p, "12345678", 8, nullptr);
-  EXPECT_FALSE (pu_feed_covers (f, 6)) << "7 is gone";
+  EXPECT_FALSE (pu_feed_covers (f, 6)) << "entry 7 is evicted";
   EXPECT_TRUE (pu_feed_covers (f, 7));
-  EXPECT_EQ (read_feed (f, 7), (List{ 8, 10, 12 }));
-  EXPECT_EQ (read_feed (f, 9), (List{ 10, 12 }));
-  EXPECT_EQ (read_feed (f, 12), List{});
-  EXPECT_EQ (read_feed (f, 7, 16), (List{ 8, 10 }));
-  EXPECT_EQ (read_feed (f, 7, 1), List{ 8 }) << "one at least";
+  EXPECT_EQ (read_positions (f, 7), (List{ 8, 10, 12 }));
+  EXPECT_EQ (read_positions (f, 9), (List{ 10, 12 }));
+  EXPECT_EQ (read_positions (f, 12), List{});
+  EXPECT_EQ (read_positions (f, 7, 16), (List{ 8, 10 }));
+  EXPECT_EQ (read_positions (f, 7, 1), List{ 8 }) << "at least one entry";
   pu_feed_add (f, 13, std::string (95, 'x').data (), 95, nullptr);
-  EXPECT_EQ (read_feed (f, 12), List{ 13 });
-  EXPECT_FALSE (pu_feed_covers (f, 11)) << "bytes are bounded too";
+  EXPECT_EQ (read_positions (f, 12), List{ 13 });
+  EXPECT_FALSE (pu_feed_covers (f, 11))
+      << "the byte limit evicts entries, too";
   pu_feed_free (f);
 }
 
-TEST (Feed, GivesDeltasToThoseWhoTakeThem)
+TEST (Feed, ReturnsDeltasToReadersThatAcceptThem)
 {
   pu_feed_t *f = pu_feed_new (10, 100);
   pu_public_entry e[1];
@@ -57,7 +58,7 @@
   EXPECT_EQ (e[0].command.command_len, 8U);
   ASSERT_EQ (pu_feed_read (f, 0, e, 1, 100, true), 1U);
   EXPECT_EQ (e[0].command.command_len, 3U);
-  EXPECT_EQ (read_feed (f, 0, 100, true), std::vector<uint64_t>{ 1 });
+  EXPECT_EQ (read_positions (f, 0, 100, true), std::vector<uint64_t>{ 1 });
   pu_feed_free (f);
 }
 
--- a/libplantainusher/control/lead.c
+++ b/libplantainusher/control/lead.c
@@ -4,17 +4,17 @@
 
 #include "base/log.h"
 
-/* What the leader was told of a daemon.  */
+/* The session of a daemon, as reported to the leader.  */
 typedef struct
 {
   uint64_t incarnation;
   uint64_t position;
-  uint64_t heard;
-  char *voter;
+  uint64_t last_heard; /* ms */
+  char *voter;         /* the voter that the daemon polls */
 } heard_t;
 
 static void
-heard_free (gpointer p)
+daemon_session_free (gpointer p)
 {
   heard_t *h = p;
 
@@ -26,8 +26,8 @@
 pu_control_lead_init (pu_control_t *c)
 {
   c->membership = pu_membership_new (&c->options.membership);
-  c->heard
-      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, heard_free);
+  c->heard = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
+                                    daemon_session_free);
   c->duties = g_array_new (FALSE, FALSE, sizeof (pu_control_duty_t));
 }
 
@@ -42,8 +42,8 @@
 /* --- sessions --- */
 
 static void
-heard_take (pu_control_t *c, const pu_session *s, const char *voter,
-            uint64_t at)
+daemon_session_update (pu_control_t *c, const pu_session *s, const char *voter,
+                       uint64_t at)
 {
   heard_t *h = g_hash_table_lookup (c->heard, s->name);
 
@@ -52,34 +52,36 @@
       h = g_new0 (heard_t, 1);
       g_hash_table_insert (c->heard, g_strdup (s->name), h);
     }
-  if (s->incarnation < h->incarnation || at < h->heard)
+  if (s->incarnation < h->incarnation || at < h->last_heard)
     return;
   h->incarnation = s->incarnation;
   h->position = s->position;
-  h->heard = at;
+  h->last_heard = at;
   g_free (h->voter);
   h->voter = g_strdup (voter);
 }
 
+/* time_at_age - returns the time AGE ms before NOW, at least 0.  */
 static uint64_t
-before (uint64_t now, uint64_t age)
+time_at_age (uint64_t now, uint64_t age)
 {
   return now > age ? now - age : 0;
 }
 
 static void
-session_take (pu_control_t *c, const pu_session *s, const char *voter,
-              uint64_t now)
+session_apply (pu_control_t *c, const pu_session *s, const char *voter,
+               uint64_t now)
 {
-  heard_take (c, s, voter, before (now, s->age_ms));
+  daemon_session_update (c, s, voter, time_at_age (now, s->age_ms));
   pu_membership_heard (c->membership, PU_SUBJECT_MEMBER, s->name,
-                       s->incarnation, voter, before (now, s->age_ms));
+                       s->incarnation, voter, time_at_age (now, s->age_ms));
   for (u_int i = 0; i < s->renewals.renewals_len; i++)
     {
       const pu_renewal *r = &s->renewals.renewals_val[i];
 
       pu_membership_heard (c->membership, PU_SUBJECT_BACKEND, r->backend,
-                           r->incarnation, s->name, before (now, r->age_ms));
+                           r->incarnation, s->name,
+                           time_at_age (now, r->age_ms));
     }
   for (u_int i = 0; i < s->demand.demand_len && c->demand != NULL; i++)
     {
@@ -90,12 +92,12 @@
 }
 
 static void
-sessions_take (pu_control_t *c, const pu_sessions *m, uint64_t now)
+sessions_apply (pu_control_t *c, const pu_sessions *m, uint64_t now)
 {
   pu_membership_route_heard (c->membership, m->voter, now);
   for (u_int i = 0; i < m->sessions.sessions_len; i++)
     {
-      session_take (c, &m->sessions.sessions_val[i], m->voter, now);
+      session_apply (c, &m->sessions.sessions_val[i], m->voter, now);
     }
 }
 
@@ -111,7 +113,7 @@
       || !pu_codec_decode ((xdrproc_t)xdr_pu_sessions, &m, sizeof m, body, n,
                            NULL))
     return;
-  sessions_take (c, &m, pu_control_now (c));
+  sessions_apply (c, &m, pu_control_now (c));
   xdr_free ((xdrproc_t)xdr_pu_sessions, &m);
 }
 
@@ -140,7 +142,7 @@
 pu_control_send_sessions (pu_control_t *c, uint64_t now)
 {
   pu_sessions *m;
-  bool taken = false;
+  bool consumed = false;
 
   if (now - c->sessions_sent < c->options.sessions_ms)
     return;
@@ -148,30 +150,30 @@
   m = pu_sessions_message (c->sessions, c->name, now);
   if (c->leading)
     {
-      sessions_take (c, m, now);
-      taken = true;
+      sessions_apply (c, m, now);
+      consumed = true;
     }
   else if (!pu_group_is_leader (c->group))
     {
-      taken = sessions_send (c, m);
+      consumed = sessions_send (c, m);
     }
   pu_sessions_message_free (m);
-  if (taken)
+  if (consumed)
     pu_sessions_clear (c->sessions);
 }
 
-/* --- the leader's own duty: who is down --- */
+/* --- failure detection by the leader --- */
 
 typedef struct
 {
   pu_control_t *control;
   uint64_t now;
-} expect_t;
+} expect_args_t;
 
 static void
 expect_member (const pu_member_record *m, void *data)
 {
-  const expect_t *x = data;
+  const expect_args_t *x = data;
 
   pu_membership_expect (x->control->membership, PU_SUBJECT_MEMBER, m->name,
                         m->incarnation, x->now);
@@ -180,7 +182,7 @@
 static void
 expect_backend (const pu_backend_record *b, void *data)
 {
-  const expect_t *x = data;
+  const expect_args_t *x = data;
 
   if (!b->down)
     {
@@ -190,7 +192,7 @@
 }
 
 static void
-on_buried (void *data, const pu_reply *r, const pu_error_t *e)
+on_down_proposed (void *data, const pu_reply *r, const pu_error_t *e)
 {
   (void)data;
   (void)r;
@@ -198,7 +200,7 @@
 }
 
 static void
-bury (pu_control_t *c, const pu_membership_verdict_t *v)
+propose_down (pu_control_t *c, const pu_membership_verdict_t *v)
 {
   pu_down down = { .name = (char *)v->name, .incarnation = v->incarnation };
   pu_command command = { 0 };
@@ -217,7 +219,7 @@
                "%s %s was silent for %" G_GUINT64_FORMAT " ms: it is down.",
                v->kind == PU_SUBJECT_MEMBER ? "Instance" : "Backend server",
                v->name, v->silent_ms);
-  pu_control_propose (c, &command, on_buried, NULL);
+  pu_control_propose (c, &command, on_down_proposed, NULL);
 }
 
 static void
@@ -225,23 +227,24 @@
 {
   GArray *verdicts
       = g_array_new (FALSE, FALSE, sizeof (pu_membership_verdict_t));
-  expect_t x = { c, now };
+  expect_args_t x = { c, now };
 
   pu_state_each_member (c->state, expect_member, &x);
   pu_state_each_backend (c->state, expect_backend, &x);
   pu_membership_tick (c->membership, now, verdicts);
   for (guint i = 0; i < verdicts->len; i++)
     {
-      bury (c, &g_array_index (verdicts, pu_membership_verdict_t, i));
+      propose_down (c, &g_array_index (verdicts, pu_membership_verdict_t, i));
     }
   g_array_unref (verdicts);
 }
 
-/* --- leading --- */
+/* --- leadership --- */
 
-/* is_caught_up - everything that was committed before is applied here.  */
+/* has_applied_committed - whether this voter has applied all entries that it
+   knows to be committed.  */
 static bool
-is_caught_up (const pu_control_t *c)
+has_applied_committed (const pu_control_t *c)
 {
   json_t *status = pu_group_status (c->group);
   json_int_t applied
@@ -252,7 +255,7 @@
 }
 
 static void
-lead_begin (pu_control_t *c, uint64_t now)
+leadership_begin (pu_control_t *c, uint64_t now)
 {
   c->leading = true;
   c->term = pu_group_term (c->group);
@@ -297,10 +300,10 @@
     pu_control_lead_end (c);
   if (!holds)
     return;
-  if (!c->leading && !is_caught_up (c))
+  if (!c->leading && !has_applied_committed (c))
     return;
   if (!c->leading)
-    lead_begin (c, now);
+    leadership_begin (c, now);
   membership_tick (c, now);
   for (guint i = 0; i < c->duties->len; i++)
     {
@@ -312,7 +315,7 @@
     }
 }
 
-/* --- what operators see --- */
+/* --- status --- */
 
 json_t *
 pu_control_sessions_json (pu_control_t *c)
@@ -327,7 +330,7 @@
   while (g_hash_table_iter_next (&iter, &key, &value))
     {
       const heard_t *h = value;
-      uint64_t silent = now - h->heard;
+      uint64_t silent = now - h->last_heard;
       uint64_t allowed = 0;
 
       pu_membership_silent (c->membership, PU_SUBJECT_MEMBER, key, now,
--- a/libplantainusher/control/pace.c
+++ b/libplantainusher/control/pace.c
@@ -1,14 +1,14 @@
 #include "control/pace.h"
 
 static uint64_t
-due_of (const pu_pace_t *p, pu_news_t news, uint64_t now)
+due_time (const pu_pace_t *p, pu_news_t urgency, uint64_t now)
 {
-  switch (news)
+  switch (urgency)
     {
     case PU_NEWS_AT_ONCE:
       return now;
     case PU_NEWS_SOON:
-      return MAX (now, p->told_at + PU_PACE_SOON_MS);
+      return MAX (now, p->sent_at + PU_PACE_MIN_INTERVAL_MS);
     case PU_NEWS_GATHERED:
       return now + p->gather_ms;
     }
@@ -16,25 +16,25 @@
 }
 
 uint64_t
-pu_pace_news (pu_pace_t *p, pu_news_t news, uint64_t now)
+pu_pace_schedule (pu_pace_t *p, pu_news_t urgency, uint64_t now)
 {
-  uint64_t due = due_of (p, news, now);
+  uint64_t due = due_time (p, urgency, now);
 
-  p->due = p->waits ? MIN (p->due, due) : due;
-  p->waits = true;
+  p->due = p->pending ? MIN (p->due, due) : due;
+  p->pending = true;
   return p->due > now ? p->due - now : 0;
 }
 
 void
-pu_pace_tell (pu_pace_t *p, uint64_t position, uint64_t now)
+pu_pace_mark_sent (pu_pace_t *p, uint64_t position, uint64_t now)
 {
-  p->told = MAX (p->told, position);
-  p->told_at = now;
-  p->waits = false;
+  p->sent_position = MAX (p->sent_position, position);
+  p->sent_at = now;
+  p->pending = false;
 }
 
 bool
-pu_pace_is_late (const pu_pace_t *p, uint64_t position)
+pu_pace_is_stale (const pu_pace_t *p, uint64_t position)
 {
-  return position < p->told;
+  return position < p->sent_position;
 }
--- a/libplantainusher/control/pace.h
+++ b/libplantainusher/control/pace.h
@@ -8,46 +8,53 @@
 G_BEGIN_DECLS
 
 /*
- * pace - when a voter tells those who poll it what is new.
+ * pace - decides when a voter notifies the daemons whose polls are pending.
  *
- * A core.  The load that it answers: thousands of backend servers check in
- * within seconds, or hundreds of instances start.  Told one by one, each
- * record costs an answer and a poll for each daemon; an answer with a hundred
- * records costs little more than one with one.  So the first news after a
- * pause goes at once, and what follows is gathered.
+ * The pace does no I/O and reads no clock: `now` is monotonic milliseconds.
+ *
+ * Thousands of backend servers may check in, or hundreds of instances start,
+ * within seconds.  If each record were sent on its own, it would cost one
+ * reply and one poll for each daemon, while a reply with a hundred records
+ * costs little more than a reply with one.  So the first change after a pause
+ * is sent at once, and the changes that follow are batched.
  */
 
-/* Least time between two tellings of all else but documents, ms.  Who comes
-   and goes is to be known before requests fail of it.  */
-#define PU_PACE_SOON_MS 100
+/* Minimum interval between rate-limited notifications.  Short, because daemons
+   must learn which instances and backend servers come and go before requests
+   fail.  */
+#define PU_PACE_MIN_INTERVAL_MS 100
 
 typedef enum
 {
-  PU_NEWS_AT_ONCE, /* a document: in force everywhere within seconds */
-  PU_NEWS_SOON,    /* at once after a pause, else gathered */
-  PU_NEWS_GATHERED /* always gathered: a change of copies, which costs less
-                      than half of the bytes of its answer and poll */
+  PU_NEWS_AT_ONCE, /* a document, which must be in force everywhere within
+                      seconds: no delay */
+  PU_NEWS_SOON,    /* no delay after a pause, else rate-limited */
+  PU_NEWS_GATHERED /* always batched: a change of copies, which is less than
+                      half of the bytes of the reply and the poll it costs */
 } pu_news_t;
 
 typedef struct
 {
-  uint32_t gather_ms; /* PU_NEWS_GATHERED waits for so long */
-  uint64_t told;      /* up to this position all who wait were told */
-  uint64_t told_at;   /* when, ms */
-  uint64_t due;       /* when the rest is to be told, ms; with WAITS */
-  bool waits;
+  uint32_t gather_ms;     /* delay of PU_NEWS_GATHERED */
+  uint64_t sent_position; /* all pending polls were sent entries up to it */
+  uint64_t sent_at;       /* time of the last notification, ms */
+  uint64_t due;           /* time of the next notification, ms, if PENDING */
+  bool pending;
 } pu_pace_t;
 
-/* pu_pace_news - there is something NEW.  Returns the ms from NOW until it,
-   and all that waits, is to be told.  */
-uint64_t pu_pace_news (pu_pace_t *p, pu_news_t news, uint64_t now);
+/* pu_pace_schedule - schedules the notification of a change of URGENCY.
+   Returns the milliseconds from NOW until the notification, which covers all
+   pending changes.  */
+uint64_t pu_pace_schedule (pu_pace_t *p, pu_news_t urgency, uint64_t now);
 
-/* pu_pace_tell - now is when all up to POSITION is told.  */
-void pu_pace_tell (pu_pace_t *p, uint64_t position, uint64_t now);
+/* pu_pace_mark_sent - records that all entries up to POSITION are sent at
+   NOW, so that no change is pending.  */
+void pu_pace_mark_sent (pu_pace_t *p, uint64_t position, uint64_t now);
 
-/* pu_pace_is_late - whether a reader that has all up to POSITION lacks what
-   others were told, and so is not to wait with them.  */
-bool pu_pace_is_late (const pu_pace_t *p, uint64_t position);
+/* pu_pace_is_stale - whether a reader at POSITION lacks entries that other
+   readers were already sent, so that it must not wait for the next
+   notification.  */
+bool pu_pace_is_stale (const pu_pace_t *p, uint64_t position);
 
 G_END_DECLS
 
--- a/libplantainusher/control/pace_test.cc
+++ b/libplantainusher/control/pace_test.cc
@@ -8,84 +8,84 @@
 namespace
 {
 
-constexpr uint32_t gather = 250;
-constexpr uint64_t soon = PU_PACE_SOON_MS;
+constexpr uint32_t gather_ms = 250;
+constexpr uint64_t min_interval_ms = PU_PACE_MIN_INTERVAL_MS;
 
 pu_pace_t
-Pace ()
+new_pace ()
 {
   pu_pace_t p = {};
 
-  p.gather_ms = gather;
+  p.gather_ms = gather_ms;
   return p;
 }
 
-TEST (Pace, FirstNewsAfterAPauseGoesAtOnce)
+TEST (Pace, FirstChangeAfterAPauseIsSentAtOnce)
 {
-  pu_pace_t p = Pace ();
+  pu_pace_t p = new_pace ();
 
-  EXPECT_EQ (0U, pu_pace_news (&p, PU_NEWS_SOON, 10000));
-  pu_pace_tell (&p, 1, 10000);
-  EXPECT_EQ (0U, pu_pace_news (&p, PU_NEWS_SOON, 10000 + soon));
+  EXPECT_EQ (0U, pu_pace_schedule (&p, PU_NEWS_SOON, 10000));
+  pu_pace_mark_sent (&p, 1, 10000);
+  EXPECT_EQ (0U, pu_pace_schedule (&p, PU_NEWS_SOON, 10000 + min_interval_ms));
 }
 
-/* 3,000 backend servers check in within three seconds: those who poll are told
-   thirty times, not 3,000 times.  */
-TEST (Pace, RushIsToldInFewAnswers)
+/* 3,000 backend servers check in within three seconds.  Each pending poll must
+   get about thirty notifications, not 3,000.  */
+TEST (Pace, BurstOfChangesIsSentInFewNotifications)
 {
-  pu_pace_t p = Pace ();
-  uint64_t position = 0, due = 0, longest = 0, oldest = 0;
-  int told = 0;
+  pu_pace_t p = new_pace ();
+  uint64_t position = 0, due = 0, longest_delay = 0, oldest_pending = 0;
+  int notifications = 0;
 
   for (uint64_t now = 10000; now < 13000; now++)
     {
-      if (p.waits && now >= due)
+      if (p.pending && now >= due)
         {
-          pu_pace_tell (&p, position, now);
-          longest = MAX (longest, now - oldest);
-          told++;
+          pu_pace_mark_sent (&p, position, now);
+          longest_delay = MAX (longest_delay, now - oldest_pending);
+          notifications++;
         }
-      if (!p.waits)
-        oldest = now;
+      if (!p.pending)
+        oldest_pending = now;
       position++;
-      due = now + pu_pace_news (&p, PU_NEWS_SOON, now);
+      due = now + pu_pace_schedule (&p, PU_NEWS_SOON, now);
     }
-  EXPECT_LE (told, 31);
-  EXPECT_GE (told, 28);
-  EXPECT_LE (longest, soon);
+  EXPECT_LE (notifications, 31);
+  EXPECT_GE (notifications, 28);
+  EXPECT_LE (longest_delay, min_interval_ms);
 }
 
-TEST (Pace, DocumentDoesNotWaitAndTakesAlongWhatDoes)
+TEST (Pace, DocumentIsSentAtOnceWithAllPendingChanges)
 {
-  pu_pace_t p = Pace ();
+  pu_pace_t p = new_pace ();
 
-  pu_pace_tell (&p, 1, 10000);
-  EXPECT_EQ (soon - 10, pu_pace_news (&p, PU_NEWS_SOON, 10010));
-  EXPECT_EQ (0U, pu_pace_news (&p, PU_NEWS_AT_ONCE, 10020));
-  pu_pace_tell (&p, 3, 10020);
-  EXPECT_FALSE (p.waits);
+  pu_pace_mark_sent (&p, 1, 10000);
+  EXPECT_EQ (min_interval_ms - 10, pu_pace_schedule (&p, PU_NEWS_SOON, 10010));
+  EXPECT_EQ (0U, pu_pace_schedule (&p, PU_NEWS_AT_ONCE, 10020));
+  pu_pace_mark_sent (&p, 3, 10020);
+  EXPECT_FALSE (p.pending);
 }
 
-/* What comes later doesn't put off what waits.  */
-TEST (Pace, ChangesOfCopiesAreGatheredButNotForEver)
+/* Later changes must not postpone a pending notification.  */
+TEST (Pace, ChangesOfCopiesAreBatchedForALimitedTime)
 {
-  pu_pace_t p = Pace ();
+  pu_pace_t p = new_pace ();
 
-  EXPECT_EQ (gather, pu_pace_news (&p, PU_NEWS_GATHERED, 10000));
-  EXPECT_EQ (gather - 100, pu_pace_news (&p, PU_NEWS_GATHERED, 10100));
-  EXPECT_EQ (0U, pu_pace_news (&p, PU_NEWS_SOON, 10110));
+  EXPECT_EQ (gather_ms, pu_pace_schedule (&p, PU_NEWS_GATHERED, 10000));
+  EXPECT_EQ (gather_ms - 100, pu_pace_schedule (&p, PU_NEWS_GATHERED, 10100));
+  EXPECT_EQ (0U, pu_pace_schedule (&p, PU_NEWS_SOON, 10110));
 }
 
-/* One that was on its way while the others were told is not made to wait; one
-   that has what they have waits with them.  */
-TEST (Pace, WhoLacksWhatOthersWereToldIsLate)
+/* A poll that arrives just after a notification lacks its entries and must not
+   wait for the next one; a poll that has these entries waits.  */
+TEST (Pace, ReaderThatMissedANotificationIsStale)
 {
-  pu_pace_t p = Pace ();
+  pu_pace_t p = new_pace ();
 
-  pu_pace_tell (&p, 7, 10000);
-  pu_pace_news (&p, PU_NEWS_SOON, 10010);
-  EXPECT_TRUE (pu_pace_is_late (&p, 6));
-  EXPECT_FALSE (pu_pace_is_late (&p, 7));
+  pu_pace_mark_sent (&p, 7, 10000);
+  pu_pace_schedule (&p, PU_NEWS_SOON, 10010);
+  EXPECT_TRUE (pu_pace_is_stale (&p, 6));
+  EXPECT_FALSE (pu_pace_is_stale (&p, 7));
 }
 
 }
--- a/libplantainusher/control/polls.c
+++ b/libplantainusher/control/polls.c
@@ -3,16 +3,17 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Longest wait of a poll, whatever it asks for.  */
-#define WAIT_MAX_MS 30000
+/* Upper limit of the wait that a poll asks for.  */
+#define POLL_WAIT_MAX_MS 30000
 
-/* A voter that has not got committed entries for so long, as one whose disk is
-   full, has no news for those who poll it: another voter has.  Entries are in
-   force within two seconds on the platform; a slow sync is over earlier.  */
-#define BEHIND_MAX_MS 500
+/* A voter that has lacked committed entries for longer than this, for example
+   because its disk is full, refuses polls, so that the daemons poll another
+   voter.  Entries are in force within two seconds on the platform, so the
+   limit is well below that; a slow disk sync ends within the limit.  */
+#define VOTER_LAG_MAX_MS 500
 
-/* Most bytes of entries in one answer.  */
-#define ANSWER_BYTES_MAX ((size_t)4 << 20)
+/* Upper limit of the bytes of entries in one reply.  */
+#define REPLY_ENTRIES_MAX_BYTES ((size_t)4 << 20)
 
 typedef struct
 {
@@ -21,12 +22,12 @@
   GList node; /* in control->polls */
   uint64_t position;
   uint64_t voters_hash;
-  bool fresh;
-  bool deltas;
-  uint64_t due;
+  bool needs_state;    /* the daemon has no usable state */
+  bool accepts_deltas; /* entries may be sent as deltas */
+  uint64_t deadline;   /* latest time of the reply, ms */
 } poll_t;
 
-/* --- what an answer holds --- */
+/* --- content of a reply --- */
 
 static uint64_t
 voters_hash (const pu_log_config *config)
@@ -49,10 +50,11 @@
   return hash;
 }
 
-/* put_voters - fills in the voters, unless the reader KNOWS them.  */
+/* reply_set_voters - fills in the voters, unless their hash is KNOWN_HASH,
+   that of the voters that the daemon knows.  */
 static void
-put_voters (pu_poll_reply *r, const pu_group_t *group, uint64_t knows,
-            pu_voter *voters)
+reply_set_voters (pu_poll_reply *r, const pu_group_t *group,
+                  uint64_t known_hash, pu_voter *voters)
 {
   const pu_log_config *config = pu_group_config (group);
   u_int n = 0;
@@ -60,7 +62,7 @@
   r->cluster = config->cluster;
   r->voters_at = pu_group_config_at (group);
   r->voters_hash = voters_hash (config);
-  if (r->voters_hash == knows)
+  if (r->voters_hash == known_hash)
     return;
   for (u_int i = 0; i < config->members.members_len; i++)
     {
@@ -76,34 +78,38 @@
   r->voters.voters_len = n;
 }
 
-/* is_electing - whether this voter has just started and heard of no leader
-   yet.  One that has lost its leader may be cut off.  */
+/* is_first_election - whether this voter started less than electing_ms ago and
+   has not known a leader since.  A voter that has lost its leader may be
+   partitioned and does not count.  */
 static bool
-is_electing (const pu_control_t *c)
+is_first_election (const pu_control_t *c)
 {
   return !c->heard_leader
          && pu_control_now (c) < c->started + c->options.electing_ms;
 }
 
-/* image_state - the state that a daemon without one may be given; NULL when
-   there is none worth having: a voter without a leader that may be cut off,
-   or has nothing yet, must not make a daemon ready.  Until a leader tells what
-   is committed, the log is applied up to its snapshot alone, and the daemon
-   has kept a newer state.  */
+/* select_image_state - returns the state to send to a daemon that has no
+   usable one, or NULL.  An image makes a daemon ready.  A voter without a
+   leader may be partitioned or have no state yet, so it must not send its own.
+   In its first election a voter sends the state that its daemon has saved:
+   until a leader announces the commit index, the log is applied only up to its
+   snapshot, and the saved state is newer.  */
 static const pu_state_t *
-image_state (const pu_control_t *c)
+select_image_state (const pu_control_t *c)
 {
-  const pu_state_t *kept = NULL;
+  const pu_state_t *saved = NULL;
 
   if (pu_control_leader_address (c)[0] != '\0')
     return c->state;
-  if (is_electing (c) && c->options.kept != NULL)
-    kept = c->options.kept (c->options.kept_data);
-  return kept;
+  if (is_first_election (c) && c->options.kept != NULL)
+    saved = c->options.kept (c->options.kept_data);
+  return saved;
 }
 
+/* get_public_image - encodes the public part of STATE, or returns the cached
+   image if STATE has not changed.  The bytes belong to C.  */
 static GBytes *
-public_image (pu_control_t *c, const pu_state_t *state)
+get_public_image (pu_control_t *c, const pu_state_t *state)
 {
   uint64_t position = pu_state_position (state);
 
@@ -116,60 +122,63 @@
   return c->image;
 }
 
-/* put_image - false when there is none.  */
+/* reply_set_image - fills in an image.  Returns false if this voter has no
+   state to send.  */
 static bool
-put_image (pu_control_t *c, pu_poll_reply *r)
+reply_set_image (pu_control_t *c, pu_poll_reply *r)
 {
-  const pu_state_t *state = image_state (c);
+  const pu_state_t *state = select_image_state (c);
   gsize size;
 
   if (state == NULL || pu_state_position (state) == 0)
     return false;
   r->position = pu_state_position (state);
   r->image.image_val
-      = (char *)g_bytes_get_data (public_image (c, state), &size);
+      = (char *)g_bytes_get_data (get_public_image (c, state), &size);
   r->image.image_len = (u_int)size;
   return true;
 }
 
-/* needs_image - whether entries alone don't bring P up to date.  */
+/* needs_image - whether P needs an image because entries alone cannot bring
+   the daemon up to date.  */
 static bool
 needs_image (const pu_control_t *c, const poll_t *p)
 {
-  return p->fresh || !pu_feed_covers (c->feed, p->position);
+  return p->needs_state || !pu_feed_covers (c->feed, p->position);
 }
 
-/* put_news - fills in what P does not have.  False when there is nothing.  The
-   position says up to where the daemon has everything with this answer. */
+/* reply_set_updates - fills in the entries or the image that P lacks, and the
+   position up to which the daemon is up to date after this reply.  Returns
+   false if there is nothing to send.  */
 static bool
-put_news (pu_control_t *c, const poll_t *p, pu_poll_reply *r)
+reply_set_updates (pu_control_t *c, const poll_t *p, pu_poll_reply *r)
 {
   guint n;
 
   r->position = pu_state_position (c->state);
   if (needs_image (c, p))
     {
-      if (put_image (c, r))
+      if (reply_set_image (c, r))
         return true;
       r->position = p->position;
       return false;
     }
   n = pu_feed_read (c->feed, p->position, c->news, PU_CONTROL_LIST_MAX,
-                    ANSWER_BYTES_MAX, p->deltas);
+                    REPLY_ENTRIES_MAX_BYTES, p->accepts_deltas);
   r->entries.entries_val = c->news;
   r->entries.entries_len = n;
-  /* The rest of a full answer comes with the next.  */
+  /* A full reply ends early; the next reply has the remaining entries.  */
   if (n > 0 && c->news[n - 1].position != pu_feed_newest (c->feed))
     r->position = c->news[n - 1].position;
   return n > 0;
 }
 
-/* is_served - whether P is answered now: it lacks what others were told, or
-   needs an image.  */
+/* must_reply_now - whether P must not wait for the next notification: it needs
+   an image or lacks entries that other daemons were already sent.  */
 static bool
-is_served (const pu_control_t *c, const poll_t *p)
+must_reply_now (const pu_control_t *c, const poll_t *p)
 {
-  return needs_image (c, p) || pu_pace_is_late (&c->pace, p->position);
+  return needs_image (c, p) || pu_pace_is_stale (&c->pace, p->position);
 }
 
 static void
@@ -179,7 +188,7 @@
   g_free (p);
 }
 
-/* poll_refuse - the daemon polls the next voter at once.  */
+/* poll_refuse - refuses P, so that the daemon polls another voter.  */
 static void
 poll_refuse (poll_t *p)
 {
@@ -189,44 +198,46 @@
   pu_rpc_call_refuse (call);
 }
 
-/* is_behind - whether others know more than this voter.  An image of an old
-   state would make a daemon ready with it: there a moment is too long.  */
+/* voter_lags - whether this voter lacks committed entries for too long to
+   answer P.  No lag is tolerated for an image, because an image of an old
+   state would make the daemon ready with that state.  */
 static bool
-is_behind (const pu_control_t *c, const poll_t *p)
+voter_lags (const pu_control_t *c, const poll_t *p)
 {
   uint64_t ms = pu_group_behind_ms (c->group);
 
-  return needs_image (c, p) ? ms > 0 : ms > BEHIND_MAX_MS;
+  return needs_image (c, p) ? ms > 0 : ms > VOTER_LAG_MAX_MS;
 }
 
-/* poll_answer - answers P when there is news, or ANYWAY.  */
+/* poll_process - answers P if there are updates or if FORCE is set; otherwise
+   P stays pending.  Refuses P if this voter lags.  */
 static void
-poll_answer (poll_t *p, bool anyway)
+poll_process (poll_t *p, bool force)
 {
   pu_control_t *c = p->control;
   pu_voter voters[PU_CONTROL_VOTERS_MAX];
   pu_rpc_call_t *call = p->call;
   pu_poll_reply r = { 0 };
 
-  if (is_behind (c, p))
+  if (voter_lags (c, p))
     {
       poll_refuse (p);
       return;
     }
-  if (put_news (c, p, &r) || anyway)
+  if (reply_set_updates (c, p, &r) || force)
     {
       r.leader = g_strdup (pu_control_leader_address (c));
-      put_voters (&r, c->group, p->voters_hash, voters);
+      reply_set_voters (&r, c->group, p->voters_hash, voters);
       poll_free (p);
       pu_control_reply_xdr (call, (xdrproc_t)xdr_pu_poll_reply, &r);
       g_free (r.leader);
     }
 }
 
-/* --- those who wait --- */
+/* --- pending polls --- */
 
 static void
-polls_answer (pu_control_t *c, uint64_t now)
+polls_process_all (pu_control_t *c, uint64_t now)
 {
   GList *next;
 
@@ -235,18 +246,18 @@
       poll_t *p = l->data;
 
       next = l->next;
-      poll_answer (p, now >= p->due);
+      poll_process (p, now >= p->deadline);
     }
 }
 
 static void
-on_answer (uv_timer_t *t)
+on_notify_timer (uv_timer_t *t)
 {
   pu_control_t *c = t->data;
   uint64_t now = pu_control_now (c);
 
-  pu_pace_tell (&c->pace, pu_feed_newest (c->feed), now);
-  polls_answer (c, now);
+  pu_pace_mark_sent (&c->pace, pu_feed_newest (c->feed), now);
+  polls_process_all (c, now);
 }
 
 void
@@ -274,15 +285,16 @@
 }
 
 void
-pu_control_polls_wake (pu_control_t *c, pu_news_t news)
+pu_control_polls_wake (pu_control_t *c, pu_news_t urgency)
 {
   uint64_t wait_ms;
 
   if (c->answer == NULL)
     return;
-  wait_ms = pu_pace_news (&c->pace, news, pu_control_now (c));
-  /* Entries that are applied together are answered together.  */
-  uv_timer_start (c->answer, on_answer, wait_ms, 0);
+  wait_ms = pu_pace_schedule (&c->pace, urgency, pu_control_now (c));
+  /* Even without a delay the reply is left to the timer, so that entries that
+     are applied together share one reply.  */
+  uv_timer_start (c->answer, on_notify_timer, wait_ms, 0);
 }
 
 void
@@ -295,8 +307,8 @@
       poll_t *p = l->data;
 
       next = l->next;
-      if (now >= p->due)
-        poll_answer (p, true);
+      if (now >= p->deadline)
+        poll_process (p, true);
     }
 }
 
@@ -308,8 +320,8 @@
 }
 
 static void
-poll_begin (void *data, pu_rpc_call_t *call, const guint8 *body, size_t n,
-            bool deltas)
+handle_poll (void *data, pu_rpc_call_t *call, const guint8 *body, size_t n,
+             bool accepts_deltas)
 {
   pu_control_t *c = data;
   uint64_t now = pu_control_now (c);
@@ -328,27 +340,27 @@
   p->call = call;
   p->position = args.position;
   p->voters_hash = args.voters_hash;
-  p->fresh = args.fresh;
-  p->deltas = deltas;
-  p->due = now + MIN (args.wait_ms, WAIT_MAX_MS);
+  p->needs_state = args.fresh;
+  p->accepts_deltas = accepts_deltas;
+  p->deadline = now + MIN (args.wait_ms, POLL_WAIT_MAX_MS);
   p->node.data = p;
   xdr_free ((xdrproc_t)xdr_pu_poll, &args);
   g_queue_push_tail_link (&c->polls, &p->node);
   pu_rpc_call_on_close (call, on_poll_closed, p);
-  if (p->due == now || is_behind (c, p) || is_served (c, p))
-    poll_answer (p, p->due == now);
+  if (p->deadline == now || voter_lags (c, p) || must_reply_now (c, p))
+    poll_process (p, p->deadline == now);
 }
 
 void
 pu_control_on_poll (void *data, pu_rpc_call_t *call, const guint8 *body,
                     size_t n)
 {
-  poll_begin (data, call, body, n, false);
+  handle_poll (data, call, body, n, false);
 }
 
 void
 pu_control_on_poll_deltas (void *data, pu_rpc_call_t *call, const guint8 *body,
                            size_t n)
 {
-  poll_begin (data, call, body, n, true);
+  handle_poll (data, call, body, n, true);
 }
--- a/libplantainusher/control/proposals.c
+++ b/libplantainusher/control/proposals.c
@@ -4,23 +4,26 @@
 
 #include "base/log.h"
 
-/* Longest wait of a proposal or a query, whatever it asks for.  */
-#define TIMEOUT_MAX_MS 60000
+/* Upper limit of the timeout of a proposal or a query that is forwarded to the
+   leader, whatever the caller asks for.  */
+#define FORWARD_TIMEOUT_MAX_MS 60000
 
-/* Replies are kept for entries this far back, until `done` asks for them.  */
-#define REPLIES_KEPT 16384
+/* While proposals are in flight, replies of this many log positions back are
+   retained for on_proposal_done; older ones may be evicted.  */
+#define REPLY_RETENTION_POSITIONS 16384
 
-/* What the leader knows of a proposer's proposals that are over.  */
+/* What the leader knows about a proposer.  Its proposals with a sequence
+   number below min_active_seq have ended.  */
 typedef struct
 {
   uint64_t incarnation;
-  uint64_t floor;
+  uint64_t min_active_seq;
 } proposer_t;
 
 typedef struct
 {
   pu_control_t *control;
-  pu_rpc_call_t *call; /* of another daemon, or NULL */
+  pu_rpc_call_t *call; /* of another daemon; NULL if proposed locally */
   pu_control_done_fn *fn;
   void *data;
 } proposal_t;
@@ -28,11 +31,11 @@
 typedef struct
 {
   pu_control_t *control;
-  pu_rpc_call_t *call; /* NULL once it was dropped */
+  pu_rpc_call_t *call; /* NULL after it was dropped */
   pu_control_fail_fn *fail;
 } forward_t;
 
-/* --- answers --- */
+/* --- replies --- */
 
 void
 pu_control_reply_xdr (pu_rpc_call_t *call, xdrproc_t proc, const void *record)
@@ -68,7 +71,7 @@
   pu_control_reply_xdr (call, (xdrproc_t)xdr_pu_propose_reply, &r);
 }
 
-/* --- calls passed on to the leader --- */
+/* --- calls forwarded to the leader --- */
 
 static void
 on_forwarded (void *data, const guint8 *body, size_t n, const pu_error_t *e)
@@ -78,7 +81,7 @@
   g_hash_table_steal (f->control->forwards, f);
   if (f->call == NULL)
     {
-      /* Dropped: nobody waits for the answer.  */
+      /* The call was dropped; discard the answer.  */
     }
   else if (e->kind == PU_OK)
     {
@@ -122,7 +125,7 @@
   bytes = pu_codec_encode (args_proc, args);
   data = g_bytes_get_data (bytes, &size);
   pu_rpc_client_call (client, PU_RPC_PROGRAM_CONTROL, PU_CONTROL_VERSION, proc,
-                      data, size, MIN (timeout_ms, TIMEOUT_MAX_MS),
+                      data, size, MIN (timeout_ms, FORWARD_TIMEOUT_MAX_MS),
                       on_forwarded, f);
   g_bytes_unref (bytes);
 }
@@ -138,15 +141,15 @@
     {
       forward_t *f = key;
 
-      /* The leader may answer yet: on_forwarded frees it, or the end of the
-         control.  */
+      /* The leader may still answer: F is freed by on_forwarded, or by
+         pu_control_proposals_clear if no answer comes.  */
       if (f->call != NULL)
         pu_rpc_call_drop (f->call);
       f->call = NULL;
     }
 }
 
-/* --- proposals in the group --- */
+/* --- proposals to the log --- */
 
 void
 pu_control_proposals_init (pu_control_t *c)
@@ -167,10 +170,10 @@
 }
 
 static gboolean
-is_old (gpointer key, gpointer value, gpointer data)
+is_expired_reply (gpointer key, gpointer value, gpointer data)
 {
   (void)value;
-  return *(uint64_t *)key + REPLIES_KEPT < *(uint64_t *)data;
+  return *(uint64_t *)key + REPLY_RETENTION_POSITIONS < *(uint64_t *)data;
 }
 
 void
@@ -183,15 +186,15 @@
       g_hash_table_remove_all (c->replies);
       return;
     }
-  if (g_hash_table_size (c->replies) >= 2 * REPLIES_KEPT)
-    g_hash_table_foreach_remove (c->replies, is_old, &position);
+  if (g_hash_table_size (c->replies) >= 2 * REPLY_RETENTION_POSITIONS)
+    g_hash_table_foreach_remove (c->replies, is_expired_reply, &position);
   key = g_new (uint64_t, 1);
   *key = position;
   g_hash_table_insert (c->replies, key, pu_reply_encode (r));
 }
 
 static void
-local_done (proposal_t *p, GBytes *reply, const pu_error_t *e)
+complete_local (proposal_t *p, GBytes *reply, const pu_error_t *e)
 {
   pu_reply r;
   gsize size;
@@ -204,13 +207,13 @@
     }
   data = g_bytes_get_data (reply, &size);
   if (!pu_reply_decode (&r, data, size, NULL))
-    g_error ("A reply of ours does not decode.");
+    g_error ("Cannot decode a reply that this voter encoded.");
   p->fn (p->data, &r, e);
   pu_reply_clear (&r);
 }
 
 static void
-on_done (uint64_t index, pu_error_kind_t kind, void *data)
+on_proposal_done (uint64_t index, pu_error_kind_t kind, void *data)
 {
   proposal_t *p = data;
   pu_control_t *c = p->control;
@@ -225,12 +228,12 @@
     {
       pu_error_set (&e, e.kind,
                     e.kind == PU_ERROR_TIMEOUT
-                        ? "The lead was lost; the outcome is not known."
-                        : "The lead was lost; the command was not run.");
+                        ? "Leadership was lost; the outcome is not known."
+                        : "Leadership was lost; the command was not run.");
     }
   if (p->call == NULL)
     {
-      local_done (p, reply, &e);
+      complete_local (p, reply, &e);
     }
   else if (reply != NULL)
     {
@@ -245,7 +248,8 @@
   g_free (p);
 }
 
-/* group_propose - P is freed when this returns false.  */
+/* group_propose - appends the LEN bytes of a command to the log.  Returns
+   false with E if it was not appended; P is freed then.  */
 static bool
 group_propose (pu_control_t *c, proposal_t *p, const void *bytes, size_t len,
                pu_error_t *e)
@@ -258,7 +262,7 @@
       g_free (p);
       return false;
     }
-  if (!pu_group_propose (c->group, bytes, len, on_done, p, e))
+  if (!pu_group_propose (c->group, bytes, len, on_proposal_done, p, e))
     {
       g_free (p);
       return false;
@@ -286,10 +290,10 @@
 
 /* --- proposals of other daemons --- */
 
-/* is_late_copy - A is a copy of a proposal that its proposer has given up: it
-   came late and must not run after what was proposed since.  */
+/* is_stale_duplicate - whether A is a delayed copy of a proposal that has
+   ended at its proposer.  It must not run after the proposals made since.  */
 static bool
-is_late_copy (pu_control_t *c, const pu_propose *a)
+is_stale_duplicate (pu_control_t *c, const pu_propose *a)
 {
   proposer_t *p = g_hash_table_lookup (c->proposers, a->proposer);
 
@@ -301,20 +305,22 @@
   if (a->incarnation < p->incarnation)
     return true;
   if (a->incarnation > p->incarnation)
-    p->floor = 0;
+    p->min_active_seq = 0;
   p->incarnation = a->incarnation;
-  p->floor = MAX (p->floor, a->floor);
-  return a->seq < p->floor;
+  p->min_active_seq = MAX (p->min_active_seq, a->floor);
+  return a->seq < p->min_active_seq;
 }
 
-/* ready_for_log - the bytes of COMMAND as they go into the log: a document as
-   a delta.  NULL with E when there is no room for what it asks.  */
+/* encode_for_log - encodes COMMAND as a log entry; a document becomes a delta
+   if that is shorter.  Returns NULL with E for a command that must not be
+   proposed, or if the limit of at-most-once keys is reached.  */
 static GBytes *
-ready_for_log (pu_control_t *c, pu_command *command, pu_error_t *e)
+encode_for_log (pu_control_t *c, pu_command *command, pu_error_t *e)
 {
   if (command->type == PU_COMMAND_BACKEND_DELTA)
     {
-      pu_error_set (e, PU_ERROR_INVALID, "A delta does not go into the log.");
+      pu_error_set (e, PU_ERROR_INVALID,
+                    "A BACKEND_DELTA command cannot be proposed.");
       return NULL;
     }
   if (command->type == PU_COMMAND_SUBMIT)
@@ -323,7 +329,8 @@
       && pu_state_claims (c->state) >= c->options.claims_max)
     {
       pu_error_set (e, PU_ERROR_UNAVAILABLE,
-                    "%u keys are kept, no more fit; the call was not run.",
+                    "The limit of %u at-most-once keys is reached; the call "
+                    "was not run.",
                     c->options.claims_max);
       return NULL;
     }
@@ -331,16 +338,17 @@
 }
 
 static void
-propose_here (pu_control_t *c, pu_rpc_call_t *call, const pu_propose *a)
+propose_as_leader (pu_control_t *c, pu_rpc_call_t *call, const pu_propose *a)
 {
   proposal_t *p;
   pu_command command;
   GBytes *bytes;
   pu_error_t e;
 
-  if (is_late_copy (c, a))
+  if (is_stale_duplicate (c, a))
     {
-      propose_fail (c, call, PU_ERROR_UNAVAILABLE, "A late copy is not run.");
+      propose_fail (c, call, PU_ERROR_UNAVAILABLE,
+                    "A delayed copy of an ended proposal is not run.");
       return;
     }
   if (!pu_command_decode (&command, a->command.command_val,
@@ -349,7 +357,7 @@
       propose_fail (c, call, PU_ERROR_INVALID, e.message);
       return;
     }
-  bytes = ready_for_log (c, &command, &e);
+  bytes = encode_for_log (c, &command, &e);
   pu_command_clear (&command);
   if (bytes == NULL)
     {
@@ -379,7 +387,7 @@
     }
   if (pu_group_is_leader (c->group))
     {
-      propose_here (c, call, &a);
+      propose_as_leader (c, call, &a);
     }
   else if (a.forwarded || pu_control_leader_address (c)[0] == '\0')
     {
