--- a/libplantainusher/control/control_msg_fuzz.cc
+++ b/libplantainusher/control/control_msg_fuzz.cc
@@ -1,5 +1,6 @@
-/* libFuzzer target: the first byte picks a message between daemons, the rest
-   is decoded; what decodes is encoded and decoded again.  */
+/* libFuzzer target: the first byte selects the type of a message between
+   daemons, and the rest is decoded as that type.  A message that decodes must
+   be unchanged after it is encoded and decoded again.  */
 
 #include <glib.h>
 
@@ -14,34 +15,34 @@
 namespace
 {
 
-template <typename T> struct message
+template <typename T> struct round_trip
 {
   static void
   check (bool_t (*proc) (XDR *, T *), const uint8_t *data, size_t size)
   {
     const auto p = reinterpret_cast<xdrproc_t> (proc);
-    T one;
+    T decoded;
     T again;
     pu_error_t e;
 
-    if (!pu_codec_decode (p, &one, sizeof one, data, size, &e))
+    if (!pu_codec_decode (p, &decoded, sizeof decoded, data, size, &e))
       return;
-    GBytes *wire = pu_codec_encode (p, &one);
+    GBytes *wire = pu_codec_encode (p, &decoded);
     gsize len;
     const void *bytes = g_bytes_get_data (wire, &len);
-    /* Shorter only where a string holds a zero byte.  */
+    /* The encoding is shorter if a string contains a zero byte.  */
     g_assert (len <= size);
     g_assert (pu_codec_decode (p, &again, sizeof again, bytes, len, &e));
-    g_assert (pu_codec_equal (p, &one, &again));
+    g_assert (pu_codec_equal (p, &decoded, &again));
     xdr_free (p, &again);
-    xdr_free (p, &one);
+    xdr_free (p, &decoded);
     g_bytes_unref (wire);
   }
 };
 
 } // namespace
 
-#define CHECK(type) message<type>::check (xdr_##type, data + 1, size - 1)
+#define CHECK(type) round_trip<type>::check (xdr_##type, data + 1, size - 1)
 
 int
 LLVMFuzzerTestOneInput (const uint8_t *data, size_t size)
--- a/libplantainusher/control/control_test.cc
+++ b/libplantainusher/control/control_test.cc
@@ -17,10 +17,10 @@
 namespace
 {
 
-constexpr guint64 patience_ms = 20000;
+constexpr guint64 wait_timeout_ms = 20000;
 const char *const key = "a peer key of some length";
 
-/* One voter of the test: a server, and a control while it runs.  */
+/* A voter: its RPC server, and its control while it runs.  */
 struct Voter
 {
   std::string name, address, folder;
@@ -28,16 +28,17 @@
   pu_control_t *control = nullptr;
   int begun = 0, ended = 0, ticks = 0;
   bool acted_without_lease = false;
-  bool full = false; /* its disk */
+  bool disk_full = false;
   pu_journal_fs_t fs = *pu_journal_fs_system ();
 };
 
 int64_t
-write_unless_full (void *data, int fd, const void *p, size_t n, int64_t at)
+write_unless_disk_full (void *data, int fd, const void *p, size_t n,
+                        int64_t at)
 {
   const pu_journal_fs_t *system = pu_journal_fs_system ();
 
-  return static_cast<Voter *> (data)->full
+  return static_cast<Voter *> (data)->disk_full
              ? -ENOSPC
              : system->write (system->data, fd, p, n, at);
 }
@@ -53,11 +54,11 @@
   pu_agent_t *agent = nullptr;
   guint32 session_ms = 8000;
   guint32 electing_ms = 3000;
-  pu_state_t *kept = nullptr; /* by the voters' daemons */
+  pu_state_t *saved = nullptr; /* by the voters' daemons */
   int changes = 0;
-  uint64_t position = 0; /* that the agent has shown */
-  uint64_t shown = 0;    /* version that any agent has shown */
-  bool went_back = false;
+  uint64_t view_position = 0; /* latest position of the agent's view */
+  uint64_t view_version = 0;  /* latest document version in any agent's view */
+  bool view_went_back = false;
 
   void
   SetUp () override
@@ -92,7 +93,7 @@
       stop (*v);
     uv_run (&loop, UV_RUN_DEFAULT);
     EXPECT_EQ (uv_loop_close (&loop), 0);
-    EXPECT_FALSE (went_back);
+    EXPECT_FALSE (view_went_back);
     std::string remove = "rm -rf " + root;
     EXPECT_EQ (system (remove.c_str ()), 0);
   }
@@ -127,7 +128,7 @@
     o.address = v.address.c_str ();
     o.key = key;
     o.folder = v.folder.c_str ();
-    v.fs.write = write_unless_full;
+    v.fs.write = write_unless_disk_full;
     v.fs.data = &v;
     o.fs = &v.fs;
     o.voters = peers.data ();
@@ -146,7 +147,7 @@
     o.membership.route_ms = session_ms;
     o.electing_ms = electing_ms;
     o.kept = [] (void *d) -> const pu_state_t * {
-      return static_cast<Control *> (d)->kept;
+      return static_cast<Control *> (d)->saved;
     };
     o.kept_data = this;
     v.control = pu_control_new (&o, &e);
@@ -196,7 +197,7 @@
 
     uv_timer_start (
         tick, [] (uv_timer_t *) {}, 1, 1);
-    while (!done () && uv_now (&loop) - begin < patience_ms)
+    while (!done () && uv_now (&loop) - begin < wait_timeout_ms)
       uv_run (&loop, UV_RUN_ONCE);
     pu_rpc_timer_free (tick);
     ASSERT_TRUE (done ());
@@ -244,11 +245,12 @@
       auto *t = static_cast<Control *> (d);
       uint64_t p = pu_state_position (pu_agent_view (t->agent));
       t->changes++;
-      t->went_back |= p < t->position || t->version () < t->shown;
-      t->position = p;
-      t->shown = t->version ();
+      t->view_went_back
+          |= p < t->view_position || t->version () < t->view_version;
+      t->view_position = p;
+      t->view_version = t->version ();
     };
-    position = 0;
+    view_position = 0;
     agent = pu_agent_new (&o, &e);
     ASSERT_NE (agent, nullptr) << e.message;
   }
@@ -297,14 +299,14 @@
     Answer a;
 
     begin_submit (&a, base, change, timeout);
-    EXPECT_EQ (a.count, 0) << "answered from within";
+    EXPECT_EQ (a.count, 0) << "the callback ran inside pu_agent_propose";
     run_until ([&] { return a.count > 0; });
     return a;
   }
 
   /* The voter that the agent polls.  */
   Voter &
-  polled ()
+  polled_voter ()
   {
     json_t *dump = pu_agent_dump (agent);
     std::string at = json_string_value (json_object_get (dump, "voter"));
@@ -327,9 +329,9 @@
   }
 };
 
-/* The version in the image that is kept in FOLDER; 0 when there is none.  */
+/* The document version in the image that is saved in FOLDER; 0 if none.  */
 uint64_t
-kept_version (const std::string &folder)
+saved_version (const std::string &folder)
 {
   constexpr gsize header = 24;
   pu_state_options_t o;
@@ -349,7 +351,7 @@
   return found;
 }
 
-TEST_F (Control, SubmitIsAcceptedAndInForceAtTheAgent)
+TEST_F (Control, SubmittedDocumentIsAcceptedAndInForceAtTheAgent)
 {
   start_all ();
   start_agent ();
@@ -359,13 +361,13 @@
   EXPECT_EQ (a.doc_version, 1U);
   run_until ([&] { return version () == 1 && pu_agent_joined (agent); });
   EXPECT_TRUE (pu_agent_ready (agent));
-  for (int i = 1; i < 30; i++) /* more than the ring holds */
+  for (int i = 1; i < 30; i++) /* more than the feed retains */
     EXPECT_EQ (submit (i, "change " + std::to_string (i)).doc_version, i + 1U);
   run_until ([&] { return version () == 30; });
-  EXPECT_GT (changes, 2) << "deltas, one by one";
+  EXPECT_GT (changes, 2) << "the view changes step by step";
 }
 
-TEST_F (Control, StaleBaseIsAConflictThatTellsTheVersion)
+TEST_F (Control, StaleBaseVersionIsAConflictThatReturnsTheCurrentVersion)
 {
   start_all ();
   start_agent ();
@@ -375,7 +377,7 @@
   EXPECT_EQ (a.doc_version, 1U);
 }
 
-TEST_F (Control, ResendGivesTheFirstAnswerAfterTheLeaderStops)
+TEST_F (Control, ResentChangeGetsTheFirstAnswerAfterTheLeaderStops)
 {
   start_all ();
   start_agent ();
@@ -397,7 +399,7 @@
   });
 }
 
-TEST_F (Control, WithoutQuorumNothingIsAcceptedAndTheViewStays)
+TEST_F (Control, WithoutQuorumNothingIsAcceptedAndTheViewIsUnchanged)
 {
   start_all ();
   start_agent ();
@@ -407,7 +409,8 @@
   stop (*voters[1]);
   Answer a = submit (1, "two", 1500);
   EXPECT_TRUE (a.kind == PU_ERROR_UNAVAILABLE || a.kind == PU_ERROR_TIMEOUT);
-  /* By now the last voter knows that it is alone: a refusal is certain.  */
+  /* Once the last voter knows that it has no quorum, it refuses each submit
+     with a certain outcome.  */
   run_until ([&] { return leader () == nullptr; });
   EXPECT_EQ (submit (1, "three", 500).kind, PU_ERROR_UNAVAILABLE);
   EXPECT_EQ (version (), 1U);
@@ -415,41 +418,43 @@
   start (*voters[0]);
   Answer b = submit (1, "three");
   EXPECT_EQ (b.kind, PU_OK);
-  /* The one of unknown outcome may have been first, and is never lost then. */
+  /* The change of unknown outcome may have been accepted before "three".  If
+     so, it must not be lost.  */
   EXPECT_EQ (b.outcome == PU_OUTCOME_CONFLICT,
              submit (1, "two").outcome == PU_OUTCOME_SEEN);
 }
 
-TEST_F (Control, AgentStartsFromItsKeptImageAndNeverGoesBack)
+TEST_F (Control, AgentStartsFromItsSavedImageAndNeverGoesBack)
 {
   std::string folder = root + "/kept";
 
   start_all ();
   start_agent (folder.c_str ());
   submit (0, "one");
-  run_until ([&] { return kept_version (folder) == 1; });
+  run_until ([&] { return saved_version (folder) == 1; });
   pu_agent_free (agent);
   for (auto &v : voters)
     stop (*v);
   start_agent (folder.c_str (), 2);
-  EXPECT_FALSE (pu_agent_ready (agent)) << "voters are asked first";
+  EXPECT_FALSE (pu_agent_ready (agent))
+      << "the agent must try the voters first";
   run_until ([&] { return pu_agent_ready (agent); });
-  EXPECT_EQ (version (), 1U) << "no voter is there";
+  EXPECT_EQ (version (), 1U) << "no voter runs";
   start_all ();
   EXPECT_EQ (submit (1, "two").doc_version, 2U);
   run_until ([&] { return version () == 2 && pu_agent_joined (agent); });
 }
 
-/* The voters' disks are gone and another log was begun: its state is not the
-   one that operators accepted before, and is not taken.  */
-TEST_F (Control, AgentDoesNotTakeAnotherLog)
+/* The voters lost their disks and started another log.  Its state is not the
+   one that operators accepted before, so an agent must not adopt it.  */
+TEST_F (Control, AgentRejectsTheStateOfAnotherLog)
 {
   std::string folder = root + "/kept";
 
   start_all ();
   start_agent (folder.c_str ());
   submit (0, "one");
-  run_until ([&] { return kept_version (folder) == 1; });
+  run_until ([&] { return saved_version (folder) == 1; });
   pu_agent_free (agent);
   agent = nullptr;
   for (auto &v : voters)
@@ -466,8 +471,8 @@
   EXPECT_FALSE (pu_agent_joined (agent));
 }
 
-/* A copy of a proposal that its daemon has given up arrives late.  */
-TEST_F (Control, LateCopyIsNotRun)
+/* A copy of a proposal arrives after the proposal has ended at its daemon.  */
+TEST_F (Control, DelayedCopyOfAnEndedProposalIsNotRun)
 {
   start_all ();
   start_agent ();
@@ -517,7 +522,7 @@
     }
 }
 
-TEST_F (Control, DutiesRunOnOneLeaderUnderItsLease)
+TEST_F (Control, DutiesRunOnOneLeaderAndOnlyWithItsLease)
 {
   start_all ();
   run_until ([&] { return leader () != nullptr && leader ()->ticks > 3; });
@@ -530,7 +535,7 @@
     EXPECT_FALSE (v->acted_without_lease);
 }
 
-TEST_F (Control, LeaderHearsOfSessionsThroughAnyVoter)
+TEST_F (Control, LeaderReceivesSessionsThroughAnyVoter)
 {
   json_t *status = nullptr;
 
@@ -555,7 +560,7 @@
   });
 }
 
-TEST_F (Control, SilentDaemonAndItsBackendServerAreDown)
+TEST_F (Control, SilentDaemonAndSilentBackendServerAreMarkedDown)
 {
   pu_command c = {};
   pu_backend_record &b = c.pu_command_u.backend_up;
@@ -580,18 +585,18 @@
     pu_agent_renew (agent, "engine", 3);
     run_until ([&] { return uv_now (&loop) >= end; });
   };
-  /* News of it is let go to the agent 100 ms apart, later where the leader
-     was elected just before.  */
+  /* Changes are sent to the agent 100 ms apart, and later if the leader was
+     elected just before.  */
   for (int i = 0; i < 50 && !up (pu_agent_view (agent)); i++)
     renew ();
   ASSERT_TRUE (up (pu_agent_view (agent)));
-  for (int i = 0; i < 15; i++) /* three times the least */
+  for (int i = 0; i < 15; i++) /* three times the minimum timeout */
     {
       renew ();
       EXPECT_TRUE (up (pu_agent_view (agent)));
     }
   run_until ([&] { return !up (pu_agent_view (agent)); });
-  EXPECT_TRUE (pu_agent_joined (agent)) << "no report, yet the daemon lives";
+  EXPECT_TRUE (pu_agent_joined (agent)) << "only the backend server is silent";
   pu_agent_free (agent);
   agent = nullptr;
   run_until ([&] {
@@ -601,9 +606,9 @@
   });
 }
 
-/* The record of the engine in the agent's copy is another than the voters':
-   the next change of it does not fit, and the copy comes whole.  */
-TEST_F (Control, DeltaThatDoesNotFitBringsAnImage)
+/* The record of an engine in the agent's view differs from the voters' record,
+   so the next delta of it does not apply.  The agent must request an image. */
+TEST_F (Control, DeltaThatDoesNotApplyIsFollowedByAnImage)
 {
   const auto proc = reinterpret_cast<xdrproc_t> (xdr_pu_state_image);
   char name[] = "engine", empty[] = "", model[] = "m";
@@ -649,9 +654,9 @@
   EXPECT_EQ (shown ().memory_mb, 100U);
 }
 
-/* Backend servers check in one after the other: an answer and a poll for each
-   of them, at each daemon, is what a fleet's start would cost.  */
-TEST_F (Control, RushOfCheckInsIsToldInFewAnswers)
+/* Backend servers check in one after the other.  One reply and one poll per
+   check-in and daemon would be too expensive when a fleet starts.  */
+TEST_F (Control, BurstOfCheckInsIsSentInFewReplies)
 {
   constexpr int many = 200;
   char empty[] = "";
@@ -683,53 +688,55 @@
         += pu_state_backend (pu_agent_view (agent), name.c_str ()) != nullptr;
     return known == many;
   });
-  /* A telling in 100 ms, an empty poll in 200, and a few more for a start.  */
+  /* One reply with changes per 100 ms, one empty reply per 200 ms, and a few
+     more at the start.  */
   guint64 took = uv_now (&loop) - begin;
   EXPECT_LE (changes - before, static_cast<int> (took / 100 + took / 200) + 4);
 }
 
-/* What it can't write it doesn't acknowledge, so the leader sends it no more
-   than a few messages.  */
-TEST_F (Control, VoterThatCannotWriteKeepsNoNewsFromTheAgent)
+/* A voter with a full disk does not acknowledge entries.  Once the leader's
+   send window is full, that voter gets no more entries, and the agent that
+   polls it must get them from another voter.  */
+TEST_F (Control, VoterThatCannotWriteDoesNotDelayTheAgent)
 {
-  constexpr int more_than_a_window = 20;
+  constexpr int more_than_send_window = 20;
 
   start_all ();
   start_agent ();
   EXPECT_EQ (submit (0, "first").doc_version, 1U);
   run_until ([&] { return version () == 1; });
-  while (leader () == nullptr || leader () == &polled ())
+  while (leader () == nullptr || leader () == &polled_voter ())
     {
-      Voter &v = polled ();
+      Voter &v = polled_voter ();
       stop (v);
       run_until ([&] { return leader () != nullptr; });
       start (v);
       run_until (
           [&] { return leader () != nullptr && pu_agent_ready (agent); });
     }
-  polled ().full = true;
-  for (int i = 1; i <= more_than_a_window; i++)
+  polled_voter ().disk_full = true;
+  for (int i = 1; i <= more_than_send_window; i++)
     {
       EXPECT_EQ (submit (i, "change " + std::to_string (i)).kind, PU_OK);
     }
-  run_until ([&] { return version () == 1 + more_than_a_window; });
-  EXPECT_FALSE (polled ().full);
+  run_until ([&] { return version () == 1 + more_than_send_window; });
+  EXPECT_FALSE (polled_voter ().disk_full);
   for (auto &v : voters)
-    v->full = false;
+    v->disk_full = false;
 }
 
-/* All instances restart at once: until the voters have a leader, a daemon
-   without a disk would turn every caller away.  One voter is started, so that
-   there is none.  A voter that started long ago and has no leader is cut off:
-   its state may be of any age.  */
-TEST_F (Control, VoterThatIsElectingGivesWhatIsKept)
+/* When all instances restart at once, a daemon without a disk would refuse all
+   callers until the voters have a leader.  The test starts a single voter, so
+   that no leader can be elected.  A voter that started long ago and has no
+   leader may be partitioned, and the saved state may be of any age.  */
+TEST_F (Control, VoterInItsFirstElectionSendsTheSavedState)
 {
   struct
   {
     guint32 electing_ms;
     bool ready;
-  } const rows[] = { { patience_ms, true }, { 0, false } };
-  constexpr guint64 polls_ms = 500;
+  } const rows[] = { { wait_timeout_ms, true }, { 0, false } };
+  constexpr guint64 polling_ms = 500;
   pu_state_options_t o;
   pu_error_t e;
   gsize n;
@@ -741,8 +748,8 @@
   GBytes *image = pu_state_encode (pu_agent_view (agent), true);
   const void *data = g_bytes_get_data (image, &n);
   pu_state_options_init (&o);
-  kept = pu_state_new (&o);
-  ASSERT_TRUE (pu_state_decode (kept, data, n, &e)) << e.message;
+  saved = pu_state_new (&o);
+  ASSERT_TRUE (pu_state_decode (saved, data, n, &e)) << e.message;
   g_bytes_unref (image);
   for (auto &v : voters)
     stop (*v);
@@ -753,17 +760,17 @@
       electing_ms = row.electing_ms;
       start (*voters[0]);
       start_agent ();
-      guint64 end = uv_now (&loop) + polls_ms;
+      guint64 end = uv_now (&loop) + polling_ms;
       run_until ([&] { return uv_now (&loop) >= end; });
       EXPECT_EQ (pu_agent_ready (agent), row.ready) << row.electing_ms;
       EXPECT_EQ (version (), row.ready ? 1U : 0U);
       EXPECT_EQ (leader (), nullptr);
     }
   stop (*voters[0]);
-  pu_state_free (kept);
+  pu_state_free (saved);
 }
 
-TEST_F (Control, HigherIncarnationTakesOver)
+TEST_F (Control, HigherIncarnationSupersedesADaemonOfTheSameName)
 {
   start_all ();
   start_agent ();
@@ -776,7 +783,8 @@
   pu_agent_free (agent);
   start_agent (nullptr, 5);
   run_until ([&] { return pu_agent_joined (agent); });
-  EXPECT_EQ (pu_agent_incarnation (agent), 8U) << "a clock went back";
+  EXPECT_EQ (pu_agent_incarnation (agent), 8U)
+      << "a clock went back; one above the known incarnation";
 }
 
 } // namespace
