--- a/bench/placement_bench.cc
+++ b/bench/placement_bench.cc
@@ -215,8 +215,8 @@
        later, and the store should not wait for that.  */
     o.planner.max_concurrent_loads = m.s.user.full_speed + 1;
     o.orders.loads_per_s = m.s.user.loads_per_s;
-    o.orders.loads_at_once = m.s.user.full_speed + 1;
-    o.orders.per_engine = 4;
+    o.orders.max_store_loads = m.s.user.full_speed + 1;
+    o.orders.max_orders_per_engine = 4;
     o.committed = [] (void *data, guint32 backend) {
       return pu_ledger_committed_mb (static_cast<pu_ledger_t *> (data),
                                      backend);
@@ -235,7 +235,7 @@
         t.min_copies = 1;
         t.max_copies = m.s.engines;
         t.importance = m.items[i].importance;
-        pu_placement_name_copy (pl_, i, i, 0);
+        pu_placement_map_copy (pl_, i, i, 0);
         pu_planner_set_item (pu_placement_planner (pl_), i, &t);
       }
   }
@@ -317,8 +317,10 @@
     else
       pu_ledger_backend_down (ledger_, engine, 1);
     for (guint i = 0; i < closed->len; i++)
-      pu_placement_closed (pl_, g_array_index (closed, guint64, i), ms (m));
-    pu_placement_backend (pl_, &r, !e.alive, e.zone, m.s.streams, ms (m));
+      pu_placement_handle_closed (pl_, g_array_index (closed, guint64, i),
+                                  ms (m));
+    pu_placement_update_backend (pl_, &r, !e.alive, e.zone, m.s.streams,
+                                 ms (m));
     g_array_unref (closed);
   }
 
@@ -327,25 +329,26 @@
   {
     const pu_orders_order_t &o = a.order;
 
-    if (a.what == PU_ORDERS_DO_RESERVE)
+    if (a.what == PU_ORDERS_ACTION_RESERVE)
       {
         pu_ledger_order_t l
-            = { ++position_,        o.wish.kind, o.wish.backend,
-                o.wish.incarnation, o.wish.copy, o.wish.memory_mb };
+            = { ++position_,        o.spec.kind, o.spec.backend,
+                o.spec.incarnation, o.spec.copy, o.spec.memory_mb };
         bool accepted = pu_ledger_reserve (ledger_, &l, nullptr);
-        pu_placement_reserved (pl_, o.id, accepted, l.token, ms (m));
+        pu_placement_handle_reserved (pl_, o.id, accepted, l.token, ms (m));
       }
-    if (a.what == PU_ORDERS_DO_SEND)
+    if (a.what == PU_ORDERS_ACTION_SEND)
       {
-        token_[o.wish.backend] = std::max (token_[o.wish.backend], o.token);
-        if (o.wish.kind == PU_LEDGER_LOAD)
-          m.load (o.wish.backend, o.wish.copy);
+        token_[o.spec.backend] = std::max (token_[o.spec.backend], o.token);
+        if (o.spec.kind == PU_LEDGER_LOAD)
+          m.load (o.spec.backend, o.spec.copy);
         else
-          m.unload (o.wish.backend, o.wish.copy);
-        pu_placement_answer (pl_, o.token, PU_ORDERS_ACCEPTED, ms (m));
+          m.unload (o.spec.backend, o.spec.copy);
+        pu_placement_handle_answer (pl_, o.token, PU_ORDERS_ACCEPTED, ms (m));
       }
-    if (a.what == PU_ORDERS_DO_RELEASE && pu_ledger_release (ledger_, o.token))
-      pu_placement_closed (pl_, o.token, ms (m));
+    if (a.what == PU_ORDERS_ACTION_RELEASE
+        && pu_ledger_release (ledger_, o.token))
+      pu_placement_handle_closed (pl_, o.token, ms (m));
   }
 
   void
--- a/libplantainusher/control/control_test.cc
+++ b/libplantainusher/control/control_test.cc
@@ -53,7 +53,7 @@
   std::vector<pu_log_peer> peers;
   pu_agent_t *agent = nullptr;
   guint32 session_ms = 8000;
-  guint32 electing_ms = 3000;
+  guint32 startup_grace_ms = 3000;
   pu_state_t *saved = nullptr; /* by the voters' daemons */
   int changes = 0;
   uint64_t view_position = 0; /* latest position of the agent's view */
@@ -116,7 +116,7 @@
   start (Voter &v)
   {
     pu_control_options_t o;
-    pu_control_duty_t duty = {};
+    pu_control_leader_task_t duty = {};
     pu_error_t e;
 
     if (v.server == nullptr)
@@ -145,7 +145,7 @@
         o.membership.most_ms[i] = 2 * session_ms;
       }
     o.membership.route_ms = session_ms;
-    o.electing_ms = electing_ms;
+    o.startup_grace_ms = startup_grace_ms;
     o.kept = [] (void *d) -> const pu_state_t * {
       return static_cast<Control *> (d)->saved;
     };
@@ -162,7 +162,7 @@
       x->ticks++;
       x->acted_without_lease |= !pu_control_is_leader (x->control);
     };
-    pu_control_add_duty (v.control, &duty);
+    pu_control_add_leader_task (v.control, &duty);
   }
 
   void
@@ -733,7 +733,7 @@
 {
   struct
   {
-    guint32 electing_ms;
+    guint32 startup_grace_ms;
     bool ready;
   } const rows[] = { { wait_timeout_ms, true }, { 0, false } };
   constexpr guint64 polling_ms = 500;
@@ -757,12 +757,12 @@
     {
       pu_agent_free (agent);
       stop (*voters[0]);
-      electing_ms = row.electing_ms;
+      startup_grace_ms = row.startup_grace_ms;
       start (*voters[0]);
       start_agent ();
       guint64 end = uv_now (&loop) + polling_ms;
       run_until ([&] { return uv_now (&loop) >= end; });
-      EXPECT_EQ (pu_agent_ready (agent), row.ready) << row.electing_ms;
+      EXPECT_EQ (pu_agent_ready (agent), row.ready) << row.startup_grace_ms;
       EXPECT_EQ (version (), row.ready ? 1U : 0U);
       EXPECT_EQ (leader (), nullptr);
     }
--- a/libplantainusher/control/polls.c
+++ b/libplantainusher/control/polls.c
@@ -78,14 +78,14 @@
   r->voters.voters_len = n;
 }
 
-/* is_first_election - whether this voter started less than electing_ms ago and
-   has not known a leader since.  A voter that has lost its leader may be
-   partitioned and does not count.  */
+/* is_first_election - whether this voter started less than startup_grace_ms
+   ago and has not known a leader since.  A voter that has lost its leader may
+   be partitioned and does not count.  */
 static bool
 is_first_election (const pu_control_t *c)
 {
   return !c->heard_leader
-         && pu_control_now (c) < c->started + c->options.electing_ms;
+         && pu_control_now (c) < c->started + c->options.startup_grace_ms;
 }
 
 /* select_image_state - returns the state to send to a daemon that has no
@@ -285,7 +285,7 @@
 }
 
 void
-pu_control_polls_wake (pu_control_t *c, pu_news_t urgency)
+pu_control_polls_notify (pu_control_t *c, pu_news_t urgency)
 {
   uint64_t wait_ms;
 
@@ -334,7 +334,7 @@
       pu_rpc_call_garbage (call);
       return;
     }
-  pu_sessions_heard (c->sessions, &args, now);
+  pu_sessions_add_poll (c->sessions, &args, now);
   p = g_new0 (poll_t, 1);
   p->control = c;
   p->call = call;
--- a/libplantainusher/daemon/loads.c
+++ b/libplantainusher/daemon/loads.c
@@ -70,7 +70,7 @@
       return;
     }
   if (d->entry != NULL)
-    pu_entry_withdrawn (d->entry, m.id, m.model, m.life_ms);
+    pu_entry_receive_withdrawal (d->entry, m.id, m.model, m.life_ms);
   xdr_free ((xdrproc_t)xdr_pu_withdrawal, (char *)&m);
   pu_rpc_call_drop (call);
 }
@@ -91,7 +91,7 @@
       list[i].waiting = l->waiting;
       list[i].age_ms = l->age_ms;
     }
-  pu_entry_loads_in (entry, list, n, m->life_ms);
+  pu_entry_receive_loads (entry, list, n, m->life_ms);
   g_free (list);
 }
 
--- a/libplantainusher/entry/announce.c
+++ b/libplantainusher/entry/announce.c
@@ -103,7 +103,7 @@
       if (taken && !record_equal (p->accepted, p->record))
         record_propose (p);
     }
-  pu_entry_check (en);
+  pu_entry_check_stopped (en);
 }
 
 static void
@@ -119,8 +119,8 @@
   p->proposed = record_copy (p->record);
   c.pu_command_u.backend_up = *p->proposed;
   c.pu_command_u.backend_up.seq = p->seq;
-  en->o.hooks.propose (en->o.hooks.data, &c, en->o.propose_ms, on_proposed,
-                       asked);
+  en->o.hooks.propose (en->o.hooks.data, &c, en->o.log_proposal_timeout_ms,
+                       on_proposed, asked);
 }
 
 /* --- one report --- */
@@ -149,7 +149,7 @@
     pu_router_report (en->router, s->handle, &a->load, now_of (en));
   if (a->has_events)
     pu_router_kv_events (en->router, s->handle, &a->events);
-  pu_router_due (en);
+  pu_entry_schedule_router (en);
 }
 
 static pu_reporter_t *
@@ -181,13 +181,14 @@
     record_propose (p);
   router_tell (en, a);
   if (a->has_load)
-    pu_spread_add (en, a->record->name, a->record->incarnation, &a->load);
+    pu_load_forward_queue (en, a->record->name, a->record->incarnation,
+                           &a->load);
 }
 
 bool
-pu_entry_takes_reports (const pu_entry_t *en)
+pu_entry_accepts_reports (const pu_entry_t *en)
 {
-  return en->o.hooks.in_touch (en->o.hooks.data);
+  return en->o.hooks.leader_reachable (en->o.hooks.data);
 }
 
 static guint64
@@ -201,7 +202,8 @@
 }
 
 bool
-pu_entry_report (pu_entry_t *en, const pu_backend_record *record, guint64 seq)
+pu_entry_add_report (pu_entry_t *en, const pu_backend_record *record,
+                     guint64 seq)
 {
   const pu_reporter_t *p = g_hash_table_lookup (en->reporters, record->name);
   pu_announcement_t a = { .seq = seq };
@@ -226,7 +228,7 @@
 }
 
 void
-pu_entry_report_end (pu_entry_t *en, const char *name)
+pu_entry_mark_leaving (pu_entry_t *en, const char *name)
 {
   const pu_backend_record *b = view_record (en, name);
   pu_command c = { .type = PU_COMMAND_BACKEND_LEAVING };
@@ -239,8 +241,8 @@
   leaving_take (en, &leaving);
   c.pu_command_u.backend_leaving.name = (char *)name;
   c.pu_command_u.backend_leaving.incarnation = b->incarnation;
-  en->o.hooks.propose (en->o.hooks.data, &c, en->o.propose_ms, ignore_reply,
-                       NULL);
+  en->o.hooks.propose (en->o.hooks.data, &c, en->o.log_proposal_timeout_ms,
+                       ignore_reply, NULL);
 }
 
 /* --- the path --- */
@@ -250,18 +252,18 @@
 {
   const pu_finding_t *first = pu_findings_get (f, 0);
 
-  en->bad_announcements++;
+  en->invalid_reports++;
   if (pu_log_limited (&en->bad_logged, now_of (en), LOG_PERIOD_MS))
     {
-      pu_log_warn (PU_ENTRY_PART,
+      pu_log_warn (PU_ENTRY_LOG_SLICE,
                    "%" G_GUINT64_FORMAT " bad reports so far; this one: '%s' "
                    "%s",
-                   en->bad_announcements, first->path, first->message);
+                   en->invalid_reports, first->path, first->message);
     }
-  pu_answer_json (http, 400,
-                  json_pack ("{s:s, s:s, s:o}", "error", "invalid", "message",
-                             "The report breaks a rule.", "findings",
-                             pu_findings_to_json (f)));
+  pu_respond_json (http, 400,
+                   json_pack ("{s:s, s:s, s:o}", "error", "invalid", "message",
+                              "The report breaks a rule.", "findings",
+                              pu_findings_to_json (f)));
 }
 
 /* What is known of this incarnation; NULL: it must say all.  */
@@ -280,20 +282,21 @@
 report_answer (const pu_entry_t *en, pu_http_request_t *http, guint64 seq,
                bool whole)
 {
-  static const pu_refusal_t cut_off = { 503, "cut-off", PU_NOT_RUN, 0 };
+  static const pu_refusal_t cut_off
+      = { 503, "cut-off", PU_RUN_OUTCOME_NOT_RUN, 0 };
   json_t *v;
 
-  if (!pu_entry_takes_reports (en))
+  if (!pu_entry_accepts_reports (en))
     {
-      pu_answer_error (http, NULL, &cut_off,
-                       "This instance reaches no voter; report to another.");
+      pu_respond_error (http, NULL, &cut_off,
+                        "This instance reaches no voter; report to another.");
       return;
     }
   v = json_pack ("{s:I, s:i}", "seq", (json_int_t)seq, "interval_ms",
                  (int)en->o.report_ms);
   if (whole)
     json_object_set_new (v, "whole", json_true ());
-  pu_answer_json (http, 200, v);
+  pu_respond_json (http, 200, v);
 }
 
 static void
@@ -337,9 +340,10 @@
 }
 
 void
-pu_path_announce (pu_entry_t *en, pu_http_request_t *http)
+pu_entry_serve_announce (pu_entry_t *en, pu_http_request_t *http)
 {
-  static const pu_refusal_t denied = { 401, "denied", PU_NOT_RUN, 0 };
+  static const pu_refusal_t denied
+      = { 401, "denied", PU_RUN_OUTCOME_NOT_RUN, 0 };
   const char *authorization = pu_http_request_header (http, "authorization");
   pu_findings_t *f;
   json_t *root;
@@ -350,20 +354,21 @@
 
   if (!is_backend_key (en, authorization))
     {
-      pu_answer_error (http, NULL, &denied, "A backend key is needed.");
+      pu_respond_error (http, NULL, &denied, "A backend key is needed.");
       return;
     }
   f = pu_findings_new ();
   root = pu_json_load_document (body, len, en->o.announcement_max, f);
-  if (root == NULL || !pu_announcement_name (root, &name, &incarnation, f))
+  if (root == NULL
+      || !pu_announcement_read_sender (root, &name, &incarnation, f))
     {
       bad_report (en, http, f);
     }
   else if (incarnation < known_incarnation (en, name))
     {
-      pu_answer_json (http, 409,
-                      json_pack ("{s:s, s:s}", "error", "conflict", "message",
-                                 "A newer incarnation is known."));
+      pu_respond_json (http, 409,
+                       json_pack ("{s:s, s:s}", "error", "conflict", "message",
+                                  "A newer incarnation is known."));
     }
   else
     {
--- a/libplantainusher/entry/announcement.c
+++ b/libplantainusher/entry/announcement.c
@@ -351,8 +351,8 @@
 }
 
 bool
-pu_announcement_name (const json_t *root, const char **name,
-                      guint64 *incarnation, pu_findings_t *f)
+pu_announcement_read_sender (const json_t *root, const char **name,
+                             guint64 *incarnation, pu_findings_t *f)
 {
   const json_t *v = json_object_get (root, "name");
 
--- a/libplantainusher/entry/attempt.c
+++ b/libplantainusher/entry/attempt.c
@@ -34,23 +34,23 @@
 {
   pu_suspects_t *suspects = x->en->suspects;
   const pu_attempt_t *at = &x->at;
-  bool cut = at->call != NULL || x->phase == PU_X_HELD;
+  bool cut = at->call != NULL || x->phase == PU_EXCHANGE_PROBING;
 
-  if (at->noted && cut)
+  if (at->suspect_tracked && cut)
     {
       pu_suspects_aborted (suspects, x->number, now_of (x));
     }
-  else if (at->noted)
+  else if (at->suspect_tracked)
     {
       pu_suspects_finished (suspects, x->number);
     }
   if (at->apart && cut)
     {
-      pu_server_apart_cut (at->server);
+      pu_server_suspect_aborted (at->server);
     }
   else if (at->apart)
     {
-      pu_server_apart (x->en, at->server, false);
+      pu_server_count_suspect (x->en, at->server, false);
     }
 }
 
@@ -70,8 +70,8 @@
   pu_attempt_t *at = &x->at;
 
   suspects_forget (x);
-  if (x->phase == PU_X_HELD)
-    pu_server_unhold (x);
+  if (x->phase == PU_EXCHANGE_PROBING)
+    pu_server_remove_held (x);
   if (at->call != NULL)
     pu_http_call_cancel (at->call);
   g_free (at->entry);
@@ -97,7 +97,7 @@
   g_hash_table_remove (x->en->tickets, &x->ticket);
   x->ticket = 0;
   pu_router_finished (x->en->router, ticket, outcome, now_of (x));
-  pu_router_due (x->en);
+  pu_entry_schedule_router (x->en);
 }
 
 /* The answer is whole, and a failure: it counts against the backend server. */
@@ -111,7 +111,7 @@
   g_hash_table_remove (x->en->tickets, &x->ticket);
   x->ticket = 0;
   pu_router_abandon (x->en->router, ticket, PU_ROUTER_FAIL_ERROR, now_of (x));
-  pu_router_due (x->en);
+  pu_entry_schedule_router (x->en);
 }
 
 /* The answer is whole.  */
@@ -122,8 +122,8 @@
 
   pu_trace_answered (x);
   if (good)
-    pu_demand_ran (x);
-  if (x->at.answer.failed && !pu_entry_has_own_front (x->en))
+    pu_demand_record_run (x);
+  if (x->at.answer.failed && !pu_entry_uses_builtin_frontend (x->en))
     {
       router_failed (x);
     }
@@ -133,7 +133,7 @@
     }
   if (x->claim != 0)
     {
-      pu_deliver_claimed (x);
+      pu_deliver_at_most_once (x);
       return;
     }
   if (x->at.streaming)
@@ -142,9 +142,9 @@
     }
   else
     {
-      pu_deliver_whole (x);
+      pu_deliver_response (x);
     }
-  pu_exchange_done (x);
+  pu_exchange_finish (x);
 }
 
 /* --- from the backend server or the other entry --- */
@@ -154,20 +154,20 @@
 attempt_broke (pu_exchange_t *x, pu_router_failure_t failure)
 {
   if (x->at.streaming && x->http != NULL && x->head_sent
-      && pu_entry_breaks (x->en, PU_ENTRY_BREAK_WHOLE))
+      && pu_entry_fault_injected (x->en, PU_ENTRY_BREAK_END_TRUNCATED))
     {
       attempt_succeed (x);
       return;
     }
   x->at.failure = failure;
   x->may_have_run = true;
-  if (x->at.server != NULL && pu_entry_has_own_front (x->en))
+  if (x->at.server != NULL && pu_entry_uses_builtin_frontend (x->en))
     {
       pu_server_hold (x->at.server, x);
     }
   else
     {
-      pu_exchange_again (x, failure);
+      pu_exchange_retry (x, failure);
     }
 }
 
@@ -177,9 +177,11 @@
 rest_refused (pu_exchange_t *x)
 {
   if (x->at.server == NULL
-      && g_strcmp0 (x->at.outcome, pu_outcome_word (PU_NOT_RUN)) == 0)
+      && g_strcmp0 (x->at.outcome,
+                    pu_run_outcome_name (PU_RUN_OUTCOME_NOT_RUN))
+             == 0)
     {
-      pu_exchange_again (x, PU_ROUTER_FAIL_NOT_RUN);
+      pu_exchange_retry (x, PU_ROUTER_FAIL_NOT_RUN);
     }
   else
     {
@@ -206,18 +208,19 @@
 
   switch (x->q.answer)
     {
-    case PU_ANSWER_TOKENS:
-      at->stream = pu_stream_new (
-          &x->sent,
-          resume_confirmed (x, r)
-              || pu_entry_breaks (x->en, PU_ENTRY_BREAK_REPLAY),
-          pu_deliver_tokens, x);
+    case PU_RESPONSE_TOKENS:
+      at->stream
+          = pu_stream_new (&x->sent,
+                           resume_confirmed (x, r)
+                               || pu_entry_fault_injected (
+                                   x->en, PU_ENTRY_BREAK_FORWARD_REPLAY),
+                           pu_deliver_tokens, x);
       break;
-    case PU_ANSWER_EVENTS:
+    case PU_RESPONSE_EVENTS:
       at->events
           = pu_events_new (x->last_event, EVENT_MAX, pu_deliver_events, x);
       break;
-    case PU_ANSWER_WHOLE:
+    case PU_RESPONSE_BUFFERED:
       at->streaming = false;
       break;
     }
@@ -246,11 +249,11 @@
 static void
 answer_read (pu_exchange_t *x, const pu_http_response_t *r)
 {
-  pu_front_t *front = &x->en->front;
+  pu_frontend_t *front = &x->en->front;
 
-  if (pu_entry_has_own_front (x->en))
+  if (pu_entry_uses_builtin_frontend (x->en))
     {
-      pu_own_answer (x, r);
+      pu_builtin_classify_response (x, r);
       return;
     }
   front->answer (front->data, &x->q, x->at.server->name, r, &x->at.answer);
@@ -295,10 +298,10 @@
 fail_doubled (pu_exchange_t *x)
 {
   static const pu_refusal_t doubled
-      = { STATUS_BAD_GATEWAY, "doubled", PU_RAN, 0 };
+      = { STATUS_BAD_GATEWAY, "doubled", PU_RUN_OUTCOME_RAN, 0 };
 
-  pu_log_note (PU_ENTRY_PART, "The answer to request %s had tokens twice.",
-               x->q.id);
+  pu_log_note (PU_ENTRY_LOG_SLICE,
+               "The answer to request %s had tokens twice.", x->q.id);
   pu_exchange_fail (x, &doubled,
                     "The backend server sent more tokens than it counts.");
 }
@@ -318,8 +321,8 @@
   result = pu_stream_feed (at->stream, bytes, len);
   at->done = result == PU_STREAM_DONE;
   at->broken = result == PU_STREAM_BROKEN;
-  at->answer.foreign = result == PU_STREAM_FOREIGN;
-  return result != PU_STREAM_DOUBLED;
+  at->answer.foreign = result == PU_STREAM_MISMATCH;
+  return result != PU_STREAM_DUPLICATES;
 }
 
 static void
@@ -348,8 +351,8 @@
     }
   if (at->answer.foreign)
     {
-      pu_log_note (PU_ENTRY_PART, "Dropped a foreign answer to request %s.",
-                   x->q.id);
+      pu_log_note (PU_ENTRY_LOG_SLICE,
+                   "Dropped a foreign answer to request %s.", x->q.id);
     }
   attempt_broke (x, PU_ROUTER_FAIL_TRUNCATED);
 }
@@ -360,7 +363,9 @@
 denies_earlier_run (const pu_exchange_t *x)
 {
   return x->at.server == NULL && x->may_have_run
-         && g_strcmp0 (x->at.outcome, pu_outcome_word (PU_NOT_RUN)) == 0;
+         && g_strcmp0 (x->at.outcome,
+                       pu_run_outcome_name (PU_RUN_OUTCOME_NOT_RUN))
+                == 0;
 }
 
 /* The other entry's refusal of X goes to the caller with the outcome over all
@@ -373,7 +378,7 @@
       = json_loadb ((const char *)at->whole->data, at->whole->len, 0, NULL);
   const char *type = "refused";
   const char *message = "Another entry refused it.";
-  pu_refusal_t r = { .status = at->status, .outcome = PU_UNKNOWN };
+  pu_refusal_t r = { .status = at->status, .outcome = PU_RUN_OUTCOME_UNKNOWN };
 
   json_unpack (root, "{s:{s:s, s:s}}", "error", "type", &type, "message",
                &message);
@@ -398,7 +403,7 @@
 
   if (!at->answer.foreign && at->answer.not_run)
     {
-      pu_exchange_again (x, PU_ROUTER_FAIL_NOT_RUN);
+      pu_exchange_retry (x, PU_ROUTER_FAIL_NOT_RUN);
     }
   else if (stray && !at->answer.foreign)
     {
@@ -432,7 +437,7 @@
 failure_pass (pu_exchange_t *x)
 {
   static const pu_refusal_t failed
-      = { STATUS_BAD_GATEWAY, "failed", PU_UNKNOWN, 0 };
+      = { STATUS_BAD_GATEWAY, "failed", PU_RUN_OUTCOME_UNKNOWN, 0 };
 
   if (!promises_not_run (x->at.status))
     {
@@ -481,7 +486,7 @@
 static end_t
 front_end (const pu_exchange_t *x)
 {
-  const pu_answer_t *a = &x->at.answer;
+  const pu_response_class_t *a = &x->at.answer;
 
   if (a->foreign)
     return END_BROKEN;
@@ -537,25 +542,25 @@
       attempt_broke (x, PU_ROUTER_FAIL_TRUNCATED);
       return;
     case END_ELSEWHERE:
-      pu_server_replaced (x->at.server);
-      pu_exchange_again (x, PU_ROUTER_FAIL_NOT_RUN);
+      pu_server_mark_replaced (x->at.server);
+      pu_exchange_retry (x, PU_ROUTER_FAIL_NOT_RUN);
       return;
     case END_ABSENT:
-      pu_server_lacks (x->at.server, x->q.model, now_of (x) + LACKS_MS);
-      pu_exchange_again (x, PU_ROUTER_FAIL_ABSENT);
+      pu_server_mark_absent (x->at.server, x->q.model, now_of (x) + LACKS_MS);
+      pu_exchange_retry (x, PU_ROUTER_FAIL_ABSENT);
       return;
     case END_NOT_RUN:
       if (!is_closing_copy (x))
         {
-          pu_exchange_again (x, PU_ROUTER_FAIL_NOT_RUN);
+          pu_exchange_retry (x, PU_ROUTER_FAIL_NOT_RUN);
           return;
         }
-      pu_server_lacks (x->at.server, x->q.model, now_of (x) + LACKS_MS);
-      pu_exchange_again (x, PU_ROUTER_FAIL_ABSENT);
+      pu_server_mark_absent (x->at.server, x->q.model, now_of (x) + LACKS_MS);
+      pu_exchange_retry (x, PU_ROUTER_FAIL_ABSENT);
       return;
     case END_ERROR:
       failure_keep (x);
-      pu_exchange_again (x, PU_ROUTER_FAIL_ERROR);
+      pu_exchange_retry (x, PU_ROUTER_FAIL_ERROR);
       return;
     case END_FAILED:
       failure_pass (x);
@@ -570,7 +575,7 @@
 static void
 answer_complete (pu_exchange_t *x)
 {
-  if (pu_entry_has_own_front (x->en))
+  if (pu_entry_uses_builtin_frontend (x->en))
     {
       own_complete (x);
     }
@@ -585,7 +590,7 @@
 static void
 answer_closed (pu_exchange_t *x)
 {
-  if (!pu_entry_has_own_front (x->en)
+  if (!pu_entry_uses_builtin_frontend (x->en)
       && (x->at.events == NULL || !pu_events_unfinished (x->at.events)))
     {
       front_complete (x);
@@ -599,9 +604,9 @@
 static void
 not_connected (pu_exchange_t *x)
 {
-  if (x->at.server != NULL && pu_entry_has_own_front (x->en))
-    pu_server_doubt (x->at.server);
-  pu_exchange_again (x, PU_ROUTER_FAIL_CONNECT);
+  if (x->at.server != NULL && pu_entry_uses_builtin_frontend (x->en))
+    pu_server_probe (x->at.server);
+  pu_exchange_retry (x, PU_ROUTER_FAIL_CONNECT);
 }
 
 static void
@@ -648,25 +653,25 @@
 /* --- sending --- */
 
 static void
-head_fill (const pu_exchange_t *x, const pu_server_t *s, pu_head_t *h)
+head_fill (const pu_exchange_t *x, const pu_server_t *s, pu_header_list_t *h)
 {
-  const pu_front_t *front = &x->en->front;
+  const pu_frontend_t *front = &x->en->front;
   guint64 now = now_of (x);
-  pu_attempt_facts_t facts
+  pu_attempt_params_t facts
       = { .request = &x->q,
           .server = s != NULL ? s->name : "",
           .left_ms = x->q.deadline > now ? x->q.deadline - now : 1,
           .after = x->last_event };
 
-  pu_head_init (h);
+  pu_header_list_init (h);
   for (guint i = 0; i + 1 < x->q.headers->len; i += 2)
     {
-      pu_head_add (h, g_ptr_array_index (x->q.headers, i),
-                   g_ptr_array_index (x->q.headers, i + 1));
+      pu_header_list_add (h, g_ptr_array_index (x->q.headers, i),
+                          g_ptr_array_index (x->q.headers, i + 1));
     }
-  if (pu_entry_has_own_front (x->en))
+  if (pu_entry_uses_builtin_frontend (x->en))
     {
-      pu_own_head (x, h);
+      pu_builtin_request_headers (x, h);
     }
   else
     {
@@ -679,7 +684,7 @@
 {
   guint64 now = now_of (x);
   guint64 left = x->q.deadline > now ? x->q.deadline - now : 1;
-  guint64 limit = MAX (x->en->o.progress_ms,
+  guint64 limit = MAX (x->en->o.stream_progress_timeout_ms,
                        (guint64)x->predicted_ms * PREDICTED_FACTOR);
 
   /* Where it can't be tried again, there is nothing to gain by doubt.  */
@@ -690,7 +695,7 @@
 
 static bool
 call_start (pu_exchange_t *x, const char *address, const char *target,
-            const pu_head_t *h)
+            const pu_header_list_t *h)
 {
   bool has_body = g_bytes_get_size (x->q.body) > 0;
   GBytes *body = x->sent.tokens > 0 ? pu_exchange_resume_body (x)
@@ -707,7 +712,7 @@
              once does not get; here it is the front's word that counts.  */
           .fresh = !x->q.repeatable && !x->q.here,
           .first_byte_timeout_ms = first_byte_timeout (x),
-          .progress_timeout_ms = x->en->o.progress_ms,
+          .progress_timeout_ms = x->en->o.stream_progress_timeout_ms,
           .events = { on_head, on_body, on_end },
           .data = x };
 
@@ -716,7 +721,7 @@
   if (x->at.call == NULL)
     return false;
   x->at.sent_at = now_of (x);
-  x->phase = PU_X_RUNNING;
+  x->phase = PU_EXCHANGE_RUNNING;
   x->attempts++;
   return true;
 }
@@ -731,24 +736,24 @@
   if (pu_suspects_is_suspect (suspects, x->q.fingerprint, now_of (x)))
     {
       x->at.apart = true;
-      pu_server_apart (x->en, s, true);
+      pu_server_count_suspect (x->en, s, true);
     }
   pu_suspects_started (suspects, x->number, x->q.fingerprint, s->number,
                        s->incarnation, now_of (x));
-  x->at.noted = true;
+  x->at.suspect_tracked = true;
 }
 
 bool
 pu_attempt_start (pu_exchange_t *x, pu_server_t *s)
 {
-  pu_head_t h;
+  pu_header_list_t h;
   bool good;
 
   head_fill (x, s, &h);
   x->at.server = s;
   x->at.incarnation = s->incarnation;
   good = call_start (x, s->address, x->q.target, &h);
-  pu_head_clear (&h);
+  pu_header_list_clear (&h);
   if (!good)
     return false;
   suspects_note (x, s);
@@ -763,18 +768,18 @@
   char *target = x->q.plain ? g_strconcat ("/services/", x->q.service,
                                            x->q.target, NULL)
                             : g_strdup (x->q.target);
-  pu_head_t h;
+  pu_header_list_t h;
   bool good;
 
   head_fill (x, NULL, &h);
-  pu_head_add (&h, "X-Relay-Hop", x->hops == 0 ? "1" : "2");
-  pu_head_add (&h, "X-Relay-Key", x->en->peer_key);
+  pu_header_list_add (&h, "X-Relay-Hop", x->hops == 0 ? "1" : "2");
+  pu_header_list_add (&h, "X-Relay-Key", x->en->peer_key);
   if (!x->q.plain)
-    pu_head_add (&h, "X-Service", x->q.service);
+    pu_header_list_add (&h, "X-Service", x->q.service);
   x->at.entry = g_strdup (to->name);
   pu_trace_relayed (x, to->name);
   good = call_start (x, to->address, target, &h);
-  pu_head_clear (&h);
+  pu_header_list_clear (&h);
   g_free (target);
   if (!good)
     pu_attempt_clear (x);
--- a/libplantainusher/entry/claim.c
+++ b/libplantainusher/entry/claim.c
@@ -39,10 +39,14 @@
 static void
 begin_refuse (pu_exchange_t *x, pu_once_begin_t why)
 {
-  static const pu_refusal_t old = { 410, "key_too_old", PU_NOT_RUN, 0 };
-  static const pu_refusal_t bad = { 400, "invalid_request", PU_NOT_RUN, 0 };
-  static const pu_refusal_t other = { 422, "key_reused", PU_NOT_RUN, 0 };
-  static const pu_refusal_t full = { 503, "overloaded", PU_NOT_RUN, 1000 };
+  static const pu_refusal_t old
+      = { 410, "key_too_old", PU_RUN_OUTCOME_NOT_RUN, 0 };
+  static const pu_refusal_t bad
+      = { 400, "invalid_request", PU_RUN_OUTCOME_NOT_RUN, 0 };
+  static const pu_refusal_t other
+      = { 422, "key_reused", PU_RUN_OUTCOME_NOT_RUN, 0 };
+  static const pu_refusal_t full
+      = { 503, "overloaded", PU_RUN_OUTCOME_NOT_RUN, 1000 };
 
   switch (why)
     {
@@ -70,7 +74,7 @@
   pu_entry_t *en = x->en;
   pu_once_begin_t begun;
 
-  x->phase = PU_X_CLAIMING;
+  x->phase = PU_EXCHANGE_CLAIMING;
   begun = pu_once_begin (en->once, x->number, x->q.service, x->key,
                          call_fingerprint (x), pu_once_key_wall (x->key),
                          wall_now (), x->window_ms, now_of (en));
@@ -80,7 +84,7 @@
     }
   else
     {
-      pu_claim_pump (en);
+      pu_claim_run_actions (en);
     }
 }
 
@@ -167,8 +171,8 @@
   pu_once_claimed (en->once, asked->handle, what, r != NULL ? r->position : 0,
                    what == PU_ONCE_KEPT ? &result : NULL, now_of (en));
   asked_over (asked);
-  pu_claim_pump (en);
-  pu_entry_check (en);
+  pu_claim_run_actions (en);
+  pu_entry_check_stopped (en);
 }
 
 static void
@@ -181,8 +185,8 @@
   /* Refused or seen: the log will not say anything else later.  */
   pu_once_recorded (en->once, asked->handle, r != NULL, now_of (en));
   asked_over (asked);
-  pu_claim_pump (en);
-  pu_entry_check (en);
+  pu_claim_run_actions (en);
+  pu_entry_check_stopped (en);
 }
 
 /* --- actions --- */
@@ -201,8 +205,8 @@
   claim->attempt = a->attempt;
   claim->wall = wall_now ();
   claim->window_ms = a->window_ms;
-  en->o.hooks.propose (en->o.hooks.data, &c, en->o.propose_ms, on_claimed,
-                       asked_new (en, a));
+  en->o.hooks.propose (en->o.hooks.data, &c, en->o.log_proposal_timeout_ms,
+                       on_claimed, asked_new (en, a));
 }
 
 static pu_claim_phase
@@ -238,8 +242,8 @@
       done->result.result_val = (char *)a->result.body;
       done->result.result_len = (u_int)a->result.len;
     }
-  en->o.hooks.propose (en->o.hooks.data, &c, en->o.propose_ms, on_recorded,
-                       asked_new (en, a));
+  en->o.hooks.propose (en->o.hooks.data, &c, en->o.log_proposal_timeout_ms,
+                       on_recorded, asked_new (en, a));
 }
 
 /* One of the callers that wait for the key stands for the call.  */
@@ -250,7 +254,7 @@
     {
       pu_exchange_t *x = l->data;
 
-      if (x->once && x->phase == PU_X_CLAIMING && x->claim == 0
+      if (x->once && x->phase == PU_EXCHANGE_CLAIMING && x->claim == 0
           && strcmp (x->key, a->key) == 0
           && strcmp (x->q.service, a->service) == 0)
         return x;
@@ -292,10 +296,14 @@
 static void
 once_answer (pu_exchange_t *x, const pu_once_action_t *a)
 {
-  static const pu_refusal_t running = { 409, "running", PU_UNKNOWN, 1000 };
-  static const pu_refusal_t other = { 422, "key_reused", PU_NOT_RUN, 0 };
-  static const pu_refusal_t unknown = { 502, "unknown", PU_UNKNOWN, 0 };
-  static const pu_refusal_t not_run = { 503, "not_run", PU_NOT_RUN, 1000 };
+  static const pu_refusal_t running
+      = { 409, "running", PU_RUN_OUTCOME_UNKNOWN, 1000 };
+  static const pu_refusal_t other
+      = { 422, "key_reused", PU_RUN_OUTCOME_NOT_RUN, 0 };
+  static const pu_refusal_t unknown
+      = { 502, "unknown", PU_RUN_OUTCOME_UNKNOWN, 0 };
+  static const pu_refusal_t not_run
+      = { 503, "not_run", PU_RUN_OUTCOME_NOT_RUN, 1000 };
 
   switch (a->answer)
     {
@@ -303,20 +311,20 @@
       result_answer (x, &a->result);
       break;
     case PU_ONCE_ANSWER_RUNNING:
-      pu_answer_error (x->http, x->q.id, &running,
-                       "The request with this key is running.");
+      pu_respond_error (x->http, x->q.id, &running,
+                        "The request with this key is running.");
       break;
     case PU_ONCE_ANSWER_CONFLICT:
-      pu_answer_error (x->http, x->q.id, &other,
-                       "The Idempotency-Key was used for another request.");
+      pu_respond_error (x->http, x->q.id, &other,
+                        "The Idempotency-Key was used for another request.");
       break;
     case PU_ONCE_ANSWER_UNKNOWN:
-      pu_answer_error (x->http, x->q.id, &unknown,
-                       "It may have run; it will not run again.");
+      pu_respond_error (x->http, x->q.id, &unknown,
+                        "It may have run; it will not run again.");
       break;
     case PU_ONCE_ANSWER_NOT_RUN:
-      pu_answer_error (x->http, x->q.id, &not_run,
-                       "It did not run; send it again with the same key.");
+      pu_respond_error (x->http, x->q.id, &not_run,
+                        "It did not run; send it again with the same key.");
       break;
     }
 }
@@ -333,17 +341,17 @@
   x->http = NULL;
   /* The one that was sent runs on, to be recorded.  */
   if (x->claim == 0)
-    pu_exchange_done (x);
+    pu_exchange_finish (x);
 }
 
 void
-pu_claim_pump (pu_entry_t *en)
+pu_claim_run_actions (pu_entry_t *en)
 {
   pu_once_action_t a;
 
-  if (en->pumping)
+  if (en->claim_actions_running)
     return;
-  en->pumping = true;
+  en->claim_actions_running = true;
   while (pu_once_next (en->once, &a))
     {
       switch (a.type)
@@ -367,7 +375,7 @@
           break;
         }
     }
-  en->pumping = false;
+  en->claim_actions_running = false;
 }
 
 void
@@ -380,8 +388,8 @@
   g_hash_table_remove (en->claims, GUINT_TO_POINTER (handle));
   x->claim = 0;
   pu_once_finished (en->once, handle, outcome, result, now_of (en));
-  x->phase = PU_X_CLAIMING;
+  x->phase = PU_EXCHANGE_CLAIMING;
   if (x->http == NULL)
-    pu_exchange_done (x);
-  pu_claim_pump (en);
+    pu_exchange_finish (x);
+  pu_claim_run_actions (en);
 }
--- a/libplantainusher/entry/entries.c
+++ b/libplantainusher/entry/entries.c
@@ -9,7 +9,7 @@
 };
 
 void
-pu_rates_count (pu_entry_t *en, const char *service)
+pu_rates_add_request (pu_entry_t *en, const char *service)
 {
   gpointer n = g_hash_table_lookup (en->counts, service);
 
@@ -50,7 +50,7 @@
     {
       const char *service = pu_document_service (en->document, i)->name;
       guint n = GPOINTER_TO_UINT (g_hash_table_lookup (en->counts, service));
-      double all = n / seconds * pu_service_size (en, service);
+      double all = n / seconds * pu_service_entry_count (en, service);
       double old = rate_of (en, service);
 
       rate_set (en, service,
@@ -66,7 +66,7 @@
 }
 
 guint
-pu_service_size (const pu_entry_t *en, const char *service)
+pu_service_entry_count (const pu_entry_t *en, const char *service)
 {
   return pu_directory_size (en->directory, rate_of (en, service));
 }
@@ -76,7 +76,8 @@
               const char *zone)
 {
   GArray *found = g_array_new (FALSE, FALSE, sizeof (pu_directory_entry_t));
-  guint size = *service != 0 ? pu_service_size (en, service) : G_MAXUINT16;
+  guint size
+      = *service != 0 ? pu_service_entry_count (en, service) : G_MAXUINT16;
   json_t *list = json_array ();
 
   pu_directory_entries (en->directory, service, size, region, zone, found);
@@ -104,20 +105,20 @@
 not_declared (pu_entry_t *en, pu_http_request_t *http, const char *service)
 {
   static const pu_refusal_t refusal
-      = { 404, "service_not_found", PU_NOT_RUN, 0 };
+      = { 404, "service_not_found", PU_RUN_OUTCOME_NOT_RUN, 0 };
   char *near = en->document != NULL
                    ? pu_document_near_services (en->document, service)
                    : g_strdup ("");
   char *message = g_strdup_printf ("No service '%s' is declared%s%s.", service,
                                    *near != 0 ? "; near: " : "", near);
 
-  pu_answer_error (http, NULL, &refusal, message);
+  pu_respond_error (http, NULL, &refusal, message);
   g_free (message);
   g_free (near);
 }
 
 void
-pu_path_entries (pu_entry_t *en, pu_http_request_t *http)
+pu_entry_serve_entries (pu_entry_t *en, pu_http_request_t *http)
 {
   char *service = pu_http_request_query_value (http, "service");
   char *region = pu_http_request_query_value (http, "region");
@@ -130,11 +131,11 @@
     }
   else
     {
-      pu_answer_json (http, 200,
-                      json_pack ("{s:s, s:o, s:i}", "service", name, "entries",
-                                 entries_json (en, name, region, zone),
-                                 "ttl_s",
-                                 (int)pu_directory_ttl (en->directory)));
+      pu_respond_json (
+          http, 200,
+          json_pack ("{s:s, s:o, s:i}", "service", name, "entries",
+                     entries_json (en, name, region, zone), "ttl_s",
+                     (int)pu_directory_ttl (en->directory)));
     }
   g_free (service);
   g_free (region);
@@ -158,18 +159,18 @@
 }
 
 void
-pu_path_models (pu_entry_t *en, pu_http_request_t *http)
+pu_entry_serve_models (pu_entry_t *en, pu_http_request_t *http)
 {
   json_t *list = json_array ();
 
   for (guint i = 0; i < pu_document_models (en->document); i++)
     json_array_append_new (list, model_json (en, i));
-  pu_answer_json (http, 200,
-                  json_pack ("{s:s, s:o}", "object", "list", "data", list));
+  pu_respond_json (http, 200,
+                   json_pack ("{s:s, s:o}", "object", "list", "data", list));
 }
 
 void
-pu_path_health (pu_entry_t *en, pu_http_request_t *http)
+pu_entry_serve_health (pu_entry_t *en, pu_http_request_t *http)
 {
   const char *status = "ok";
 
@@ -181,6 +182,6 @@
     {
       status = "leaving";
     }
-  pu_answer_json (http, strcmp (status, "ok") == 0 ? 200 : 503,
-                  json_pack ("{s:s}", "status", status));
+  pu_respond_json (http, strcmp (status, "ok") == 0 ? 200 : 503,
+                   json_pack ("{s:s}", "status", status));
 }
--- a/libplantainusher/entry/entry.h
+++ b/libplantainusher/entry/entry.h
@@ -58,7 +58,7 @@
   /* Whether the view may be served from.  */
   bool (*ready) (void *data);
   /* Whether what is renewed here reaches the leader.  */
-  bool (*in_touch) (void *data);
+  bool (*leader_reachable) (void *data);
   /* The incarnation of this daemon, owner of its claims.  */
   guint64 (*incarnation) (void *data);
   /* As pu_agent_propose: FN exactly once, never from within.  */
@@ -86,10 +86,10 @@
 /* Deliberate faults for the tests that show the checks can fail.  */
 typedef enum
 {
-  PU_ENTRY_BREAK_REPLAY = 1,  /* pass a replay on from its start */
-  PU_ENTRY_BREAK_REPEAT = 2,  /* try again what may run once */
-  PU_ENTRY_BREAK_OUTCOME = 4, /* tell every failure as not run */
-  PU_ENTRY_BREAK_WHOLE = 8    /* end a truncated stream as if whole */
+  PU_ENTRY_BREAK_FORWARD_REPLAY = 1, /* pass a replay on from its start */
+  PU_ENTRY_BREAK_RETRY_NON_REPEATABLE = 2, /* try again what may run once */
+  PU_ENTRY_BREAK_REPORT_NOT_RUN = 4,       /* tell every failure as not run */
+  PU_ENTRY_BREAK_END_TRUNCATED = 8 /* end a truncated stream as if whole */
 } pu_entry_break_t;
 
 typedef struct
@@ -107,24 +107,26 @@
   guint n_backend_keys;
   pu_counters_t *counters; /* may be NULL */
   guint32 seed;
-  gsize header_max;        /* bytes; 0 here and below: the default */
-  gsize body_max;          /* 8 MiB; also the longest whole answer */
-  gsize announcement_max;  /* 1 MiB */
-  guint connections_max;   /* 4096 */
-  guint requests_max;      /* 4096: in progress at once */
-  guint connect_ms;        /* 1000 */
-  guint progress_ms;       /* 10000: a stream without a byte is silent */
-  guint settle_ms;         /* 1000: a strike is known everywhere after this */
-  guint probe_ms;          /* 1000: second opinion on a new connection */
-  guint idle_ms;           /* 4000: life of an idle pooled connection */
-  guint report_ms;         /* 1000: asked of backend servers */
-  guint propose_ms;        /* 2000: a claim that takes longer is refused */
-  guint loads_ms;          /* 1000: least time between two messages of loads to
-                              another entry */
-  bool loads_to_all;       /* not only to entries of the same services */
-  guint ttl_s;             /* 10: how long callers keep an answer */
-  guint test_breaks;       /* pu_entry_break_t; 0 outside tests */
-  const pu_front_t *front; /* copied; NULL: the entry's own */
+  gsize header_max;                 /* bytes; 0 here and below: the default */
+  gsize body_max;                   /* 8 MiB; also the longest whole answer */
+  gsize announcement_max;           /* 1 MiB */
+  guint connections_max;            /* 4096 */
+  guint requests_max;               /* 4096: in progress at once */
+  guint connect_ms;                 /* 1000 */
+  guint stream_progress_timeout_ms; /* 10000: a stream without a byte is silent
+                                     */
+  guint strike_settle_ms; /* 1000: a strike is known everywhere after this */
+  guint health_probe_timeout_ms; /* 1000: second opinion on a new connection */
+  guint idle_ms;                 /* 4000: life of an idle pooled connection */
+  guint report_ms;               /* 1000: asked of backend servers */
+  guint
+      log_proposal_timeout_ms; /* 2000: a claim that takes longer is refused */
+  guint loads_ms; /* 1000: least time between two messages of loads to
+                     another entry */
+  bool loads_to_all_entries;  /* not only to entries of the same services */
+  guint ttl_s;                /* 10: how long callers keep an answer */
+  guint test_breaks;          /* pu_entry_break_t; 0 outside tests */
+  const pu_frontend_t *front; /* copied; NULL: the entry's own */
   pu_entry_hooks_t hooks;
 } pu_entry_options_t;
 
@@ -144,40 +146,42 @@
    it is first ready.  */
 void pu_entry_view_changed (pu_entry_t *en);
 
-/* pu_entry_load - the backend server NAME, as it is known here, has LOAD, of
-   which SEQ rises: the other entries are told.  */
-void pu_entry_load (pu_entry_t *en, const char *name,
-                    const pu_router_report_t *load);
+/* pu_entry_add_load - the backend server NAME, as it is known here, has LOAD,
+   of which SEQ rises: the other entries are told.  */
+void pu_entry_add_load (pu_entry_t *en, const char *name,
+                        const pu_router_report_t *load);
 
-/* pu_entry_withdraw - the copy of MODEL on the backend server NAME is about to
-   be unloaded: this entry and all others send nothing more there.  Without
-   that each of them learns of it by a refusal of its own.  */
-void pu_entry_withdraw (pu_entry_t *en, const char *name, const char *model);
+/* pu_entry_withdraw_copy - the copy of MODEL on the backend server NAME is
+   about to be unloaded: this entry and all others send nothing more there.
+   Without that each of them learns of it by a refusal of its own.  */
+void pu_entry_withdraw_copy (pu_entry_t *en, const char *name,
+                             const char *model);
 
-/* pu_entry_withdrawn - the same, as another entry tells it.  */
-void pu_entry_withdrawn (pu_entry_t *en, guint64 id, const char *model,
-                         guint life_ms);
+/* pu_entry_receive_withdrawal - the same, as another entry tells it.  */
+void pu_entry_receive_withdrawal (pu_entry_t *en, guint64 id,
+                                  const char *model, guint life_ms);
 
-/* pu_entry_loads_in - N loads that another entry sent, good for LIFE_MS.  */
-void pu_entry_loads_in (pu_entry_t *en, const pu_entry_load_t *loads, guint n,
-                        guint life_ms);
+/* pu_entry_receive_loads - N loads that another entry sent, good for LIFE_MS.
+ */
+void pu_entry_receive_loads (pu_entry_t *en, const pu_entry_load_t *loads,
+                             guint n, guint life_ms);
 
-/* pu_entry_takes_reports - whether a report that comes now may be
+/* pu_entry_accepts_reports - whether a report that comes now may be
    acknowledged. One that is acknowledged by an instance that is cut off from
    the voters renews no lease: in five seconds the backend server is down
    everywhere else, though it runs and would have reported to another instance.
  */
-bool pu_entry_takes_reports (const pu_entry_t *en);
+bool pu_entry_accepts_reports (const pu_entry_t *en);
 
-/* pu_entry_report - a front has read what a backend server says of itself:
+/* pu_entry_add_report - a front has read what a backend server says of itself:
    RECORD (copied) with the number SEQ, which rises within its incarnation.
    False: it is no newer than what is known, and changes nothing.  */
-bool pu_entry_report (pu_entry_t *en, const pu_backend_record *record,
-                      guint64 seq);
+bool pu_entry_add_report (pu_entry_t *en, const pu_backend_record *record,
+                          guint64 seq);
 
-/* pu_entry_report_end - backend server NAME says that it ends: it gets nothing
-   new from here on.  */
-void pu_entry_report_end (pu_entry_t *en, const char *name);
+/* pu_entry_mark_leaving - backend server NAME says that it ends: it gets
+   nothing new from here on.  */
+void pu_entry_mark_leaving (pu_entry_t *en, const char *name);
 
 /* pu_entry_document - the document in force here, or NULL.  */
 const pu_document_t *pu_entry_document (const pu_entry_t *en);
@@ -207,8 +211,8 @@
 
 int pu_entry_port (const pu_entry_t *en);
 
-/* pu_entry_open - requests in progress and outcomes not yet recorded.  */
-guint pu_entry_open (const pu_entry_t *en);
+/* pu_entry_in_flight - requests in progress and outcomes not yet recorded.  */
+guint pu_entry_in_flight (const pu_entry_t *en);
 
 /* pu_entry_dump - a new object with the requests, the router, the backend
    servers that report here and the pools.  The caller owns it.  */
--- a/libplantainusher/entry/exchange.c
+++ b/libplantainusher/entry/exchange.c
@@ -17,7 +17,7 @@
   pu_kept_clear (&x->kept);
   g_free (x->key);
   g_ptr_array_free (x->avoid, TRUE);
-  pu_sent_clear (&x->sent);
+  pu_delivered_clear (&x->sent);
   g_free (x);
 }
 
@@ -42,11 +42,11 @@
   if (ticket == 0)
     return;
   pu_router_cancel (x->en->router, ticket, uv_now (x->en->o.loop));
-  pu_router_due (x->en);
+  pu_entry_schedule_router (x->en);
 }
 
 void
-pu_exchange_done (pu_exchange_t *x)
+pu_exchange_finish (pu_exchange_t *x)
 {
   pu_entry_t *en = x->en;
 
@@ -57,26 +57,26 @@
   g_hash_table_remove (en->numbers, &x->number);
   g_queue_unlink (&en->open, &x->link);
   pu_exchange_free (x);
-  pu_entry_check (en);
+  pu_entry_check_stopped (en);
 }
 
 /* --- failures --- */
 
 /* What the caller is told must hold over all attempts.  */
-static pu_outcome_word_t
-outcome_over_all (const pu_exchange_t *x, pu_outcome_word_t o)
+static pu_run_outcome_t
+outcome_over_all (const pu_exchange_t *x, pu_run_outcome_t o)
 {
   if (x->sent.tokens > 0 || x->events > 0)
-    return PU_RAN;
-  if (o == PU_NOT_RUN && x->may_have_run)
-    return PU_UNKNOWN;
+    return PU_RUN_OUTCOME_RAN;
+  if (o == PU_RUN_OUTCOME_NOT_RUN && x->may_have_run)
+    return PU_RUN_OUTCOME_UNKNOWN;
   return o;
 }
 
 static void
 failure_stream (pu_exchange_t *x, const pu_refusal_t *r, const char *message)
 {
-  char *text = pu_error_text (r, message);
+  char *text = pu_error_json_text (r, message);
   char *event = g_strdup_printf ("event: error\ndata: %s\n\n", text);
 
   pu_http_respond_write (x->http, event, strlen (event));
@@ -91,17 +91,20 @@
   pu_refusal_t told = *r;
 
   told.outcome = outcome_over_all (x, r->outcome);
-  if (pu_entry_breaks (x->en, PU_ENTRY_BREAK_OUTCOME))
-    told.outcome = PU_NOT_RUN;
+  if (pu_entry_fault_injected (x->en, PU_ENTRY_BREAK_REPORT_NOT_RUN))
+    told.outcome = PU_RUN_OUTCOME_NOT_RUN;
   pu_trace_failed (x, &told, message);
   if (x->claim != 0)
     {
-      pu_claim_finished (
-          x, told.outcome == PU_NOT_RUN ? PU_ONCE_NOT_RUN : PU_ONCE_UNKNOWN,
-          NULL);
+      pu_claim_finished (x,
+                         told.outcome == PU_RUN_OUTCOME_NOT_RUN
+                             ? PU_ONCE_NOT_RUN
+                             : PU_ONCE_UNKNOWN,
+                         NULL);
       return;
     }
-  if (x->http != NULL && x->head_sent && pu_entry_has_own_front (x->en))
+  if (x->http != NULL && x->head_sent
+      && pu_entry_uses_builtin_frontend (x->en))
     {
       failure_stream (x, &told, message);
     }
@@ -110,9 +113,9 @@
       pu_http_respond_abort (x->http);
     }
   else if (x->http != NULL && x->kept.status != 0
-           && told.outcome != PU_NOT_RUN)
+           && told.outcome != PU_RUN_OUTCOME_NOT_RUN)
     {
-      pu_deliver_kept (x);
+      pu_deliver_saved_failure (x);
     }
   else if (x->http != NULL)
     {
@@ -120,7 +123,7 @@
                            message);
     }
   x->http = NULL;
-  pu_exchange_done (x);
+  pu_exchange_finish (x);
 }
 
 static int
@@ -167,22 +170,22 @@
 }
 
 void
-pu_exchange_refused (pu_exchange_t *x, const pu_router_decision_t *d)
+pu_exchange_fail_refused (pu_exchange_t *x, const pu_router_decision_t *d)
 {
   pu_refusal_t r
       = { refused_status (d->reason), pu_router_reason_name (d->reason),
-          PU_NOT_RUN, d->retry_after_ms };
+          PU_RUN_OUTCOME_NOT_RUN, d->retry_after_ms };
 
   if (d->ran == PU_ROUTER_UNKNOWN)
     {
-      r.outcome = PU_UNKNOWN;
+      r.outcome = PU_RUN_OUTCOME_UNKNOWN;
     }
   else if (d->ran == PU_ROUTER_RAN)
     {
-      r.outcome = PU_RAN;
+      r.outcome = PU_RUN_OUTCOME_RAN;
     }
   if (r.retry_after_ms == 0 && (r.status == 429 || r.status == 503))
-    r.retry_after_ms = PU_BUSY_RETRY_MS;
+    r.retry_after_ms = PU_BUSY_RETRY_AFTER_MS;
   /* The router forgets a ticket that it refuses.  */
   ticket_set (x, 0);
   pu_exchange_fail (x, &r, refused_message (d->reason));
@@ -192,7 +195,7 @@
 fail_convicted (pu_exchange_t *x)
 {
   static const pu_refusal_t convicted
-      = { STATUS_CONVICTED, "convicted", PU_NOT_RUN, 0 };
+      = { STATUS_CONVICTED, "convicted", PU_RUN_OUTCOME_NOT_RUN, 0 };
 
   pu_exchange_fail (x, &convicted,
                     "This request has crashed backend servers. An operator "
@@ -202,9 +205,10 @@
 static void
 fail_deadline (pu_exchange_t *x)
 {
-  static const pu_refusal_t late = { 504, "deadline", PU_NOT_RUN, 0 };
+  static const pu_refusal_t late
+      = { 504, "deadline", PU_RUN_OUTCOME_NOT_RUN, 0 };
 
-  if (x->phase == PU_X_RUNNING || x->phase == PU_X_HELD)
+  if (x->phase == PU_EXCHANGE_RUNNING || x->phase == PU_EXCHANGE_PROBING)
     x->may_have_run = true;
   pu_exchange_fail (x, &late, "The request was not answered in time.");
 }
@@ -286,13 +290,13 @@
     }
   else
     {
-      away = next_hop (x, x->q.service, pu_service_size (x->en, x->q.service),
-                       1, &to);
+      away = next_hop (x, x->q.service,
+                       pu_service_entry_count (x->en, x->q.service), 1, &to);
     }
   if (verdict == PU_SUSPECTS_WAIT
       && (!away || pu_strike_pending (x->en, x->q.fingerprint)))
     {
-      x->phase = PU_X_WAITING;
+      x->phase = PU_EXCHANGE_WAITING;
     }
   else if (away && pu_attempt_relay (x, &to))
     {
@@ -309,7 +313,7 @@
 {
   if (q->plain)
     return 0;
-  return q->affinity != 0 ? q->affinity : q->fingerprint;
+  return q->affinity_key != 0 ? q->affinity_key : q->fingerprint;
 }
 
 void
@@ -326,20 +330,21 @@
     .prompt_tokens = x->q.prompt_tokens,
     .max_tokens = x->q.max_tokens,
     .prefix = x->q.prefix,
-    .prefix_tokens = x->q.sized ? x->q.prefix_tokens : NULL,
+    .prefix_tokens = x->q.has_prefix_tokens ? x->q.prefix_tokens : NULL,
     .n_prefix = x->q.n_prefix,
     .attempts_max = x->q.attempts_max,
     .fingerprint = affinity_of (&x->q),
     .shared_tokens = x->q.shared_tokens,
     .repeatable
-    = x->q.repeatable || pu_entry_breaks (x->en, PU_ENTRY_BREAK_REPEAT),
+    = x->q.repeatable
+      || pu_entry_fault_injected (x->en, PU_ENTRY_BREAK_RETRY_NON_REPEATABLE),
   };
   pu_router_decision_t d;
 
   g_free (plain);
-  pu_demand_arrived (x);
+  pu_demand_report (x);
   pu_router_offer (router, &q, uv_now (x->en->o.loop), &d);
-  pu_exchange_decide (x, &d);
+  pu_exchange_apply_decision (x, &d);
 }
 
 /* Whether X has to stay away from the backend server of that number because
@@ -349,7 +354,8 @@
 {
   return is_watched (x)
          && pu_suspects_must_avoid (x->en->suspects, x->q.fingerprint, server,
-                                    x->held_since, uv_now (x->en->o.loop));
+                                    x->duplicate_wait_since,
+                                    uv_now (x->en->o.loop));
 }
 
 /* The same for S, which the router chose; from now on X waits.  */
@@ -358,9 +364,9 @@
 {
   if (!stays_away (x, s->number))
     return false;
-  if (x->held_since == 0)
-    x->held_since = uv_now (x->en->o.loop);
-  x->held_from = s->number;
+  if (x->duplicate_wait_since == 0)
+    x->duplicate_wait_since = uv_now (x->en->o.loop);
+  x->duplicate_wait_server = s->number;
   return true;
 }
 
@@ -380,7 +386,7 @@
       && !hold_back (x, s))
     return true;
   ticket_cancel (x);
-  x->phase = PU_X_WAITING;
+  x->phase = PU_EXCHANGE_WAITING;
   return false;
 }
 
@@ -394,7 +400,7 @@
   if (s != NULL && !may_send (x, s))
     return;
   if (s == NULL || !pu_attempt_start (x, s))
-    pu_exchange_again (x, PU_ROUTER_FAIL_CONNECT);
+    pu_exchange_retry (x, PU_ROUTER_FAIL_CONNECT);
 }
 
 /* Whether X has no copy just because suspects run at all of them.  */
@@ -407,13 +413,13 @@
          && pu_router_ready_copies (router,
                                     pu_router_find_model (router, x->q.model))
                 == 0
-         && pu_servers_apart (x->en, x->q.model);
+         && pu_servers_copy_isolated (x->en, x->q.model);
 }
 
 void
-pu_exchange_decide (pu_exchange_t *x, const pu_router_decision_t *d)
+pu_exchange_apply_decision (pu_exchange_t *x, const pu_router_decision_t *d)
 {
-  pu_router_due (x->en);
+  pu_entry_schedule_router (x->en);
   switch (d->verdict)
     {
     case PU_ROUTER_DISPATCH:
@@ -422,25 +428,25 @@
       break;
     case PU_ROUTER_QUEUED:
       ticket_set (x, d->ticket);
-      x->phase = PU_X_QUEUED;
+      x->phase = PU_EXCHANGE_QUEUED;
       pu_trace_queued (x);
       break;
     case PU_ROUTER_REFUSE:
-      if (d->reason == PU_ROUTER_REASON_COPY && pu_want_may (x)
+      if (d->reason == PU_ROUTER_REASON_COPY && pu_model_wait_allowed (x)
           && !x->may_have_run)
         {
           ticket_set (x, 0);
-          pu_want_begin (x);
+          pu_model_wait_begin (x);
           break;
         }
       x->no_copy = d->reason == PU_ROUTER_REASON_COPY && waits_for_copy (x);
       if (!x->no_copy)
         {
-          pu_exchange_refused (x, d);
+          pu_exchange_fail_refused (x, d);
           break;
         }
       ticket_set (x, 0);
-      x->phase = PU_X_WAITING;
+      x->phase = PU_EXCHANGE_WAITING;
       break;
     }
 }
@@ -451,7 +457,7 @@
 fail_lost (pu_exchange_t *x)
 {
   static const pu_refusal_t lost
-      = { 502, "attempts", PU_NOT_RUN, PU_BUSY_RETRY_MS };
+      = { 502, "attempts", PU_RUN_OUTCOME_NOT_RUN, PU_BUSY_RETRY_AFTER_MS };
 
   pu_exchange_fail (x, &lost, "It failed wherever it was tried.");
 }
@@ -508,12 +514,12 @@
 
   ticket_set (x, 0);
   pu_router_abandon (x->en->router, ticket, failure, uv_now (x->en->o.loop));
-  pu_router_due (x->en);
+  pu_entry_schedule_router (x->en);
   route_apart (x);
 }
 
 void
-pu_exchange_again (pu_exchange_t *x, pu_router_failure_t failure)
+pu_exchange_retry (pu_exchange_t *x, pu_router_failure_t failure)
 {
   char *entry = g_strdup (x->at.entry);
   pu_router_decision_t d;
@@ -550,15 +556,15 @@
     }
   /* The same copies once more: one that was cut may go on.  */
   if (d.verdict == PU_ROUTER_REFUSE && d.reason == PU_ROUTER_REASON_ATTEMPTS
-      && x->q.repeatable && x->q.attempts_max == 0 && !x->offered_anew
+      && x->q.repeatable && x->q.attempts_max == 0 && !x->offered_again
       && failure != PU_ROUTER_FAIL_NOT_RUN)
     {
-      x->offered_anew = true;
+      x->offered_again = true;
       ticket_set (x, 0);
       pu_exchange_route (x);
       return;
     }
-  pu_exchange_decide (x, &d);
+  pu_exchange_apply_decision (x, &d);
 }
 
 /* --- time --- */
@@ -569,28 +575,29 @@
 {
   if (judge (x) == PU_SUSPECTS_WAIT || (x->no_copy && waits_for_copy (x)))
     return false;
-  return x->held_since == 0 || !stays_away (x, x->held_from);
+  return x->duplicate_wait_since == 0
+         || !stays_away (x, x->duplicate_wait_server);
 }
 
 static void
 exchange_tick (pu_exchange_t *x, guint64 now)
 {
-  if (x->phase == PU_X_CLAIMING)
+  if (x->phase == PU_EXCHANGE_CLAIMING)
     {
       if (now >= x->q.deadline
           && pu_once_give_up (x->en->once, x->number, now))
-        pu_claim_pump (x->en);
+        pu_claim_run_actions (x->en);
       return;
     }
-  if (now >= x->q.deadline && x->phase != PU_X_QUEUED)
+  if (now >= x->q.deadline && x->phase != PU_EXCHANGE_QUEUED)
     {
       fail_deadline (x);
     }
-  else if (x->phase == PU_X_WAITING && x->wants)
+  else if (x->phase == PU_EXCHANGE_WAITING && x->wants)
     {
-      pu_want_tick (x, now);
+      pu_model_wait_tick (x, now);
     }
-  else if (x->phase == PU_X_WAITING && may_go_on (x))
+  else if (x->phase == PU_EXCHANGE_WAITING && may_go_on (x))
     {
       pu_exchange_route (x);
     }
@@ -635,7 +642,7 @@
 
       if (x == NULL)
         continue;
-      if (x->phase == PU_X_RUNNING || x->phase == PU_X_HELD)
+      if (x->phase == PU_EXCHANGE_RUNNING || x->phase == PU_EXCHANGE_PROBING)
         x->may_have_run = true;
       pu_exchange_fail (x, &pu_refusal_stopping, "This entry is stopping.");
     }
--- a/libplantainusher/entry/piece.c
+++ b/libplantainusher/entry/piece.c
@@ -3,23 +3,23 @@
 #include <jansson.h>
 #include <string.h>
 
-struct pu_piece_reader
+struct pu_chunk_reader
 {
   json_t *root;    /* the last event that was parsed; PIECE points into it */
   GString *before; /* what stands before the text, with its quote */
   GString *after;  /* what stands after it, with its quote */
   GString *text;   /* of an event that was not parsed */
   GString *frame_text; /* of the event that was learnt from */
-  pu_piece_t frame; /* all but the text, of the event that was learnt from */
+  pu_chunk_t frame; /* all but the text, of the event that was learnt from */
   bool learnt;
   bool proved; /* another text in the frame was read as by parsing */
   guint parsed;
 };
 
-pu_piece_reader_t *
-pu_piece_reader_new (void)
+pu_chunk_reader_t *
+pu_chunk_reader_new (void)
 {
-  pu_piece_reader_t *r = g_new0 (pu_piece_reader_t, 1);
+  pu_chunk_reader_t *r = g_new0 (pu_chunk_reader_t, 1);
 
   r->before = g_string_new (NULL);
   r->after = g_string_new (NULL);
@@ -29,7 +29,7 @@
 }
 
 void
-pu_piece_reader_free (pu_piece_reader_t *r)
+pu_chunk_reader_free (pu_chunk_reader_t *r)
 {
   if (r == NULL)
     return;
@@ -42,7 +42,7 @@
 }
 
 guint
-pu_piece_reader_parsed (const pu_piece_reader_t *r)
+pu_chunk_reader_parsed_count (const pu_chunk_reader_t *r)
 {
   return r->parsed;
 }
@@ -97,8 +97,8 @@
 }
 
 static void
-frame_learn (pu_piece_reader_t *r, const char *data, gsize len,
-             const pu_piece_t *piece)
+frame_learn (pu_chunk_reader_t *r, const char *data, gsize len,
+             const pu_chunk_t *piece)
 {
   gsize n = strlen (piece->text);
   const char *place;
@@ -120,8 +120,8 @@
 }
 
 static bool
-frame_fits (pu_piece_reader_t *r, const char *data, gsize len,
-            pu_piece_t *piece)
+frame_fits (pu_chunk_reader_t *r, const char *data, gsize len,
+            pu_chunk_t *piece)
 {
   gsize frame = r->before->len + r->after->len;
   const char *text = data + r->before->len;
@@ -152,7 +152,7 @@
 }
 
 static void
-piece_fill (const json_t *root, pu_piece_t *p)
+piece_fill (const json_t *root, pu_chunk_t *p)
 {
   const json_t *choice = json_array_get (json_object_get (root, "choices"), 0);
   const json_t *tokens
@@ -167,8 +167,8 @@
 }
 
 static bool
-piece_parse (pu_piece_reader_t *r, const char *data, gsize len,
-             pu_piece_t *piece)
+piece_parse (pu_chunk_reader_t *r, const char *data, gsize len,
+             pu_chunk_t *piece)
 {
   json_decref (r->root);
   r->parsed++;
@@ -181,8 +181,8 @@
 
 /* Reads an event that fits the frame both ways.  */
 static bool
-frame_prove (pu_piece_reader_t *r, const char *data, gsize len,
-             pu_piece_t *piece)
+frame_prove (pu_chunk_reader_t *r, const char *data, gsize len,
+             pu_chunk_t *piece)
 {
   char *learnt_id = g_strdup (r->frame.id);
   bool good = piece_parse (r, data, len, piece);
@@ -201,8 +201,8 @@
 }
 
 bool
-pu_piece_read (pu_piece_reader_t *r, const char *data, gsize len,
-               pu_piece_t *piece)
+pu_chunk_read (pu_chunk_reader_t *r, const char *data, gsize len,
+               pu_chunk_t *piece)
 {
   bool fits = frame_fits (r, data, len, piece);
 
--- a/libplantainusher/entry/piece.h
+++ b/libplantainusher/entry/piece.h
@@ -22,20 +22,20 @@
   bool finish;      /* it has a finish reason */
   bool is_error;
   gint64 completion_tokens; /* of the answer, by its usage; -1: not told */
-} pu_piece_t;
+} pu_chunk_t;
 
-typedef struct pu_piece_reader pu_piece_reader_t;
+typedef struct pu_chunk_reader pu_chunk_reader_t;
 
-pu_piece_reader_t *pu_piece_reader_new (void);
-void pu_piece_reader_free (pu_piece_reader_t *r);
+pu_chunk_reader_t *pu_chunk_reader_new (void);
+void pu_chunk_reader_free (pu_chunk_reader_t *r);
 
-/* pu_piece_read - reads the event's data of LEN bytes.  False when it is no
+/* pu_chunk_read - reads the event's data of LEN bytes.  False when it is no
    JSON object.  PIECE holds until the next call.  */
-bool pu_piece_read (pu_piece_reader_t *r, const char *data, gsize len,
-                    pu_piece_t *piece);
+bool pu_chunk_read (pu_chunk_reader_t *r, const char *data, gsize len,
+                    pu_chunk_t *piece);
 
-/* pu_piece_reader_parsed - how many events were parsed; tests.  */
-guint pu_piece_reader_parsed (const pu_piece_reader_t *r);
+/* pu_chunk_reader_parsed_count - how many events were parsed; tests.  */
+guint pu_chunk_reader_parsed_count (const pu_chunk_reader_t *r);
 
 G_END_DECLS
 
--- a/libplantainusher/entry/servers.c
+++ b/libplantainusher/entry/servers.c
@@ -17,12 +17,12 @@
   char *version;
   bool has;
   guint64 until; /* loop time: a report knows by then */
-} extra_t;
+} copy_override_t;
 
 static void
 extra_free (gpointer extra)
 {
-  extra_t *x = extra;
+  copy_override_t *x = extra;
 
   g_free (x->version);
   g_free (x);
@@ -41,7 +41,7 @@
 
   pu_http_call_cancel (s->probe);
   g_ptr_array_free (s->held, TRUE);
-  g_hash_table_destroy (s->extras);
+  g_hash_table_destroy (s->copy_overrides);
   g_free (s->name);
   g_free (s->address);
   g_free (s);
@@ -58,9 +58,9 @@
   s->en = en;
   s->name = g_strdup (name);
   s->handle = PU_ROUTER_NONE;
-  s->number = ++en->last_server;
+  s->number = ++en->last_server_number;
   s->held = g_ptr_array_new ();
-  s->extras
+  s->copy_overrides
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, extra_free);
   g_hash_table_insert (en->servers, s->name, s);
   return s;
@@ -77,8 +77,9 @@
 static bool
 is_waiting (const pu_server_t *s)
 {
-  return s->probe_at != 0 || s->cut_apart > 0 || s->dead_until != 0
-         || g_hash_table_size (s->extras) > 0;
+  return s->probe_at != 0 || s->aborted_suspects > 0
+         || s->local_down_until != 0
+         || g_hash_table_size (s->copy_overrides) > 0;
 }
 
 /* --- strikes --- */
@@ -125,7 +126,7 @@
 static bool
 is_lacking (const pu_server_t *s, const char *model)
 {
-  const extra_t *x = g_hash_table_lookup (s->extras, model);
+  const copy_override_t *x = g_hash_table_lookup (s->copy_overrides, model);
 
   return x != NULL && !x->has;
 }
@@ -148,10 +149,10 @@
   gpointer model;
   gpointer value;
 
-  g_hash_table_iter_init (&it, s->extras);
+  g_hash_table_iter_init (&it, s->copy_overrides);
   while (g_hash_table_iter_next (&it, &model, &value))
     {
-      const extra_t *x = value;
+      const copy_override_t *x = value;
       pu_router_copy_t one = { model, x->version, PU_ROUTER_COPY_READY };
 
       if (x->has && !is_reported (b, model))
@@ -221,7 +222,7 @@
   s->load_id = pu_entry_load_id (s->name, s->incarnation);
   g_hash_table_insert (s->en->load_ids, &s->load_id, s);
   s->leaving = false;
-  s->dead_until = 0;
+  s->local_down_until = 0;
   s->refused = 0;
 }
 
@@ -242,7 +243,7 @@
   if (strcmp (before, health_of (s)) == 0)
     return;
   pu_log_event (
-      PU_ENTRY_PART, "Backend server changed state.",
+      PU_ENTRY_LOG_SLICE, "Backend server changed state.",
       PU_LOG_TEXT ("server", s->name), PU_LOG_TEXT ("address", s->address),
       PU_LOG_TEXT ("before", before), PU_LOG_TEXT ("now", health_of (s)),
       PU_LOG_NUMBER ("incarnation", s->incarnation),
@@ -263,7 +264,7 @@
   s->address = g_strdup (b->address);
   s->plain = b->kind == PU_BACKEND_PLAIN;
   s->leaving = s->leaving || b->leaving;
-  s->down = b->down || uv_now (en->o.loop) < s->dead_until;
+  s->down = b->down || uv_now (en->o.loop) < s->local_down_until;
   if (s->down)
     {
       router_remove (s);
@@ -316,7 +317,7 @@
 }
 
 void
-pu_server_apart (pu_entry_t *en, pu_server_t *s, bool begins)
+pu_server_count_suspect (pu_entry_t *en, pu_server_t *s, bool begins)
 {
   const pu_backend_record *b;
 
@@ -331,19 +332,19 @@
   b = pu_state_backend (en->o.hooks.view (en->o.hooks.data), s->name);
   if (b != NULL && b->incarnation == s->incarnation)
     router_set (s, b);
-  pu_router_due (en);
+  pu_entry_schedule_router (en);
 }
 
 void
-pu_server_apart_cut (pu_server_t *s)
+pu_server_suspect_aborted (pu_server_t *s)
 {
   server_wait (s);
-  s->cut_apart++;
-  s->apart_until = uv_now (s->en->o.loop) + s->en->o.settle_ms;
+  s->aborted_suspects++;
+  s->aborted_until = uv_now (s->en->o.loop) + s->en->o.strike_settle_ms;
 }
 
 bool
-pu_servers_apart (const pu_entry_t *en, const char *model)
+pu_servers_copy_isolated (const pu_entry_t *en, const char *model)
 {
   const pu_state_t *view = en->o.hooks.view (en->o.hooks.data);
   GHashTableIter it;
@@ -372,16 +373,16 @@
 {
   const pu_document_t *d = s->en->document;
   pu_model_handle_t m = pu_document_find_model (d, model);
-  extra_t *x;
+  copy_override_t *x;
 
   if (m == PU_HANDLE_NONE)
     return;
-  x = g_new0 (extra_t, 1);
+  x = g_new0 (copy_override_t, 1);
   x->version = g_strdup (pu_document_model (d, m)->version);
   x->has = has;
   x->until = until;
   server_wait (s);
-  g_hash_table_replace (s->extras, g_strdup (model), x);
+  g_hash_table_replace (s->copy_overrides, g_strdup (model), x);
 }
 
 /* The record of S, where the router has S; else NULL.  */
@@ -408,13 +409,13 @@
 }
 
 void
-pu_server_extra (pu_server_t *s, const char *model, guint64 until)
+pu_server_mark_present (pu_server_t *s, const char *model, guint64 until)
 {
   extra_put (s, model, true, until);
 }
 
 void
-pu_server_lacks (pu_server_t *s, const char *model, guint64 until)
+pu_server_mark_absent (pu_server_t *s, const char *model, guint64 until)
 {
   extra_put (s, model, false, until);
 }
@@ -433,7 +434,7 @@
 bool
 pu_server_is_withdrawn (const pu_server_t *s, const char *model, guint64 until)
 {
-  const extra_t *x = g_hash_table_lookup (s->extras, model);
+  const copy_override_t *x = g_hash_table_lookup (s->copy_overrides, model);
 
   return x != NULL && !x->has && x->until >= until;
 }
@@ -449,10 +450,10 @@
 
   if (b == NULL)
     return;
-  g_hash_table_iter_init (&it, s->extras);
+  g_hash_table_iter_init (&it, s->copy_overrides);
   while (g_hash_table_iter_next (&it, &told, &extra))
     {
-      extra_t *x = extra;
+      copy_override_t *x = extra;
 
       if (!is_of_base (d, told, model))
         continue;
@@ -473,7 +474,7 @@
 is_over (gpointer model, gpointer extra, gpointer now)
 {
   (void)model;
-  return ((extra_t *)extra)->until <= *(guint64 *)now;
+  return ((copy_override_t *)extra)->until <= *(guint64 *)now;
 }
 
 static void
@@ -481,7 +482,7 @@
 {
   const pu_backend_record *b;
 
-  if (g_hash_table_foreach_remove (s->extras, is_over, &now) == 0
+  if (g_hash_table_foreach_remove (s->copy_overrides, is_over, &now) == 0
       || s->handle == PU_ROUTER_NONE)
     return;
   b = pu_state_backend (s->en->o.hooks.view (s->en->o.hooks.data), s->name);
@@ -503,7 +504,7 @@
     {
       pu_exchange_t *x = g_ptr_array_index (held, i);
 
-      pu_exchange_again (x, x->at.failure);
+      pu_exchange_retry (x, x->at.failure);
     }
   g_ptr_array_free (held, TRUE);
 }
@@ -524,20 +525,20 @@
 
   c.pu_command_u.backend_down.name = s->name;
   c.pu_command_u.backend_down.incarnation = s->incarnation;
-  en->o.hooks.propose (en->o.hooks.data, &c, en->o.propose_ms, ignore_reply,
-                       NULL);
+  en->o.hooks.propose (en->o.hooks.data, &c, en->o.log_proposal_timeout_ms,
+                       ignore_reply, NULL);
 }
 
 static void
 server_dead (pu_server_t *s)
 {
-  pu_log_note (PU_ENTRY_PART, "Backend server %s is dead: nobody listens.",
-               s->name);
+  pu_log_note (PU_ENTRY_LOG_SLICE,
+               "Backend server %s is dead: nobody listens.", s->name);
   incarnation_died (s, s->incarnation);
   router_remove (s);
   s->down = true;
   server_wait (s);
-  s->dead_until = uv_now (s->en->o.loop) + DEAD_KEPT_MS;
+  s->local_down_until = uv_now (s->en->o.loop) + DEAD_KEPT_MS;
   pu_http_client_close_idle (s->en->client, s->address);
   down_propose (s);
   held_release (s);
@@ -578,14 +579,15 @@
 static void
 probe_start (pu_server_t *s)
 {
-  pu_http_call_options_t o = { .address = s->address,
-                               .method = "GET",
-                               .target = "/health",
-                               .fresh = true,
-                               .first_byte_timeout_ms = s->en->o.probe_ms,
-                               .progress_timeout_ms = s->en->o.probe_ms,
-                               .events = { .on_end = probe_end },
-                               .data = s };
+  pu_http_call_options_t o
+      = { .address = s->address,
+          .method = "GET",
+          .target = "/health",
+          .fresh = true,
+          .first_byte_timeout_ms = s->en->o.health_probe_timeout_ms,
+          .progress_timeout_ms = s->en->o.health_probe_timeout_ms,
+          .events = { .on_end = probe_end },
+          .data = s };
 
   s->probe_at = 0;
   s->probe = pu_http_client_start (s->en->client, &o, NULL);
@@ -594,31 +596,31 @@
 }
 
 void
-pu_server_doubt (pu_server_t *s)
+pu_server_probe (pu_server_t *s)
 {
   if (s->probe == NULL && s->probe_at == 0 && !s->down)
     probe_start (s);
 }
 
 void
-pu_server_replaced (pu_server_t *s)
+pu_server_mark_replaced (pu_server_t *s)
 {
   if (s->down)
     return;
-  pu_log_note (PU_ENTRY_PART,
+  pu_log_note (PU_ENTRY_LOG_SLICE,
                "Backend server %s is gone: another has its address.", s->name);
   router_remove (s);
   s->down = true;
   server_wait (s);
-  s->dead_until = uv_now (s->en->o.loop) + DEAD_KEPT_MS;
+  s->local_down_until = uv_now (s->en->o.loop) + DEAD_KEPT_MS;
   down_propose (s);
 }
 
 void
 pu_server_hold (pu_server_t *s, pu_exchange_t *x)
 {
-  x->phase = PU_X_HELD;
-  if (x->at.noted)
+  x->phase = PU_EXCHANGE_PROBING;
+  if (x->at.suspect_tracked)
     pu_suspects_connection_lost (s->en->suspects, x->number);
   g_ptr_array_add (s->held, x);
   if (s->probe == NULL && s->probe_at == 0)
@@ -626,7 +628,7 @@
 }
 
 void
-pu_server_unhold (pu_exchange_t *x)
+pu_server_remove_held (pu_exchange_t *x)
 {
   if (x->at.server != NULL)
     g_ptr_array_remove (x->at.server->held, x);
@@ -638,9 +640,9 @@
 {
   const pu_backend_record *b;
 
-  if (s->dead_until == 0 || now < s->dead_until)
+  if (s->local_down_until == 0 || now < s->local_down_until)
     return;
-  s->dead_until = 0;
+  s->local_down_until = 0;
   b = pu_state_backend (s->en->o.hooks.view (s->en->o.hooks.data), s->name);
   if (b != NULL)
     pu_server_apply (s->en, b);
@@ -653,8 +655,9 @@
   dead_tick (s, now);
   if (s->probe_at != 0 && s->probe_at <= now)
     probe_start (s);
-  for (; s->cut_apart > 0 && s->apart_until <= now; s->cut_apart--)
-    pu_server_apart (s->en, s, false);
+  for (; s->aborted_suspects > 0 && s->aborted_until <= now;
+       s->aborted_suspects--)
+    pu_server_count_suspect (s->en, s, false);
 }
 
 void
--- a/libplantainusher/entry/spread.c
+++ b/libplantainusher/entry/spread.c
@@ -8,7 +8,7 @@
 enum
 {
   RECOUNT_MS = 5000,
-  INTERVAL_MIN_MS = PU_ENTRY_LOADS_MS,
+  INTERVAL_MIN_MS = PU_ENTRY_LOADS_INTERVAL_MIN_MS,
   /* An entry that hears N backend servers is told of each every N times this.
      A load alone in a message is 80 bytes: at most 1.1 KB/s in all.  */
   INTERVAL_EACH_MS = 72,
@@ -28,13 +28,13 @@
 } listener_t;
 
 guint
-pu_spread_interval_ms (guint heard)
+pu_load_forward_interval_ms (guint heard)
 {
   return MAX (heard * INTERVAL_EACH_MS, INTERVAL_MIN_MS);
 }
 
 guint
-pu_spread_life_ms (guint interval_ms)
+pu_load_forward_lifetime_ms (guint interval_ms)
 {
   return MAX (interval_ms * LIFE_INTERVALS, LIFE_MIN_MS);
 }
@@ -46,7 +46,7 @@
 }
 
 void
-pu_listener_free (gpointer listener)
+pu_load_receiver_free (gpointer listener)
 {
   listener_t *l = listener;
 
@@ -106,8 +106,9 @@
   const pu_state_t *view = en->o.hooks.view (en->o.hooks.data);
   GArray *found = g_array_new (FALSE, FALSE, sizeof (pu_directory_entry_t));
 
-  pu_directory_entries (en->directory, service, pu_service_size (en, service),
-                        NULL, NULL, found);
+  pu_directory_entries (en->directory, service,
+                        pu_service_entry_count (en, service), NULL, NULL,
+                        found);
   for (guint i = 0; i < found->len; i++)
     {
       const char *name = g_array_index (found, pu_directory_entry_t, i).name;
@@ -144,13 +145,13 @@
   const pu_state_t *view = en->o.hooks.view (en->o.hooks.data);
   others_t o = { .en = en };
 
-  if (en->others_view == pu_state_view (view))
+  if (en->other_entries_view == pu_state_view (view))
     return en->others;
   o.seen = g_hash_table_new (g_str_hash, g_str_equal);
   g_ptr_array_set_size (en->others, 0);
   pu_state_each_member (view, add_other, &o);
   g_hash_table_destroy (o.seen);
-  en->others_view = pu_state_view (view);
+  en->other_entries_view = pu_state_view (view);
   return en->others;
 }
 
@@ -222,7 +223,7 @@
 recount (pu_entry_t *en)
 {
   g_hash_table_foreach (en->listeners, heard_clear, NULL);
-  if (en->o.loads_to_all)
+  if (en->o.loads_to_all_entries)
     {
       heard_count_all (en);
     }
@@ -250,8 +251,8 @@
 }
 
 void
-pu_spread_add (pu_entry_t *en, const char *name, guint64 incarnation,
-               const pu_router_report_t *r)
+pu_load_forward_queue (pu_entry_t *en, const char *name, guint64 incarnation,
+                       const pu_router_report_t *r)
 {
   const pu_backend_record *b
       = pu_state_backend (en->o.hooks.view (en->o.hooks.data), name);
@@ -265,7 +266,7 @@
 
   if (b == NULL || en->document == NULL || en->o.hooks.loads == NULL)
     return;
-  if (en->o.loads_to_all)
+  if (en->o.loads_to_all_entries)
     {
       load_queue (en, other_entries (en), b->name, &load);
       return;
@@ -278,8 +279,8 @@
 static void
 listener_tell (pu_entry_t *en, const char *address, listener_t *l, guint64 now)
 {
-  guint interval
-      = pu_spread_interval_ms (l->heard) * en->o.loads_ms / INTERVAL_MIN_MS;
+  guint interval = pu_load_forward_interval_ms (l->heard) * en->o.loads_ms
+                   / INTERVAL_MIN_MS;
   GArray *loads = g_array_new (FALSE, FALSE, sizeof (pu_entry_load_t));
   GHashTableIter it;
   gpointer load;
@@ -293,14 +294,14 @@
     }
   en->o.hooks.loads (en->o.hooks.data, address,
                      (const pu_entry_load_t *)(void *)loads->data, loads->len,
-                     pu_spread_life_ms (interval));
+                     pu_load_forward_lifetime_ms (interval));
   g_array_free (loads, TRUE);
   g_hash_table_remove_all (l->queued);
   l->next_at = now + interval;
 }
 
 void
-pu_spread_tick (pu_entry_t *en, guint64 now)
+pu_load_forward_tick (pu_entry_t *en, guint64 now)
 {
   GHashTableIter it;
   gpointer address;
@@ -308,9 +309,9 @@
 
   if (en->document == NULL || en->o.hooks.loads == NULL)
     return;
-  if (now - en->recounted >= RECOUNT_MS)
+  if (now - en->receivers_counted_at >= RECOUNT_MS)
     {
-      en->recounted = now;
+      en->receivers_counted_at = now;
       recount (en);
     }
   g_hash_table_iter_init (&it, en->listeners);
@@ -324,20 +325,20 @@
 }
 
 void
-pu_entry_load (pu_entry_t *en, const char *name,
-               const pu_router_report_t *load)
+pu_entry_add_load (pu_entry_t *en, const char *name,
+                   const pu_router_report_t *load)
 {
   const pu_server_t *s = pu_server_find (en, name);
 
   if (s == NULL || s->handle == PU_ROUTER_NONE)
     return;
   pu_router_report (en->router, s->handle, load, uv_now (en->o.loop));
-  pu_router_due (en);
-  pu_spread_add (en, name, s->incarnation, load);
+  pu_entry_schedule_router (en);
+  pu_load_forward_queue (en, name, s->incarnation, load);
 }
 
 void
-pu_entry_withdraw (pu_entry_t *en, const char *name, const char *model)
+pu_entry_withdraw_copy (pu_entry_t *en, const char *name, const char *model)
 {
   pu_server_t *s = pu_server_find (en, name);
   guint64 now = uv_now (en->o.loop);
@@ -362,8 +363,8 @@
 /* --- from them --- */
 
 void
-pu_entry_withdrawn (pu_entry_t *en, guint64 id, const char *model,
-                    guint life_ms)
+pu_entry_receive_withdrawal (pu_entry_t *en, guint64 id, const char *model,
+                             guint life_ms)
 {
   pu_server_t *s = g_hash_table_lookup (en->load_ids, &id);
 
@@ -375,8 +376,8 @@
 }
 
 void
-pu_entry_loads_in (pu_entry_t *en, const pu_entry_load_t *loads, guint n,
-                   guint life_ms)
+pu_entry_receive_loads (pu_entry_t *en, const pu_entry_load_t *loads, guint n,
+                        guint life_ms)
 {
   for (guint i = 0; i < n; i++)
     {
@@ -391,5 +392,5 @@
       if (s != NULL && s->handle != PU_ROUTER_NONE)
         pu_router_report (en->router, s->handle, &report, uv_now (en->o.loop));
     }
-  pu_router_due (en);
+  pu_entry_schedule_router (en);
 }
--- a/libplantainusher/entry/spread_test.cc
+++ b/libplantainusher/entry/spread_test.cc
@@ -13,11 +13,11 @@
 {
   for (guint heard : { 1u, 13u, 14u, 104u, 770u, 10000u })
     {
-      guint interval = pu_spread_interval_ms (heard);
+      guint interval = pu_load_forward_interval_ms (heard);
 
       EXPECT_GE (interval, 1000u);
       EXPECT_LE (heard * LOAD_BYTES * 1000 / interval, BYTES_S) << heard;
-      EXPECT_GE (pu_spread_life_ms (interval), 3 * interval);
+      EXPECT_GE (pu_load_forward_lifetime_ms (interval), 3 * interval);
     }
 }
 
@@ -114,7 +114,7 @@
     return true;
   };
 
-  r.loads_to_all = true;
+  r.loads_to_all_entries = true;
   for (int i = 0; i < 4; i++)
     nodes.push_back (&r.add_node ("n" + std::to_string (i)));
   backend &engine = r.add_backend ("e1", "", *nodes[0]);
@@ -147,7 +147,7 @@
 
   ASSERT_TRUE (all_ready (1));
   for (int sent = 0; sent < 3; sent++)
-    pu_entry_withdraw (nodes[0]->entry, "e1", "m");
+    pu_entry_withdraw_copy (nodes[0]->entry, "e1", "m");
   EXPECT_EQ (nodes.size () - 1, r.withdrawals_told) << "once to each";
   EXPECT_TRUE (all_ready (0));
   r.announce (*engine, *nodes[0], load);
@@ -159,7 +159,7 @@
 {
   const pu_entry_load_t old = { pu_entry_load_id ("e1", 2), 900, 3, 0, 0, 0 };
 
-  pu_entry_loads_in (nodes[1]->entry, &old, 1, 5000);
+  pu_entry_receive_loads (nodes[1]->entry, &old, 1, 5000);
   EXPECT_NE (900, heard_seq (*nodes[1]));
 }
 
--- a/libplantainusher/entry/stream.c
+++ b/libplantainusher/entry/stream.c
@@ -10,9 +10,9 @@
 
 struct pu_stream
 {
-  pu_sent_t *sent;
+  pu_delivered_t *sent;
   pu_sse_t *sse;
-  pu_piece_reader_t *reader;
+  pu_chunk_reader_t *reader;
   pu_stream_cb cb;
   void *cb_data;
   bool first;    /* nothing had been sent before this attempt */
@@ -25,14 +25,14 @@
 };
 
 void
-pu_sent_init (pu_sent_t *s)
+pu_delivered_init (pu_delivered_t *s)
 {
   memset (s, 0, sizeof *s);
   s->text = g_string_new (NULL);
 }
 
 void
-pu_sent_clear (pu_sent_t *s)
+pu_delivered_clear (pu_delivered_t *s)
 {
   if (s->text != NULL)
     g_string_free (s->text, TRUE);
@@ -40,7 +40,7 @@
 }
 
 static void
-pass (pu_stream_t *s, const pu_sse_event_t *ev, const pu_piece_t *p)
+pass (pu_stream_t *s, const pu_sse_event_t *ev, const pu_chunk_t *p)
 {
   bool token = p != NULL && *p->text != 0;
 
@@ -71,7 +71,7 @@
 }
 
 static pu_stream_result_t
-token_take (pu_stream_t *s, const pu_sse_event_t *ev, const pu_piece_t *p)
+token_take (pu_stream_t *s, const pu_sse_event_t *ev, const pu_chunk_t *p)
 {
   guint64 index = 0;
 
@@ -90,7 +90,7 @@
       pass (s, ev, p);
       return PU_STREAM_MORE;
     }
-  return replay_take (s, p->text) ? PU_STREAM_MORE : PU_STREAM_FOREIGN;
+  return replay_take (s, p->text) ? PU_STREAM_MORE : PU_STREAM_MISMATCH;
 }
 
 static bool
@@ -106,31 +106,31 @@
 /* Whether the usage at the end tells of fewer tokens than were passed on, each
    in an event of its own.  After a resume it may count the rest alone.  */
 static bool
-is_doubled (const pu_stream_t *s, const pu_piece_t *p)
+is_doubled (const pu_stream_t *s, const pu_chunk_t *p)
 {
   return s->first && p->completion_tokens > 0
          && s->sent->tokens > p->completion_tokens;
 }
 
 static pu_stream_result_t
-piece_take (pu_stream_t *s, const pu_sse_event_t *ev, const pu_piece_t *p)
+piece_take (pu_stream_t *s, const pu_sse_event_t *ev, const pu_chunk_t *p)
 {
   if (p->is_error)
     return PU_STREAM_BROKEN;
   if (!same_answer (s, p->id))
-    return PU_STREAM_FOREIGN;
+    return PU_STREAM_MISMATCH;
   if (*p->text != 0)
     return token_take (s, ev, p);
   /* An event without text: the role at the start, or the end.  */
   if (p->finish ? !s->sent->finished : s->first)
     pass (s, ev, p);
-  return is_doubled (s, p) ? PU_STREAM_DOUBLED : PU_STREAM_MORE;
+  return is_doubled (s, p) ? PU_STREAM_DUPLICATES : PU_STREAM_MORE;
 }
 
 static pu_stream_result_t
 event_take (pu_stream_t *s, const pu_sse_event_t *ev)
 {
-  pu_piece_t p;
+  pu_chunk_t p;
 
   if (!ev->has_data)
     {
@@ -140,13 +140,13 @@
   if (pu_sse_is_done (ev))
     {
       if (s->replay > 0)
-        return PU_STREAM_FOREIGN;
+        return PU_STREAM_MISMATCH;
       pass (s, ev, NULL);
       return PU_STREAM_DONE;
     }
   if (strcmp (ev->name, "error") == 0)
     return PU_STREAM_BROKEN;
-  if (!pu_piece_read (s->reader, ev->data, ev->data_len, &p))
+  if (!pu_chunk_read (s->reader, ev->data, ev->data_len, &p))
     return PU_STREAM_BROKEN;
   return piece_take (s, ev, &p);
 }
@@ -162,13 +162,14 @@
 }
 
 pu_stream_t *
-pu_stream_new (pu_sent_t *sent, bool confirmed, pu_stream_cb cb, void *data)
+pu_stream_new (pu_delivered_t *sent, bool confirmed, pu_stream_cb cb,
+               void *data)
 {
   pu_stream_t *s = g_new0 (pu_stream_t, 1);
 
   s->sent = sent;
   s->sse = pu_sse_new (EVENT_MAX, on_event, s);
-  s->reader = pu_piece_reader_new ();
+  s->reader = pu_chunk_reader_new ();
   s->cb = cb;
   s->cb_data = data;
   s->first = sent->tokens == 0;
@@ -182,7 +183,7 @@
   if (s == NULL)
     return;
   pu_sse_free (s->sse);
-  pu_piece_reader_free (s->reader);
+  pu_chunk_reader_free (s->reader);
   g_free (s->id);
   g_free (s);
 }
--- a/libplantainusher/entry/stream.h
+++ b/libplantainusher/entry/stream.h
@@ -27,19 +27,19 @@
   GString *text; /* of all tokens */
   guint tokens;  /* events with text */
   bool finished; /* the event with the finish reason was passed on */
-} pu_sent_t;
+} pu_delivered_t;
 
-void pu_sent_init (pu_sent_t *s);
-void pu_sent_clear (pu_sent_t *s);
+void pu_delivered_init (pu_delivered_t *s);
+void pu_delivered_clear (pu_delivered_t *s);
 
 typedef enum
 {
-  PU_STREAM_MORE,    /* the stream goes on */
-  PU_STREAM_DONE,    /* the end mark came */
-  PU_STREAM_FOREIGN, /* an event of another answer, or a replay that
-                        differs */
-  PU_STREAM_BROKEN,  /* a gap, no event, or an event over the limit */
-  PU_STREAM_DOUBLED, /* the caller has got more tokens than the usage at the
+  PU_STREAM_MORE,       /* the stream goes on */
+  PU_STREAM_DONE,       /* the end mark came */
+  PU_STREAM_MISMATCH,   /* an event of another answer, or a replay that
+                          differs */
+  PU_STREAM_BROKEN,     /* a gap, no event, or an event over the limit */
+  PU_STREAM_DUPLICATES, /* the caller has got more tokens than the usage at the
                         end tells: the answer can't be mended */
 } pu_stream_result_t;
 
@@ -52,8 +52,8 @@
 
 /* pu_stream_new - the events of an attempt that was asked to resume after
    SENT, which it keeps up to date.  CONFIRMED: the head said so.  */
-pu_stream_t *pu_stream_new (pu_sent_t *sent, bool confirmed, pu_stream_cb cb,
-                            void *data);
+pu_stream_t *pu_stream_new (pu_delivered_t *sent, bool confirmed,
+                            pu_stream_cb cb, void *data);
 void pu_stream_free (pu_stream_t *s);
 
 /* pu_stream_feed - takes bytes; after another result than PU_STREAM_MORE it
--- a/libplantainusher/entry/trace.h
+++ b/libplantainusher/entry/trace.h
@@ -13,8 +13,8 @@
 /* pu_trace_queued - X waits in the router.  */
 void pu_trace_queued (const pu_exchange_t *x);
 
-/* pu_trace_wants - X waits for its model to be loaded.  */
-void pu_trace_wants (const pu_exchange_t *x);
+/* pu_trace_model_wait - X waits for its model to be loaded.  */
+void pu_trace_model_wait (const pu_exchange_t *x);
 
 /* pu_trace_sent - X goes to the backend server S.  */
 void pu_trace_sent (const pu_exchange_t *x, const pu_server_t *s);
@@ -29,10 +29,10 @@
 void pu_trace_failed (const pu_exchange_t *x, const pu_refusal_t *r,
                       const char *message);
 
-/* pu_trace_turned_away - the request ID (may be NULL) is answered with R
+/* pu_trace_rejected - the request ID (may be NULL) is answered with R
    before anything of it was read.  */
-void pu_trace_turned_away (const pu_entry_t *en, const char *id,
-                           const pu_refusal_t *r, const char *message);
+void pu_trace_rejected (const pu_entry_t *en, const char *id,
+                        const pu_refusal_t *r, const char *message);
 
 /* pu_trace_answered - X has its backend server's whole answer.  */
 void pu_trace_answered (const pu_exchange_t *x);
@@ -41,8 +41,8 @@
    not logged.  */
 void pu_trace_first_event (const pu_exchange_t *x);
 
-/* pu_trace_left - X's caller has gone.  */
-void pu_trace_left (const pu_exchange_t *x);
+/* pu_trace_caller_gone - X's caller has gone.  */
+void pu_trace_caller_gone (const pu_exchange_t *x);
 
 G_END_DECLS
 
--- a/libplantainusher/placement/adapters.c
+++ b/libplantainusher/placement/adapters.c
@@ -67,7 +67,7 @@
 }
 
 void
-pu_adapters_set (pu_adapters_t *a, guint32 item, guint32 base)
+pu_adapters_add (pu_adapters_t *a, guint32 item, guint32 base)
 {
   adapter_t *t;
 
@@ -79,7 +79,7 @@
 }
 
 bool
-pu_adapters_is (const pu_adapters_t *a, guint32 item)
+pu_adapters_contains (const pu_adapters_t *a, guint32 item)
 {
   const adapter_t *t = adapter_at (a, item);
 
@@ -99,8 +99,8 @@
 }
 
 void
-pu_adapters_engine (pu_adapters_t *a, guint32 engine, guint places, guint load,
-                    bool usable)
+pu_adapters_set_engine (pu_adapters_t *a, guint32 engine, guint places,
+                        guint load, bool usable)
 {
   engine_t e = { places, load, usable };
 
@@ -110,7 +110,7 @@
 }
 
 void
-pu_adapters_used (pu_adapters_t *a, guint32 item, guint64 now)
+pu_adapters_mark_used (pu_adapters_t *a, guint32 item, guint64 now)
 {
   adapter_t *t = adapter_at (a, item);
 
@@ -119,7 +119,7 @@
 }
 
 guint
-pu_adapters_active (const pu_adapters_t *a, guint32 base, guint64 now)
+pu_adapters_count_active (const pu_adapters_t *a, guint32 base, guint64 now)
 {
   guint active = 0;
 
@@ -240,14 +240,14 @@
 }
 
 guint32
-pu_adapters_want (pu_adapters_t *a, guint32 item, guint64 now)
+pu_adapters_ensure_loaded (pu_adapters_t *a, guint32 item, guint64 now)
 {
   guint32 holder;
   offer_t best = { PU_ADAPTERS_NONE, 0, 0, 0 };
 
-  if (!pu_adapters_is (a, item))
+  if (!pu_adapters_contains (a, item))
     return PU_ADAPTERS_NONE;
-  pu_adapters_used (a, item, now);
+  pu_adapters_mark_used (a, item, now);
   holder = find_holder (a, item);
   if (holder != PU_ADAPTERS_NONE)
     return holder;
@@ -304,7 +304,7 @@
 }
 
 void
-pu_adapters_spread (pu_adapters_t *a, guint64 now)
+pu_adapters_replicate (pu_adapters_t *a, guint64 now)
 {
   guint given = 0;
 
--- a/libplantainusher/placement/fuzz_test.cc
+++ b/libplantainusher/placement/fuzz_test.cc
@@ -80,7 +80,9 @@
         Case{
             "DownFrees", { PU_LEDGER_BREAK_DOWN_CLOSES_ORDERS, 0, 0 }, kOver },
         Case{ "ReleaseOnLostAnswer", { 0, 0, PU_ORDERS_BREAK_LOST }, kOver },
-        Case{ "ReleaseOnTimeout", { 0, 0, PU_ORDERS_BREAK_TIMEOUT }, kOver },
+        Case{ "ReleaseOnTimeout",
+              { 0, 0, PU_ORDERS_BREAK_RELEASE_ON_TIMEOUT },
+              kOver },
         Case{
             "NewLeaderDoesNotWait", { 0, 0, PU_ORDERS_BREAK_NO_WAIT }, kOver },
         Case{
--- a/libplantainusher/placement/orders.c
+++ b/libplantainusher/placement/orders.c
@@ -59,9 +59,9 @@
   o->queue_ms = DEFAULT_QUEUE_MS;
   o->backoff_ms = DEFAULT_BACKOFF_MS;
   o->backoff_max_ms = DEFAULT_BACKOFF_MAX_MS;
-  o->per_engine = DEFAULT_PER_ENGINE;
+  o->max_orders_per_engine = DEFAULT_PER_ENGINE;
   o->loads_per_s = DEFAULT_LOADS_PER_S;
-  o->loads_at_once = DEFAULT_LOADS_AT_ONCE;
+  o->max_store_loads = DEFAULT_LOADS_AT_ONCE;
   o->test_breaks = PU_ORDERS_BREAK_NONE;
 }
 
@@ -76,7 +76,7 @@
 {
   pu_orders_order_t *r = data;
 
-  g_free ((char *)r->wish.reason);
+  g_free ((char *)r->spec.reason);
   g_free (r);
 }
 
@@ -116,10 +116,11 @@
 }
 
 void
-pu_orders_set_store (pu_orders_t *o, double loads_per_s, guint loads_at_once)
+pu_orders_set_store_limits (pu_orders_t *o, double loads_per_s,
+                            guint max_store_loads)
 {
   o->o.loads_per_s = loads_per_s;
-  o->o.loads_at_once = loads_at_once;
+  o->o.max_store_loads = max_store_loads;
 }
 
 static guint64
@@ -141,7 +142,7 @@
 }
 
 static void
-back_off (pu_orders_t *o, const pu_orders_wish_t *w, guint64 now)
+back_off (pu_orders_t *o, const pu_orders_spec_t *w, guint64 now)
 {
   guint64 key = backoff_key (w->backend, w->copy);
   backoff_t *b = g_hash_table_lookup (o->backoffs, &key);
@@ -200,13 +201,13 @@
 }
 
 static pu_orders_order_t *
-add (pu_orders_t *o, const pu_orders_wish_t *w, guint64 now)
+add (pu_orders_t *o, const pu_orders_spec_t *w, guint64 now)
 {
   pu_orders_order_t *r = g_new0 (pu_orders_order_t, 1);
 
   r->id = ++o->last_id;
-  r->wish = *w;
-  r->wish.reason = g_strdup (w->reason != NULL ? w->reason : "");
+  r->spec = *w;
+  r->spec.reason = g_strdup (w->reason != NULL ? w->reason : "");
   r->changed = now;
   g_ptr_array_add (o->orders, r);
   return r;
@@ -216,7 +217,7 @@
 pu_orders_adopt (pu_orders_t *o, const pu_ledger_order_t *open, bool fenced,
                  guint64 now)
 {
-  pu_orders_wish_t w = { 0 };
+  pu_orders_spec_t w = { 0 };
   pu_orders_order_t *r;
 
   if (find_token (o, open->token) != NULL)
@@ -233,7 +234,7 @@
   r->state = PU_ORDERS_SENT;
   r->inherited = true;
   r->ever_sent = true;
-  r->send_until = 0;
+  r->send_deadline = 0;
   r->life_until = o->quiet_until;
 }
 
@@ -247,14 +248,14 @@
     {
       const pu_orders_order_t *r = order_at (o, i);
 
-      if (r->inherited && r->wish.backend == backend)
+      if (r->inherited && r->spec.backend == backend)
         return false;
     }
   return true;
 }
 
 bool
-pu_orders_quiet (const pu_orders_t *o, guint64 now)
+pu_orders_loads_suspended (const pu_orders_t *o, guint64 now)
 {
   if (now >= o->quiet_until)
     return false;
@@ -262,7 +263,7 @@
     {
       const pu_orders_order_t *r = order_at (o, i);
 
-      if (r->inherited && !r->wish.fenced)
+      if (r->inherited && !r->spec.fenced)
         return true;
     }
   return false;
@@ -271,18 +272,18 @@
 /* Whether an order that is open already stands against W.  A late unload of
    an engine that ignores tokens could undo a load.  */
 static bool
-stands_against (const pu_orders_order_t *r, const pu_orders_wish_t *w)
+stands_against (const pu_orders_order_t *r, const pu_orders_spec_t *w)
 {
-  if (r->wish.backend != w->backend || r->wish.copy != w->copy)
+  if (r->spec.backend != w->backend || r->spec.copy != w->copy)
     return false;
   if (r->state <= PU_ORDERS_ACKED)
     return true;
   return !w->fenced && w->kind == PU_LEDGER_LOAD
-         && r->wish.kind == PU_LEDGER_UNLOAD;
+         && r->spec.kind == PU_LEDGER_UNLOAD;
 }
 
 guint32
-pu_orders_want (pu_orders_t *o, const pu_orders_wish_t *w, guint64 now)
+pu_orders_enqueue (pu_orders_t *o, const pu_orders_spec_t *w, guint64 now)
 {
   guint64 until;
 
@@ -301,8 +302,8 @@
 }
 
 void
-pu_orders_reserved (pu_orders_t *o, guint32 id, bool accepted, guint64 token,
-                    guint64 now)
+pu_orders_handle_reserved (pu_orders_t *o, guint32 id, bool accepted,
+                           guint64 token, guint64 now)
 {
   pu_orders_order_t *r = find_id (o, id);
 
@@ -310,7 +311,7 @@
     return;
   if (!accepted)
     {
-      back_off (o, &r->wish, now);
+      back_off (o, &r->spec, now);
       g_ptr_array_remove (o->orders, r);
       return;
     }
@@ -322,12 +323,12 @@
 fail (pu_orders_t *o, pu_orders_order_t *r, guint64 now)
 {
   set_state (r, PU_ORDERS_FAILED, now);
-  back_off (o, &r->wish, now);
+  back_off (o, &r->spec, now);
 }
 
 void
-pu_orders_answer (pu_orders_t *o, guint64 token, pu_orders_answer_t a,
-                  guint64 now)
+pu_orders_handle_answer (pu_orders_t *o, guint64 token, pu_orders_answer_t a,
+                         guint64 now)
 {
   pu_orders_order_t *r = find_token (o, token);
 
@@ -362,9 +363,9 @@
 see (pu_orders_t *o, pu_orders_order_t *r, const pu_ledger_report_t *report,
      guint64 now)
 {
-  const pu_ledger_copy_t *h = find_held (report, r->wish.copy);
-  guint64 key = backoff_key (r->wish.backend, r->wish.copy);
-  bool load = r->wish.kind == PU_LEDGER_LOAD;
+  const pu_ledger_copy_t *h = find_held (report, r->spec.copy);
+  guint64 key = backoff_key (r->spec.backend, r->spec.copy);
+  bool load = r->spec.kind == PU_LEDGER_LOAD;
   bool done = load ? h != NULL && h->phase == PU_LEDGER_READY : h == NULL;
 
   if (r->state != PU_ORDERS_SENT && r->state != PU_ORDERS_ACKED)
@@ -406,8 +407,8 @@
 }
 
 void
-pu_orders_report (pu_orders_t *o, const pu_ledger_report_t *report,
-                  guint64 now)
+pu_orders_handle_report (pu_orders_t *o, const pu_ledger_report_t *report,
+                         guint64 now)
 {
   server_t *v = make_server (o, report->backend);
 
@@ -420,12 +421,12 @@
       pu_orders_order_t *r = order_at (o, i);
       const pu_ledger_copy_t *h;
 
-      if (r->wish.backend != report->backend)
+      if (r->spec.backend != report->backend)
         continue;
-      h = find_held (report, r->wish.copy);
+      h = find_held (report, r->spec.copy);
       r->held = h != NULL;
       r->loading = h != NULL && h->phase == PU_LEDGER_LOADING;
-      if (r->wish.incarnation != report->incarnation)
+      if (r->spec.incarnation != report->incarnation)
         {
           stop_sending (r, now);
         }
@@ -444,13 +445,13 @@
     {
       pu_orders_order_t *r = order_at (o, i);
 
-      if (r->wish.backend == backend)
+      if (r->spec.backend == backend)
         stop_sending (r, now);
     }
 }
 
 void
-pu_orders_closed (pu_orders_t *o, guint64 token)
+pu_orders_handle_closed (pu_orders_t *o, guint64 token)
 {
   pu_orders_order_t *r = find_token (o, token);
 
@@ -496,7 +497,7 @@
     {
       const pu_orders_order_t *r = order_at (o, i);
 
-      n += r->wish.backend == backend && under_way (r);
+      n += r->spec.backend == backend && under_way (r);
     }
   return n;
 }
@@ -510,7 +511,7 @@
     {
       const pu_orders_order_t *r = order_at (o, i);
 
-      n += r->wish.kind == PU_LEDGER_LOAD && under_way (r);
+      n += r->spec.kind == PU_LEDGER_LOAD && under_way (r);
     }
   return n;
 }
@@ -529,26 +530,26 @@
 static bool
 store_takes (pu_orders_t *o)
 {
-  return o->loads >= 1.0 && count_loads (o) < o->o.loads_at_once;
+  return o->loads >= 1.0 && count_loads (o) < o->o.max_store_loads;
 }
 
 static void
 propose (pu_orders_t *o, pu_orders_order_t *r, guint64 now, GArray *actions)
 {
-  bool load = r->wish.kind == PU_LEDGER_LOAD;
+  bool load = r->spec.kind == PU_LEDGER_LOAD;
 
-  if (count_engine (o, r->wish.backend) >= o->o.per_engine)
+  if (count_engine (o, r->spec.backend) >= o->o.max_orders_per_engine)
     return;
   if (load && !store_takes (o))
     return;
   o->loads -= load;
   r->proposed = now;
-  r->send_until = now + o->o.send_ms;
+  r->send_deadline = now + o->o.send_ms;
   r->life_until = now + pu_orders_life_ms (&o->o);
   set_state (r, PU_ORDERS_PROPOSED, now);
-  act (actions, PU_ORDERS_DO_RESERVE, r);
+  act (actions, PU_ORDERS_ACTION_RESERVE, r);
   if (broken (o, PU_ORDERS_BREAK_UNLOGGED))
-    act (actions, PU_ORDERS_DO_SEND, r);
+    act (actions, PU_ORDERS_ACTION_SEND, r);
 }
 
 /* Whether an order with an earlier token to the same fenced engine should be
@@ -556,13 +557,13 @@
 static bool
 held_back (const pu_orders_t *o, const pu_orders_order_t *r, guint64 now)
 {
-  for (guint i = 0; r->wish.fenced && i < o->orders->len; i++)
+  for (guint i = 0; r->spec.fenced && i < o->orders->len; i++)
     {
       const pu_orders_order_t *q = order_at (o, i);
       bool waits = q->state == PU_ORDERS_RESERVED
                    || (q->state == PU_ORDERS_SENT && !q->inherited);
 
-      if (q->wish.backend != r->wish.backend || q->token >= r->token)
+      if (q->spec.backend != r->spec.backend || q->token >= r->token)
         continue;
       if (waits && now < q->proposed + HOLD_RETRIES * o->o.retry_ms)
         return true;
@@ -573,7 +574,7 @@
 static void
 send (pu_orders_t *o, pu_orders_order_t *r, guint64 now, GArray *actions)
 {
-  if (r->inherited || now >= r->send_until)
+  if (r->inherited || now >= r->send_deadline)
     return;
   if (r->ever_sent && now < r->last_send + o->o.retry_ms)
     return;
@@ -584,22 +585,22 @@
   r->tries++;
   if (r->state == PU_ORDERS_RESERVED)
     set_state (r, PU_ORDERS_SENT, now);
-  act (actions, PU_ORDERS_DO_SEND, r);
+  act (actions, PU_ORDERS_ACTION_SEND, r);
 }
 
 static bool
 is_fenced (const pu_orders_t *o, const pu_orders_order_t *r)
 {
-  const server_t *v = find_server (o, r->wish.backend);
+  const server_t *v = find_server (o, r->spec.backend);
 
-  return v != NULL ? v->fenced : r->wish.fenced;
+  return v != NULL ? v->fenced : r->spec.fenced;
 }
 
 /* Whether the engine has reported a later token.  */
 static bool
 fenced_off (const pu_orders_t *o, const pu_orders_order_t *r)
 {
-  const server_t *v = find_server (o, r->wish.backend);
+  const server_t *v = find_server (o, r->spec.backend);
 
   return v != NULL && v->fenced && !v->down && r->token != 0
          && r->token < v->token;
@@ -610,11 +611,11 @@
 static bool
 came_to_nothing (const pu_orders_t *o, const pu_orders_order_t *r, guint64 now)
 {
-  const server_t *v = find_server (o, r->wish.backend);
+  const server_t *v = find_server (o, r->spec.backend);
 
-  if (r->wish.kind != PU_LEDGER_LOAD || r->state != PU_ORDERS_ACKED || r->held)
+  if (r->spec.kind != PU_LEDGER_LOAD || r->state != PU_ORDERS_ACKED || r->held)
     return false;
-  if (v == NULL || v->down || v->incarnation != r->wish.incarnation)
+  if (v == NULL || v->down || v->incarnation != r->spec.incarnation)
     return false;
   return v->token >= r->token || now >= r->changed + o->o.report_ms;
 }
@@ -625,7 +626,7 @@
 too_late (const pu_orders_t *o, const pu_orders_order_t *r, guint64 now)
 {
   guint64 limit
-      = r->wish.kind == PU_LEDGER_LOAD ? o->o.load_ms : o->o.unload_ms;
+      = r->spec.kind == PU_LEDGER_LOAD ? o->o.load_ms : o->o.unload_ms;
 
   if (under_way (r) && fenced_off (o, r) && !r->held)
     return true;
@@ -652,7 +653,7 @@
   if (too_late (o, r, now))
     {
       fail (o, r, now);
-      act (actions, PU_ORDERS_DO_FAIL, r);
+      act (actions, PU_ORDERS_ACTION_FAIL, r);
       return;
     }
   if (r->state == PU_ORDERS_QUEUED)
@@ -669,7 +670,7 @@
 static bool
 life_ends (const pu_orders_t *o, const pu_orders_order_t *r)
 {
-  if (r->wish.kind == PU_LEDGER_UNLOAD)
+  if (r->spec.kind == PU_LEDGER_UNLOAD)
     return !r->ever_sent || !is_fenced (o, r) || !r->held;
   return !r->loading && (!is_fenced (o, r) || fenced_off (o, r));
 }
@@ -680,7 +681,7 @@
 {
   if (r->state != PU_ORDERS_SENT || r->inherited)
     return false;
-  if (broken (o, PU_ORDERS_BREAK_TIMEOUT))
+  if (broken (o, PU_ORDERS_BREAK_RELEASE_ON_TIMEOUT))
     return now >= r->proposed + o->o.retry_ms;
   return r->lost && broken (o, PU_ORDERS_BREAK_LOST);
 }
@@ -695,7 +696,7 @@
   if (!over && !released_early (o, r, now))
     return;
   r->release_at = now + RELEASE_RETRY_MS;
-  act (actions, PU_ORDERS_DO_RELEASE, r);
+  act (actions, PU_ORDERS_ACTION_RELEASE, r);
 }
 
 /* Asks for a later token where an order that may still arrive, if doubled,
@@ -704,8 +705,8 @@
 static void
 fence (pu_orders_t *o, const pu_orders_order_t *r, GArray *actions)
 {
-  const server_t *v = find_server (o, r->wish.backend);
-  bool load = r->wish.kind == PU_LEDGER_LOAD;
+  const server_t *v = find_server (o, r->spec.backend);
+  bool load = r->spec.kind == PU_LEDGER_LOAD;
   bool over
       = r->state == PU_ORDERS_FAILED || (r->state == PU_ORDERS_DONE && load);
 
@@ -713,8 +714,8 @@
     return;
   if (v == NULL || v->down || !v->fenced)
     return;
-  if (r->release_at != G_MAXUINT64 && count_engine (o, r->wish.backend) == 0)
-    act (actions, PU_ORDERS_DO_FENCE, r);
+  if (r->release_at != G_MAXUINT64 && count_engine (o, r->spec.backend) == 0)
+    act (actions, PU_ORDERS_ACTION_FENCE, r);
 }
 
 static bool
--- a/libplantainusher/placement/orders.h
+++ b/libplantainusher/placement/orders.h
@@ -66,11 +66,11 @@
 /* How an engine answered.  */
 typedef enum
 {
-  PU_ORDERS_ACCEPTED,  /* 202 */
-  PU_ORDERS_OLD_TOKEN, /* 409 */
-  PU_ORDERS_NO_MEMORY, /* 507 */
-  PU_ORDERS_REFUSED,   /* another error */
-  PU_ORDERS_LOST       /* no answer: nothing is known */
+  PU_ORDERS_ACCEPTED,    /* 202 */
+  PU_ORDERS_STALE_TOKEN, /* 409 */
+  PU_ORDERS_NO_MEMORY,   /* 507 */
+  PU_ORDERS_REFUSED,     /* another error */
+  PU_ORDERS_LOST         /* no answer: nothing is known */
 } pu_orders_answer_t;
 
 /* What is wanted of an engine.  */
@@ -83,13 +83,13 @@
   guint32 copy;
   guint32 memory_mb;
   const char *reason;
-} pu_orders_wish_t;
+} pu_orders_spec_t;
 
 typedef struct
 {
   guint32 id; /* of this object's own; never 0 */
   pu_orders_state_t state;
-  pu_orders_wish_t wish; /* its reason lives as long as the order */
+  pu_orders_spec_t spec; /* its reason lives as long as the order */
   guint64 token;         /* 0 before it is reserved */
   bool inherited;        /* from the leader before */
   bool ever_sent;
@@ -99,20 +99,22 @@
   guint32 tries;
   guint64 proposed; /* when, in ms; here and below */
   guint64 last_send;
-  guint64 send_until; /* never sent after */
-  guint64 life_until; /* cannot take effect after */
-  guint64 changed;    /* its state */
+  guint64 send_deadline; /* never sent after */
+  guint64 life_until;    /* cannot take effect after */
+  guint64 changed;       /* its state */
   guint64 release_at; /* next RELEASE, when it was asked already; G_MAXUINT64
                          when the ledger has closed it */
 } pu_orders_order_t;
 
 typedef enum
 {
-  PU_ORDERS_DO_RESERVE, /* propose RESERVE; answer by pu_orders_reserved */
-  PU_ORDERS_DO_SEND,    /* send to the engine; answer by pu_orders_answer */
-  PU_ORDERS_DO_RELEASE, /* propose RELEASE: its life is over */
-  PU_ORDERS_DO_FENCE,   /* want another order for the same copy */
-  PU_ORDERS_DO_FAIL     /* given up; only to be told */
+  PU_ORDERS_ACTION_RESERVE, /* propose RESERVE; answer by
+                               pu_orders_handle_reserved */
+  PU_ORDERS_ACTION_SEND,    /* send to the engine; answer by
+                               pu_orders_handle_answer */
+  PU_ORDERS_ACTION_RELEASE, /* propose RELEASE: its life is over */
+  PU_ORDERS_ACTION_FENCE,   /* want another order for the same copy */
+  PU_ORDERS_ACTION_FAIL     /* given up; only to be told */
 } pu_orders_do_t;
 
 typedef struct
@@ -125,8 +127,9 @@
 typedef enum
 {
   PU_ORDERS_BREAK_NONE = 0,
-  PU_ORDERS_BREAK_LOST = 1,    /* release on a lost answer */
-  PU_ORDERS_BREAK_TIMEOUT = 2, /* release on a timeout without proof */
+  PU_ORDERS_BREAK_LOST = 1, /* release on a lost answer */
+  PU_ORDERS_BREAK_RELEASE_ON_TIMEOUT
+  = 2,                         /* release on a timeout without proof */
   PU_ORDERS_BREAK_NO_WAIT = 4, /* a new leader does not wait */
   PU_ORDERS_BREAK_UNLOGGED = 8 /* sent before it is reserved */
 } pu_orders_break_t;
@@ -143,10 +146,10 @@
   guint64 queue_ms;   /* wanted but not proposed, then dropped */
   guint64 backoff_ms; /* after a failure; doubles */
   guint64 backoff_max_ms;
-  guint per_engine;    /* orders under way to one engine */
-  double loads_per_s;  /* of the store */
-  guint loads_at_once; /* of the store at full speed */
-  guint test_breaks;   /* pu_orders_break_t; 0 outside tests */
+  guint max_orders_per_engine; /* orders under way to one engine */
+  double loads_per_s;          /* of the store */
+  guint max_store_loads;       /* of the store at full speed */
+  guint test_breaks;           /* pu_orders_break_t; 0 outside tests */
 } pu_orders_options_t;
 
 void pu_orders_options_init (pu_orders_options_t *o);
@@ -158,9 +161,9 @@
 pu_orders_t *pu_orders_new (const pu_orders_options_t *o, guint64 now);
 void pu_orders_free (pu_orders_t *o);
 
-/* pu_orders_set_store - the store's limits from now on.  */
-void pu_orders_set_store (pu_orders_t *o, double loads_per_s,
-                          guint loads_at_once);
+/* pu_orders_set_store_limits - the store's limits from now on.  */
+void pu_orders_set_store_limits (pu_orders_t *o, double loads_per_s,
+                                 guint max_store_loads);
 
 /* pu_orders_adopt - takes over an order that is open in the state.  */
 void pu_orders_adopt (pu_orders_t *o, const pu_ledger_order_t *open,
@@ -172,35 +175,36 @@
 bool pu_orders_may_load (const pu_orders_t *o, guint32 backend, bool fenced,
                          guint64 now);
 
-/* pu_orders_quiet - whether any backend server gets no loads for that.  */
-bool pu_orders_quiet (const pu_orders_t *o, guint64 now);
+/* pu_orders_loads_suspended - whether any backend server gets no loads for
+ * that.  */
+bool pu_orders_loads_suspended (const pu_orders_t *o, guint64 now);
 
-/* pu_orders_want - queues an order.  Returns its id, or 0 when it is refused:
-   another order for the same copy there is under way, the copy's last
+/* pu_orders_enqueue - queues an order.  Returns its id, or 0 when it is
+   refused: another order for the same copy there is under way, the copy's last
    failures hold it back, or pu_orders_may_load says no.  */
-guint32 pu_orders_want (pu_orders_t *o, const pu_orders_wish_t *w,
-                        guint64 now);
+guint32 pu_orders_enqueue (pu_orders_t *o, const pu_orders_spec_t *w,
+                           guint64 now);
 
-/* pu_orders_reserved - RESERVE for the order ID was applied with TOKEN, or
-   refused (ACCEPTED false).  */
-void pu_orders_reserved (pu_orders_t *o, guint32 id, bool accepted,
-                         guint64 token, guint64 now);
+/* pu_orders_handle_reserved - RESERVE for the order ID was applied with TOKEN,
+   or refused (ACCEPTED false).  */
+void pu_orders_handle_reserved (pu_orders_t *o, guint32 id, bool accepted,
+                                guint64 token, guint64 now);
 
-/* pu_orders_answer - the engine answered the order TOKEN.  An answer for an
-   order that is not known, or doubled, is no harm.  */
-void pu_orders_answer (pu_orders_t *o, guint64 token, pu_orders_answer_t a,
-                       guint64 now);
+/* pu_orders_handle_answer - the engine answered the order TOKEN.  An answer
+   for an order that is not known, or doubled, is no harm.  */
+void pu_orders_handle_answer (pu_orders_t *o, guint64 token,
+                              pu_orders_answer_t a, guint64 now);
 
-/* pu_orders_report - what a backend server reported; the ledger has taken it
-   in already.  */
-void pu_orders_report (pu_orders_t *o, const pu_ledger_report_t *r,
-                       guint64 now);
+/* pu_orders_handle_report - what a backend server reported; the ledger has
+   taken it in already.  */
+void pu_orders_handle_report (pu_orders_t *o, const pu_ledger_report_t *r,
+                              guint64 now);
 
 /* pu_orders_down - BACKEND lost its lease: nothing more is sent to it.  */
 void pu_orders_down (pu_orders_t *o, guint32 backend, guint64 now);
 
-/* pu_orders_closed - the ledger counts the order TOKEN no more.  */
-void pu_orders_closed (pu_orders_t *o, guint64 token);
+/* pu_orders_handle_closed - the ledger counts the order TOKEN no more.  */
+void pu_orders_handle_closed (pu_orders_t *o, guint64 token);
 
 /* pu_orders_cancel - the order ID is not sent any more.  */
 void pu_orders_cancel (pu_orders_t *o, guint32 id, guint64 now);
--- a/libplantainusher/placement/placement.c
+++ b/libplantainusher/placement/placement.c
@@ -105,8 +105,8 @@
 }
 
 void
-pu_placement_name_copy (pu_placement_t *pl, guint32 copy, guint32 item,
-                        guint32 version)
+pu_placement_map_copy (pu_placement_t *pl, guint32 copy, guint32 item,
+                       guint32 version)
 {
   guint64 key = name_key (item, version);
   name_t *n;
@@ -161,7 +161,7 @@
     {
       const pu_orders_order_t *r = g_ptr_array_index (pl->mine, i);
 
-      if (r->wish.copy == copy && r->wish.kind == PU_LEDGER_UNLOAD
+      if (r->spec.copy == copy && r->spec.kind == PU_LEDGER_UNLOAD
           && r->state != PU_ORDERS_DONE && r->release_at != G_MAXUINT64)
         return true;
     }
@@ -215,8 +215,8 @@
     {
       const pu_orders_order_t *o = g_ptr_array_index (pl->mine, i);
 
-      if (o->wish.kind == PU_LEDGER_LOAD && o->state <= PU_ORDERS_ACKED
-          && o->wish.copy == r->wish.copy)
+      if (o->spec.kind == PU_LEDGER_LOAD && o->state <= PU_ORDERS_ACKED
+          && o->spec.copy == r->spec.copy)
         return true;
     }
   return false;
@@ -233,12 +233,12 @@
     {
       const pu_orders_order_t *r = g_ptr_array_index (pl->mine, i);
 
-      if (r->wish.kind != PU_LEDGER_LOAD || r->state > PU_ORDERS_ACKED
-          || holds (s, r->wish.copy) || ordered_before (pl, i))
+      if (r->spec.kind != PU_LEDGER_LOAD || r->state > PU_ORDERS_ACKED
+          || holds (s, r->spec.copy) || ordered_before (pl, i))
         continue;
       if (r->state < PU_ORDERS_RESERVED)
-        unreserved += r->wish.memory_mb;
-      add_plan_copy (pl, r->wish.copy, r->wish.memory_mb, PU_PLAN_ORDERED);
+        unreserved += r->spec.memory_mb;
+      add_plan_copy (pl, r->spec.copy, r->spec.memory_mb, PU_PLAN_ORDERED);
     }
   return unreserved;
 }
@@ -280,7 +280,7 @@
     {
       const pu_orders_order_t *r = pu_orders_get (pl->orders, i);
 
-      if (r->wish.backend == backend)
+      if (r->spec.backend == backend)
         g_ptr_array_add (pl->mine, (gpointer)r);
     }
 }
@@ -307,7 +307,7 @@
   memset (next, 0xff, pl->next->len * sizeof *next);
   for (guint i = n; i-- > 0;)
     {
-      guint32 b = pu_orders_get (pl->orders, i)->wish.backend;
+      guint32 b = pu_orders_get (pl->orders, i)->spec.backend;
 
       if (b >= pl->servers->len)
         continue;
@@ -359,8 +359,9 @@
 }
 
 void
-pu_placement_backend (pu_placement_t *pl, const pu_ledger_report_t *r,
-                      bool down, guint32 zone, double streams, guint64 now)
+pu_placement_update_backend (pu_placement_t *pl, const pu_ledger_report_t *r,
+                             bool down, guint32 zone, double streams,
+                             guint64 now)
 {
   server_t *s;
 
@@ -386,7 +387,7 @@
     }
   else
     {
-      pu_orders_report (pl->orders, &s->report, now);
+      pu_orders_handle_report (pl->orders, &s->report, now);
     }
   refresh (pl, r->backend, now);
 }
@@ -409,18 +410,18 @@
       const pu_orders_order_t *r = pu_orders_get (pl->orders, i);
 
       if ((id != 0 && r->id == id) || (token != 0 && r->token == token))
-        return r->wish.backend;
+        return r->spec.backend;
     }
   return PU_PLAN_NONE;
 }
 
 void
-pu_placement_reserved (pu_placement_t *pl, guint32 id, bool accepted,
-                       guint64 token, guint64 now)
+pu_placement_handle_reserved (pu_placement_t *pl, guint32 id, bool accepted,
+                              guint64 token, guint64 now)
 {
   guint32 backend = backend_of (pl, id, 0);
 
-  pu_orders_reserved (pl->orders, id, accepted, token, now);
+  pu_orders_handle_reserved (pl->orders, id, accepted, token, now);
   refresh (pl, backend, now);
 }
 
@@ -429,20 +430,20 @@
 {
   name_t n;
 
-  if (r->wish.kind == PU_LEDGER_LOAD && find_name (pl, r->wish.copy, &n))
+  if (r->spec.kind == PU_LEDGER_LOAD && find_name (pl, r->spec.copy, &n))
     {
-      pu_planner_load_failed (pl->planner, r->wish.backend, n.item, n.version,
+      pu_planner_load_failed (pl->planner, r->spec.backend, n.item, n.version,
                               now);
     }
 }
 
 void
-pu_placement_answer (pu_placement_t *pl, guint64 token, pu_orders_answer_t a,
-                     guint64 now)
+pu_placement_handle_answer (pu_placement_t *pl, guint64 token,
+                            pu_orders_answer_t a, guint64 now)
 {
   guint32 backend = backend_of (pl, 0, token);
 
-  pu_orders_answer (pl->orders, token, a, now);
+  pu_orders_handle_answer (pl->orders, token, a, now);
   for (guint i = 0; i < pu_orders_count (pl->orders); i++)
     {
       const pu_orders_order_t *r = pu_orders_get (pl->orders, i);
@@ -455,11 +456,11 @@
 }
 
 void
-pu_placement_closed (pu_placement_t *pl, guint64 token, guint64 now)
+pu_placement_handle_closed (pu_placement_t *pl, guint64 token, guint64 now)
 {
   guint32 backend = backend_of (pl, 0, token);
 
-  pu_orders_closed (pl->orders, token);
+  pu_orders_handle_closed (pl->orders, token);
   refresh (pl, backend, now);
 }
 
@@ -468,7 +469,7 @@
       guint32 memory_mb, const char *reason, guint64 now)
 {
   const server_t *s = find_server (pl, backend);
-  pu_orders_wish_t w = { 0 };
+  pu_orders_spec_t w = { 0 };
 
   if (s == NULL || s->down)
     return false;
@@ -479,7 +480,7 @@
   w.copy = copy;
   w.memory_mb = kind == PU_LEDGER_LOAD ? memory_mb : 0;
   w.reason = reason;
-  return pu_orders_want (pl->orders, &w, now) != 0;
+  return pu_orders_enqueue (pl->orders, &w, now) != 0;
 }
 
 static void
@@ -521,8 +522,8 @@
 {
   name_t n;
 
-  return !find_name (pl, r->wish.copy, &n)
-         || pu_planner_may_unload (pl->planner, r->wish.backend, n.item,
+  return !find_name (pl, r->spec.copy, &n)
+         || pu_planner_may_unload (pl->planner, r->spec.backend, n.item,
                                    n.version);
 }
 
@@ -534,22 +535,22 @@
 {
   name_t n;
   bool load
-      = r->wish.kind == PU_LEDGER_UNLOAD
-        || (find_name (pl, r->wish.copy, &n)
+      = r->spec.kind == PU_LEDGER_UNLOAD
+        || (find_name (pl, r->spec.copy, &n)
             && pu_planner_needs_version (pl->planner, n.item, n.version));
-  guint32 memory_mb = r->wish.memory_mb;
-  const server_t *s = find_server (pl, r->wish.backend);
+  guint32 memory_mb = r->spec.memory_mb;
+  const server_t *s = find_server (pl, r->spec.backend);
 
   for (guint i = 0; s != NULL && i < s->held->len; i++)
     {
       const pu_ledger_copy_t *h
           = &g_array_index (s->held, pu_ledger_copy_t, i);
 
-      if (h->copy == r->wish.copy)
+      if (h->copy == r->spec.copy)
         memory_mb = MAX (memory_mb, h->memory_mb);
     }
-  want (pl, load ? PU_LEDGER_LOAD : PU_LEDGER_UNLOAD, r->wish.backend,
-        r->wish.copy, memory_mb, "a later token, to close an earlier order",
+  want (pl, load ? PU_LEDGER_LOAD : PU_LEDGER_UNLOAD, r->spec.backend,
+        r->spec.copy, memory_mb, "a later token, to close an earlier order",
         now);
 }
 
@@ -558,19 +559,19 @@
 static bool
 filter (pu_placement_t *pl, const pu_orders_action_t *a, guint64 now)
 {
-  bool unload = a->order.wish.kind == PU_LEDGER_UNLOAD;
+  bool unload = a->order.spec.kind == PU_LEDGER_UNLOAD;
 
   switch (a->what)
     {
-    case PU_ORDERS_DO_SEND:
+    case PU_ORDERS_ACTION_SEND:
       if (!unload || may_unload (pl, &a->order))
         return true;
       pu_orders_cancel (pl->orders, a->order.id, now);
       return false;
-    case PU_ORDERS_DO_FENCE:
+    case PU_ORDERS_ACTION_FENCE:
       want_fence (pl, &a->order, now);
       return false;
-    case PU_ORDERS_DO_FAIL:
+    case PU_ORDERS_ACTION_FAIL:
       tell_failure (pl, &a->order, now);
       return true;
     default:
--- a/libplantainusher/placement/planner_test.cc
+++ b/libplantainusher/placement/planner_test.cc
@@ -321,7 +321,7 @@
   pu_placement_step (pl, true, now, todo);
   for (guint i = 0; i < todo->len; i++)
     n += g_array_index (todo, pu_orders_action_t, i).what
-         == PU_ORDERS_DO_RESERVE;
+         == PU_ORDERS_ACTION_RESERVE;
   g_array_unref (todo);
   return n;
 }
@@ -343,21 +343,21 @@
   i.min_copies = 1;
   i.max_copies = o.planner.max_failures;
   i.importance = 5;
-  pu_placement_name_copy (pl, 0, 0, 0);
+  pu_placement_map_copy (pl, 0, 0, 0);
   pu_planner_set_item (pu_placement_planner (pl), 0, &i);
   r.incarnation = 1;
   r.accelerators = 1;
   r.memory_mb = 100;
   r.fenced = true;
-  pu_placement_backend (pl, &r, false, 0, 4.0, 1000);
+  pu_placement_update_backend (pl, &r, false, 0, 4.0, 1000);
   r.held = &held;
   r.n_held = 1;
   for (r.backend = 1; r.backend <= o.planner.max_failures; r.backend++)
-    pu_placement_backend (pl, &r, false, 0, 4.0, 1000);
+    pu_placement_update_backend (pl, &r, false, 0, 4.0, 1000);
   EXPECT_EQ (0u, CountReservations (pl, 2000));
   r.n_held = 0;
   for (r.backend = 1; r.backend <= o.planner.max_failures; r.backend++)
-    pu_placement_backend (pl, &r, true, 0, 4.0, 2000);
+    pu_placement_update_backend (pl, &r, true, 0, 4.0, 2000);
   EXPECT_EQ (1u, CountReservations (pl, 3000)) << "without a retry delay";
   pu_placement_free (pl);
 }
@@ -663,10 +663,10 @@
   guint32
   Want (guint32 backend, guint32 copy, bool fenced, guint64 now)
   {
-    pu_orders_wish_t w
+    pu_orders_spec_t w
         = { PU_LEDGER_LOAD, backend, 1, fenced, copy, 10, "test" };
 
-    return pu_orders_want (s, &w, now);
+    return pu_orders_enqueue (s, &w, now);
   }
 
   /* Runs one step at NOW and returns its actions, such as "reserve send ".  */
@@ -688,8 +688,8 @@
 TEST_F (Orders, KeepToTheStoreLimitAndOneOrderPerCopy)
 {
   o.loads_per_s = 2;
-  o.loads_at_once = 3;
-  o.per_engine = 2;
+  o.max_store_loads = 3;
+  o.max_orders_per_engine = 2;
   s = pu_orders_new (&o, 0);
   for (guint32 i = 0; i < 5; i++)
     EXPECT_NE (0u, Want (i, 7, true, 0));
@@ -707,11 +707,11 @@
   guint64 t = o.lease_ms + pu_orders_life_ms (&o);
   guint32 id = Want (0, 7, false, t);
   EXPECT_EQ ("reserve ", Step (t));
-  pu_orders_reserved (s, id, true, 5, t);
+  pu_orders_handle_reserved (s, id, true, 5, t);
   EXPECT_EQ ("send ", Step (t));
   EXPECT_EQ ("", Step (t + o.retry_ms - 1));
   EXPECT_EQ ("send ", Step (t + o.retry_ms));
-  pu_orders_answer (s, 5, PU_ORDERS_LOST, t + o.retry_ms);
+  pu_orders_handle_answer (s, 5, PU_ORDERS_LOST, t + o.retry_ms);
   EXPECT_EQ ("", Step (t + o.send_ms));
   EXPECT_EQ ("", Step (t + pu_orders_life_ms (&o) - 1));
   EXPECT_EQ ("fail release ", Step (t + pu_orders_life_ms (&o)));
@@ -723,18 +723,18 @@
 {
   s = pu_orders_new (&o, 0);
   guint64 t = o.lease_ms + pu_orders_life_ms (&o);
-  EXPECT_FALSE (pu_orders_quiet (s, 0));
+  EXPECT_FALSE (pu_orders_loads_suspended (s, 0));
   for (guint32 i = 0; i < 2; i++)
     {
       pu_ledger_order_t open = { 3 + i, PU_LEDGER_UNLOAD, i, 1, 8, 10 };
       pu_orders_adopt (s, &open, i == 1, 0);
     }
-  EXPECT_TRUE (pu_orders_quiet (s, t - 1));
+  EXPECT_TRUE (pu_orders_loads_suspended (s, t - 1));
   EXPECT_EQ (0u, Want (0, 7, false, t - 1)) << "backend 0 ignores tokens";
   EXPECT_NE (0u, Want (1, 7, true, t - 1)) << "backend 1 checks tokens";
   EXPECT_NE (0u, Want (2, 7, false, 0))
       << "the log has no order for backend 2";
-  EXPECT_FALSE (pu_orders_quiet (s, t));
+  EXPECT_FALSE (pu_orders_loads_suspended (s, t));
   EXPECT_NE (0u, Want (0, 7, false, t));
 }
 
@@ -746,15 +746,15 @@
 
   r.incarnation = 1;
   r.fenced = true;
-  pu_orders_report (s, &r, 0);
+  pu_orders_handle_report (s, &r, 0);
   EXPECT_EQ ("reserve ", Step (0));
-  pu_orders_reserved (s, id, true, 5, 0);
+  pu_orders_handle_reserved (s, id, true, 5, 0);
   EXPECT_EQ ("send ", Step (0));
   EXPECT_EQ ("fail fence ", Step (pu_orders_life_ms (&o)));
   r.token = 6;
-  pu_orders_report (s, &r, pu_orders_life_ms (&o));
+  pu_orders_handle_report (s, &r, pu_orders_life_ms (&o));
   EXPECT_EQ ("release ", Step (pu_orders_life_ms (&o)));
-  pu_orders_closed (s, 5);
+  pu_orders_handle_closed (s, 5);
   EXPECT_EQ (0u, pu_orders_count (s));
 }
 
--- a/libplantainusher/placement/world_test.cc
+++ b/libplantainusher/placement/world_test.cc
@@ -109,7 +109,8 @@
   bool down;
 
   if (pu_ledger_get_backend (ledger, engine, &r, &down))
-    pu_placement_backend (leader.get (), &r, down, engine % 2, 4.0, now);
+    pu_placement_update_backend (leader.get (), &r, down, engine % 2, 4.0,
+                                 now);
 }
 
 /* The old leader goes on sending while its lease could last.  */
@@ -125,7 +126,7 @@
   for (guint32 i = 0; i < kItems; i++)
     {
       for (guint32 v = 0; v < kVersions; v++)
-        pu_placement_name_copy (leader.get (), Copy (i, v), i, v);
+        pu_placement_map_copy (leader.get (), Copy (i, v), i, v);
       Declare (i);
     }
   for (guint32 i = 0; i < kEngines; i++)
@@ -234,7 +235,7 @@
       guint64 token = g_array_index (closed, guint64, i);
 
       Trace ("closed %lu", (unsigned long)token);
-      pu_placement_closed (leader.get (), token, now);
+      pu_placement_handle_closed (leader.get (), token, now);
     }
   Tell (engine);
   g_array_unref (closed);
@@ -261,18 +262,18 @@
 pu_orders_answer_t
 World::Arrive (const pu_orders_order_t &o)
 {
-  Engine &e = engines[o.wish.backend];
-  auto h = e.held.find (o.wish.copy);
+  Engine &e = engines[o.spec.backend];
+  auto h = e.held.find (o.spec.copy);
 
   if (!e.alive)
     return PU_ORDERS_LOST;
   Trace ("arrives %lu %s copy %u at engine %u (token %lu)",
-         (unsigned long)o.token, o.wish.kind == 0 ? "load" : "unload",
-         o.wish.copy, o.wish.backend, (unsigned long)e.token);
+         (unsigned long)o.token, o.spec.kind == 0 ? "load" : "unload",
+         o.spec.copy, o.spec.backend, (unsigned long)e.token);
   if (e.fenced && o.token < e.token)
-    return PU_ORDERS_OLD_TOKEN;
+    return PU_ORDERS_STALE_TOKEN;
   e.token = std::max (e.token, o.token);
-  if (o.wish.kind == PU_LEDGER_UNLOAD)
+  if (o.spec.kind == PU_LEDGER_UNLOAD)
     {
       if (h != e.held.end ())
         h->second = { h->second.memory_mb, PU_LEDGER_DRAINING,
@@ -283,31 +284,31 @@
     return h->second.phase == PU_LEDGER_DRAINING ? PU_ORDERS_NO_MEMORY
                                                  : PU_ORDERS_ACCEPTED;
   /* It believes the order: it looks at no sum of its own.  */
-  e.held[o.wish.copy]
-      = { o.wish.memory_mb, PU_LEDGER_LOADING, now + 1000 + Random (3000) };
+  e.held[o.spec.copy]
+      = { o.spec.memory_mb, PU_LEDGER_LOADING, now + 1000 + Random (3000) };
   return PU_ORDERS_ACCEPTED;
 }
 
 void
 World::Send (const Leader &who, const pu_orders_order_t &o)
 {
-  guint64 to = engines[o.wish.backend].incarnation;
+  guint64 to = engines[o.spec.backend].incarnation;
   unsigned copies = Chance (15) ? 0 : Chance (15) ? 2 : 1;
   auto heard = std::make_shared<bool> (false);
 
   faults += copies != 1;
   if (copies == 0)
     Later (500, [=] {
-      pu_placement_answer (who.get (), o.token, PU_ORDERS_LOST, now);
+      pu_placement_handle_answer (who.get (), o.token, PU_ORDERS_LOST, now);
     });
   for (unsigned i = 0; i < copies; i++)
     {
       /* What has reached a process that checks tokens may wait there for any
          time; with its end it is gone.  */
-      bool waits = o.wish.fenced && Random (10) == 0;
+      bool waits = o.spec.fenced && Random (10) == 0;
 
       Later (calm ? 10 : Random (waits ? 60000 : kTransit), [=] {
-        bool gone = waits && to != engines[o.wish.backend].incarnation;
+        bool gone = waits && to != engines[o.spec.backend].incarnation;
         pu_orders_answer_t a = gone ? PU_ORDERS_LOST : Arrive (o);
 
         if (Chance (20))
@@ -316,7 +317,7 @@
             a = PU_ORDERS_LOST;
           }
         if (!*heard)
-          pu_placement_answer (who.get (), o.token, a, now);
+          pu_placement_handle_answer (who.get (), o.token, a, now);
         *heard = true;
       });
     }
@@ -329,33 +330,34 @@
 
   Trace ("%s: %s %lu %s copy %u engine %u: %s",
          who == leader ? "leader" : "old leader",
-         a.what == PU_ORDERS_DO_RESERVE   ? "reserve"
-         : a.what == PU_ORDERS_DO_SEND    ? "send"
-         : a.what == PU_ORDERS_DO_RELEASE ? "release"
-                                          : "fail",
-         (unsigned long)o.token, o.wish.kind == 0 ? "load" : "unload",
-         o.wish.copy, o.wish.backend, o.wish.reason);
-  if (a.what == PU_ORDERS_DO_SEND)
+         a.what == PU_ORDERS_ACTION_RESERVE   ? "reserve"
+         : a.what == PU_ORDERS_ACTION_SEND    ? "send"
+         : a.what == PU_ORDERS_ACTION_RELEASE ? "release"
+                                              : "fail",
+         (unsigned long)o.token, o.spec.kind == 0 ? "load" : "unload",
+         o.spec.copy, o.spec.backend, o.spec.reason);
+  if (a.what == PU_ORDERS_ACTION_SEND)
     {
-      loads += o.wish.kind == PU_LEDGER_LOAD;
-      unloads += o.wish.kind == PU_LEDGER_UNLOAD;
-      if (o.wish.kind == PU_LEDGER_UNLOAD && who == leader && o.tries == 1)
+      loads += o.spec.kind == PU_LEDGER_LOAD;
+      unloads += o.spec.kind == PU_LEDGER_UNLOAD;
+      if (o.spec.kind == PU_LEDGER_UNLOAD && who == leader && o.tries == 1)
         CheckUnload (o);
       Send (who, o);
     }
   if (who != leader)
     return; /* it cannot reach a quorum */
-  if (a.what == PU_ORDERS_DO_RESERVE)
+  if (a.what == PU_ORDERS_ACTION_RESERVE)
     {
       pu_ledger_order_t l
-          = { ++position,         o.wish.kind, o.wish.backend,
-              o.wish.incarnation, o.wish.copy, o.wish.memory_mb };
+          = { ++position,         o.spec.kind, o.spec.backend,
+              o.spec.incarnation, o.spec.copy, o.spec.memory_mb };
       bool accepted = pu_ledger_reserve (ledger, &l, nullptr);
 
-      pu_placement_reserved (who.get (), o.id, accepted, l.token, now);
+      pu_placement_handle_reserved (who.get (), o.id, accepted, l.token, now);
     }
-  if (a.what == PU_ORDERS_DO_RELEASE && pu_ledger_release (ledger, o.token))
-    pu_placement_closed (who.get (), o.token, now);
+  if (a.what == PU_ORDERS_ACTION_RELEASE
+      && pu_ledger_release (ledger, o.token))
+    pu_placement_handle_closed (who.get (), o.token, now);
 }
 
 void
@@ -473,7 +475,7 @@
 void
 World::CheckUnload (const pu_orders_order_t &o)
 {
-  guint32 item = o.wish.copy / kVersions;
+  guint32 item = o.spec.copy / kVersions;
   unsigned others = 0;
   bool here = false;
 
@@ -489,7 +491,7 @@
           bool ready = r.held[k].copy / kVersions == item
                        && r.held[k].phase == PU_LEDGER_READY;
 
-          if (i == o.wish.backend && r.held[k].copy == o.wish.copy)
+          if (i == o.spec.backend && r.held[k].copy == o.spec.copy)
             here = ready;
           else
             others += ready;
@@ -511,8 +513,8 @@
   for (guint i = 0; i < pu_orders_count (o); i++)
     {
       const pu_orders_order_t *r = pu_orders_get (o, i);
-      if (r->wish.kind == PU_LEDGER_LOAD && r->state <= PU_ORDERS_ACKED)
-        under_way.insert ({ r->wish.backend, r->wish.copy });
+      if (r->spec.kind == PU_LEDGER_LOAD && r->state <= PU_ORDERS_ACKED)
+        under_way.insert ({ r->spec.backend, r->spec.copy });
     }
   for (guint32 i = 0; i < kEngines; i++)
     {
--- a/libplantainusher/placer/placer.c
+++ b/libplantainusher/placer/placer.c
@@ -51,8 +51,8 @@
 static void
 set_breaks (pu_placer_options_t *o)
 {
-  o->placement.orders.test_breaks
-      |= pu_break_bit (PU_BREAK_TIMEOUT_FREES, PU_ORDERS_BREAK_TIMEOUT);
+  o->placement.orders.test_breaks |= pu_break_bit (
+      PU_BREAK_TIMEOUT_FREES, PU_ORDERS_BREAK_RELEASE_ON_TIMEOUT);
   o->placement.planner.test_breaks |= pu_break_bit (
       PU_BREAK_LAST_COPY_UNLOADED, PU_PLANNER_BREAK_LAST_COPY);
 }
@@ -111,8 +111,8 @@
                    pu_names_name (&p->follow->backends, r->backend),
                    e->kind == PU_OK ? reply->detail : e->message);
     }
-  pu_placement_reserved (p->follow->placement, r->id, accepted, token,
-                         pu_control_now (p->o.control));
+  pu_placement_handle_reserved (p->follow->placement, r->id, accepted, token,
+                                pu_control_now (p->o.control));
   g_free (r);
 }
 
@@ -124,15 +124,15 @@
   pu_order_record o = { 0 };
 
   o.token = r->token;
-  o.kind = (pu_order_kind)r->wish.kind;
-  o.backend = (char *)pu_names_name (&f->backends, r->wish.backend);
-  o.incarnation = r->wish.incarnation;
-  o.model = (char *)pu_follow_model_of (f, r->wish.copy);
-  o.model_version = (char *)pu_follow_version_of (f, r->wish.copy);
-  o.memory_mb = r->wish.memory_mb;
+  o.kind = (pu_order_kind)r->spec.kind;
+  o.backend = (char *)pu_names_name (&f->backends, r->spec.backend);
+  o.incarnation = r->spec.incarnation;
+  o.model = (char *)pu_follow_model_of (f, r->spec.copy);
+  o.model_version = (char *)pu_follow_version_of (f, r->spec.copy);
+  o.memory_mb = r->spec.memory_mb;
   o.wall = (guint64)(g_get_real_time () / US_PER_MS);
   o.life_ms = (u_int)pu_orders_life_ms (&p->o.placement.orders);
-  o.reason = (char *)pu_placer_reason (r->wish.reason);
+  o.reason = (char *)pu_placer_reason (r->spec.reason);
   return o;
 }
 
@@ -145,8 +145,8 @@
   n->placer = p;
   n->lead = p->lead;
   n->id = r->id;
-  n->backend = r->wish.backend;
-  n->copy = r->wish.copy;
+  n->backend = r->spec.backend;
+  n->copy = r->spec.copy;
   g_hash_table_add (p->awaited, n);
   count (p, p->c.reserves);
   c.type = PU_COMMAND_RESERVE;
@@ -187,7 +187,8 @@
 
   if (o == NULL)
     return;
-  pu_follow_failed (p->follow, pu_names_get (&p->follow->backends, o->backend),
+  pu_follow_failed (p->follow,
+                    pu_names_intern (&p->follow->backends, o->backend),
                     pu_follow_copy (p->follow, o->model, o->model_version));
 }
 
@@ -202,8 +203,8 @@
     return;
   if (answer != PU_ORDERS_LOST && answer != PU_ORDERS_ACCEPTED)
     note_refusal (p, token);
-  pu_placement_answer (p->follow->placement, token, answer,
-                       pu_control_now (p->o.control));
+  pu_placement_handle_answer (p->follow->placement, token, answer,
+                              pu_control_now (p->o.control));
 }
 
 static void
@@ -217,7 +218,7 @@
     return;
   /* The clock again: the duty may have taken long.  */
   if (!pu_control_is_leader (p->o.control)
-      || pu_control_now (p->o.control) >= r->send_until)
+      || pu_control_now (p->o.control) >= r->send_deadline)
     return;
   count (p, p->c.sends);
   if (!pu_sends_order (p->sends, b->address, &o, now))
@@ -233,12 +234,12 @@
   pu_follow_t *f = p->follow;
 
   count (p, p->c.failures);
-  pu_follow_failed (f, r->wish.backend, r->wish.copy);
+  pu_follow_failed (f, r->spec.backend, r->spec.copy);
   pu_log_note (PU_PLACER_PART, "Gave up to %s %s version %s on %s.",
-               r->wish.kind == PU_LEDGER_LOAD ? "load" : "unload",
-               pu_follow_model_of (f, r->wish.copy),
-               pu_follow_version_of (f, r->wish.copy),
-               pu_names_name (&f->backends, r->wish.backend));
+               r->spec.kind == PU_LEDGER_LOAD ? "load" : "unload",
+               pu_follow_model_of (f, r->spec.copy),
+               pu_follow_version_of (f, r->spec.copy),
+               pu_names_name (&f->backends, r->spec.backend));
 }
 
 static void
@@ -246,19 +247,19 @@
 {
   switch (a->what)
     {
-    case PU_ORDERS_DO_RESERVE:
+    case PU_ORDERS_ACTION_RESERVE:
       reserve (p, &a->order);
       return;
-    case PU_ORDERS_DO_SEND:
+    case PU_ORDERS_ACTION_SEND:
       send_order (p, &a->order, now);
       return;
-    case PU_ORDERS_DO_RELEASE:
+    case PU_ORDERS_ACTION_RELEASE:
       release (p, &a->order);
       return;
-    case PU_ORDERS_DO_FAIL:
+    case PU_ORDERS_ACTION_FAIL:
       tell_failure (p, &a->order);
       return;
-    case PU_ORDERS_DO_FENCE:
+    case PU_ORDERS_ACTION_FENCE:
       return;
     }
 }
@@ -348,7 +349,8 @@
 pu_placer_new (const pu_placer_options_t *o)
 {
   pu_placer_t *p = g_new0 (pu_placer_t, 1);
-  pu_control_duty_t duty = { "placement", on_begin, on_tick, on_end, p };
+  pu_control_leader_task_t duty
+      = { "placement", on_begin, on_tick, on_end, p };
   pu_sends_options_t s = { 0 };
 
   p->o = *o;
@@ -363,7 +365,7 @@
   p->awaited = g_hash_table_new (NULL, NULL);
   p->actions = g_array_new (FALSE, FALSE, sizeof (pu_orders_action_t));
   get_counters (p);
-  pu_control_add_duty (o->control, &duty);
+  pu_control_add_leader_task (o->control, &duty);
   pu_control_on_demand (o->control, on_demand, p);
   return p;
 }
--- a/libplantainusher/placer/send.c
+++ b/libplantainusher/placer/send.c
@@ -80,7 +80,7 @@
     case STATUS_ACCEPTED:
       return PU_ORDERS_ACCEPTED;
     case STATUS_CONFLICT:
-      return PU_ORDERS_OLD_TOKEN;
+      return PU_ORDERS_STALE_TOKEN;
     case STATUS_NO_MEMORY:
       return PU_ORDERS_NO_MEMORY;
     default:
--- a/libplantainusher/placer/sequenced.c
+++ b/libplantainusher/placer/sequenced.c
@@ -57,7 +57,7 @@
 static void
 item_declare (lead_t *l, const pu_model_t *m)
 {
-  guint32 item = pu_names_get (&l->items, m->name);
+  guint32 item = pu_names_intern (&l->items, m->name);
   pu_plan_item_t t = { .name = pu_names_name (&l->items, item),
                        .base = PU_PLAN_NONE,
                        .previous_version = PU_PLAN_NONE,
@@ -71,8 +71,8 @@
   if (m->kind == PU_MODEL_ADAPTER)
     {
       pu_dispatcher_set_adapter (l->dispatcher, item);
-      pu_adapters_set (l->adapters, item,
-                       pu_names_get (&l->items, m->base_name));
+      pu_adapters_add (l->adapters, item,
+                       pu_names_intern (&l->items, m->base_name));
     }
   else
     {
@@ -114,7 +114,7 @@
 
   for (guint32 i = 0; i < l->memory->len; i++)
     {
-      if (pu_adapters_is (l->adapters, i))
+      if (pu_adapters_contains (l->adapters, i))
         largest = MAX (largest, memory_of (l, i));
     }
   return largest;
@@ -193,7 +193,8 @@
 
   for (u_int i = 0; i < b->copies.copies_len; i++)
     {
-      guint32 item = pu_names_get (&l->items, b->copies.copies_val[i].model);
+      guint32 item
+          = pu_names_intern (&l->items, b->copies.copies_val[i].model);
 
       pu_dispatcher_mark_loaded (l->dispatcher, handle, item,
                                  pu_sequenced_now (s));
@@ -210,8 +211,8 @@
 
   if (b->kind != PU_BACKEND_ENGINE)
     return;
-  handle
-      = pu_names_get_incarnation (&l->engine_names, b->name, b->incarnation);
+  handle = pu_names_intern_incarnation (&l->engine_names, b->name,
+                                        b->incarnation);
   engine_new (s, handle, b);
   e = pu_sequenced_engine (l, handle);
   g_free (e->address);
@@ -318,12 +319,12 @@
                               .memory_mb = memory_of (l, items[i].item),
                               .phase = plan_phase (items[i].phase) };
 
-      if (pu_adapters_is (l->adapters, items[i].item))
+      if (pu_adapters_contains (l->adapters, items[i].item))
         continue;
       p.committed_mb += copy.memory_mb;
       g_array_append_val (s->copies, copy);
     }
-  p.zone = pu_names_get (&l->zones, e->zone);
+  p.zone = pu_names_intern (&l->zones, e->zone);
   p.memory_mb = c->memory_mb - MIN (c->memory_mb, adapter_room (l, c));
   p.usable = e->usable && pu_dispatcher_accepts_orders (l->dispatcher, handle);
   p.closed
@@ -333,8 +334,8 @@
   p.copies = (const pu_plan_copy_t *)(void *)s->copies->data;
   p.n_copies = s->copies->len;
   pu_planner_set_engine (l->planner, handle, &p, pu_sequenced_now (s));
-  pu_adapters_engine (l->adapters, handle, c->adapter_places, e->load,
-                      p.usable);
+  pu_adapters_set_engine (l->adapters, handle, c->adapter_places, e->load,
+                          p.usable);
 }
 
 static void
@@ -378,7 +379,7 @@
       if (m->kind == PU_MODEL_ADAPTER || places == 0
           || !pu_names_find (&l->items, m->name, &item))
         continue;
-      n = pu_adapters_active (l->adapters, item, now);
+      n = pu_adapters_count_active (l->adapters, item, now);
       pu_planner_set_min_copies (
           l->planner, item, MAX (m->min_copies, (n + places - 1) / places));
     }
@@ -400,7 +401,7 @@
         {
           waiting
               += items[k].phase == PU_DISPATCHER_QUEUED
-                 && !pu_adapters_is (l->adapters, items[k].item)
+                 && !pu_adapters_contains (l->adapters, items[k].item)
                  && !g_hash_table_contains (pu_sequenced_engine (l, i)->cached,
                                             GUINT_TO_POINTER (items[k].item));
         }
@@ -437,7 +438,7 @@
   pu_planner_step (l->planner, now, s->moves);
   for (guint i = 0; i < s->moves->len; i++)
     move_want (s, &g_array_index (s->moves, pu_move_t, i));
-  pu_adapters_spread (l->adapters, now);
+  pu_adapters_replicate (l->adapters, now);
 }
 
 /* --- steps --- */
@@ -614,9 +615,9 @@
 
   if (l == NULL || !pu_names_find (&l->items, model, &item))
     return;
-  if (pu_adapters_is (l->adapters, item))
+  if (pu_adapters_contains (l->adapters, item))
     {
-      pu_adapters_used (l->adapters, item, pu_sequenced_now (s));
+      pu_adapters_mark_used (l->adapters, item, pu_sequenced_now (s));
       item = pu_adapters_base (l->adapters, item);
     }
   pu_planner_add_demand (l->planner, item, requests, stream_ms);
@@ -628,7 +629,8 @@
 pu_sequenced_new (const pu_sequenced_options_t *o)
 {
   pu_sequenced_t *s = g_new0 (pu_sequenced_t, 1);
-  pu_control_duty_t duty = { "placement", on_begin, on_tick, on_end, s };
+  pu_control_leader_task_t duty
+      = { "placement", on_begin, on_tick, on_end, s };
   pu_http_client_options_t c
       = { .loop = o->loop, .connect_timeout_ms = o->connect_ms };
 
@@ -647,7 +649,7 @@
           = pu_counters_get (o->counters, "placement_reports_fetched_total");
       s->lost = pu_counters_get (o->counters, "placement_answers_lost_total");
     }
-  pu_control_add_duty (o->control, &duty);
+  pu_control_add_leader_task (o->control, &duty);
   pu_control_on_demand (o->control, on_demand, s);
   pu_control_on_want (o->control, pu_sequenced_on_want, s);
   return s;
--- a/libplantainusher/placer/sequenced_wants.c
+++ b/libplantainusher/placer/sequenced_wants.c
@@ -36,7 +36,7 @@
 model_due (pu_sequenced_t *s, guint32 item)
 {
   lead_t *l = s->lead;
-  guint32 base = pu_adapters_is (l->adapters, item)
+  guint32 base = pu_adapters_contains (l->adapters, item)
                      ? pu_adapters_base (l->adapters, item)
                      : item;
   pu_model_handle_t h
@@ -148,14 +148,14 @@
       return;
     }
   /* Only adapters are loaded at once; models by the next plan.  */
-  if (!pu_adapters_is (l->adapters, item))
+  if (!pu_adapters_contains (l->adapters, item))
     {
       answer_due (s, item, want);
       return;
     }
   for (guint32 i = 0; i < l->engines->len; i++)
     pu_sequenced_engine_plan (s, i);
-  engine = pu_adapters_want (l->adapters, item, pu_sequenced_now (s));
+  engine = pu_adapters_ensure_loaded (l->adapters, item, pu_sequenced_now (s));
   if (engine == PU_ADAPTERS_NONE)
     {
       answer_due (s, item, want);
--- a/libplantainusher/placer/show.c
+++ b/libplantainusher/placer/show.c
@@ -25,13 +25,13 @@
 {
   return json_pack (
       "{s:s, s:s, s:s, s:s, s:I, s:s, s:I, s:I, s:b, s:s}", "kind",
-      kind_name (r->wish.kind == PU_LEDGER_LOAD), "model",
-      pu_follow_model_of (f, r->wish.copy), "version",
-      pu_follow_version_of (f, r->wish.copy), "backend",
-      pu_names_name (&f->backends, r->wish.backend), "memory_mb",
-      (json_int_t)r->wish.memory_mb, "state", pu_orders_state_name (r->state),
+      kind_name (r->spec.kind == PU_LEDGER_LOAD), "model",
+      pu_follow_model_of (f, r->spec.copy), "version",
+      pu_follow_version_of (f, r->spec.copy), "backend",
+      pu_names_name (&f->backends, r->spec.backend), "memory_mb",
+      (json_int_t)r->spec.memory_mb, "state", pu_orders_state_name (r->state),
       "token", (json_int_t)r->token, "tries", (json_int_t)r->tries,
-      "inherited", r->inherited, "reason", pu_placer_reason (r->wish.reason));
+      "inherited", r->inherited, "reason", pu_placer_reason (r->spec.reason));
 }
 
 static json_t *
@@ -250,7 +250,7 @@
     }
   orders = pu_placement_orders (f->placement);
   json_object_set_new (o, "quiet",
-                       json_boolean (pu_orders_quiet (orders, now)));
+                       json_boolean (pu_orders_loads_suspended (orders, now)));
   json_object_set_new (o, "orders", orders_json (f));
   json_object_set_new (o, "failures", failures_json (f, now));
   add_models (o, f, now);
@@ -371,7 +371,8 @@
   guint64 now = pu_control_now (p->o.control);
 
   if (p->follow == NULL || !pu_follow_is_current (p->follow)
-      || pu_orders_quiet (pu_placement_orders (p->follow->placement), now))
+      || pu_orders_loads_suspended (pu_placement_orders (p->follow->placement),
+                                    now))
     return pu_placer_plan_state (pu_control_state (p->o.control), d);
   return plan_json (p->follow, d, now);
 }
