--- a/libplantainusher/log/journal.c
+++ b/libplantainusher/log/journal.c
@@ -8,43 +8,44 @@
 
 enum
 {
-  SEGMENT_BYTES = 8 * 1048576,
-  FULL_PAUSE_MS = 100, /* until a full disk is tried again */
+  DEFAULT_SEGMENT_BYTES = 8 * 1048576,
+  DISK_FULL_RETRY_MS = 100,
 };
 
-/* What one run of the thread pool writes: frames, then the record.  */
+/* The work of one run on the thread pool: writes the frames, then the
+   metadata.  */
 typedef struct pu_batch_job
 {
   pu_journal_job_t base;
-  GPtrArray *frames; /* GBytes */
-  guint written;     /* frames that are on the disk */
-  GBytes *meta;      /* or NULL */
-  char *new_segment; /* or NULL: path of the segment to start */
-  bool started;      /* that was done */
-  int64_t at;
+  GPtrArray *frames;      /* GBytes */
+  guint frames_written;   /* written and synced; a retry continues there */
+  GBytes *meta_frame;     /* or NULL */
+  char *new_segment_path; /* or NULL: the current segment goes on */
+  bool segment_created;
+  int64_t offset; /* in the segment, of the next frame */
   uint64_t ticket;
   uint64_t bytes;
   uint32_t entries;
-  uint64_t last; /* of the entries; 0: none */
-  uint64_t took_us;
+  uint64_t last_index; /* 0: the batch has no entries */
+  uint64_t elapsed_us;
   uint32_t syncs;
-  const char *failed_at;
+  const char *operation; /* the current one, for the error message */
 } pu_batch_job_t;
 
 void
 pu_journal_options_init (pu_journal_options_t *o)
 {
   memset (o, 0, sizeof *o);
-  o->segment_bytes = SEGMENT_BYTES;
+  o->segment_bytes = DEFAULT_SEGMENT_BYTES;
 }
 
 void
-pu_journal_fail (pu_journal_t *j, const char *what, int rc)
+pu_journal_fail (pu_journal_t *j, const char *operation, int rc)
 {
   if (j->failed || j->stopped)
     return;
   j->failed = true;
-  pu_error_set (&j->error, PU_ERROR_IO, "cannot %s: %s", what,
+  pu_error_set (&j->error, PU_ERROR_IO, "cannot %s: %s", operation,
                 g_strerror (-rc));
   pu_log_warn ("journal",
                "The journal failed and takes no more writes; this voter "
@@ -54,7 +55,7 @@
     j->o.failed (&j->error, j->o.data);
 }
 
-/* Gathering.  */
+/* Queueing of writes.  */
 
 void
 pu_journal_write (pu_journal_t *j, uint64_t ticket, const GPtrArray *entries,
@@ -64,11 +65,11 @@
     {
       const pu_record_t *n = g_ptr_array_index (entries, i);
 
-      g_ptr_array_add (j->gathered, pu_record_ref (n));
+      g_ptr_array_add (j->pending_entries, pu_record_ref (n));
       j->last_index = n->index;
     }
-  j->commit = MAX (j->commit, commit);
-  j->ticket = ticket;
+  j->commit_index = MAX (j->commit_index, commit);
+  j->pending_ticket = ticket;
 }
 
 void
@@ -77,22 +78,22 @@
   j->meta.cluster = m->cluster;
   j->meta.term = m->term;
   j->meta.vote = m->vote;
-  j->meta_gathered = true;
-  j->ticket = ticket;
+  j->meta_pending = true;
+  j->pending_ticket = ticket;
 }
 
 static pu_segment_t *
-open_segment (const pu_journal_t *j)
+current_segment (const pu_journal_t *j)
 {
   if (j->segments->len == 0 || j->rotate)
     return NULL;
   return &g_array_index (j->segments, pu_segment_t, j->segments->len - 1);
 }
 
-/* A batch.  */
+/* Batches.  */
 
 static GBytes *
-frame_of (pu_journal_t *j, guint first, guint n)
+encode_batch (pu_journal_t *j, guint first, guint n)
 {
   pu_log_batch b = { 0 };
   pu_log_entry *x = g_new (pu_log_entry, MAX (n, 1));
@@ -102,45 +103,46 @@
   const void *p;
 
   for (guint i = 0; i < n; i++)
-    pu_record_to_xdr (g_ptr_array_index (j->gathered, first + i), &x[i]);
-  b.commit = j->commit;
+    pu_record_to_xdr (g_ptr_array_index (j->pending_entries, first + i),
+                      &x[i]);
+  b.commit = j->commit_index;
   b.entries.entries_len = n;
   b.entries.entries_val = x;
   payload = pu_xdr_encode ((xdrproc_t)xdr_pu_log_batch, &b);
   g_free (x);
   p = g_bytes_get_data (payload, &len);
-  frame = pu_frame_new (PU_FRAME_BATCH, j->next_batch++, j->id, p, len);
+  frame = pu_frame_encode (PU_FRAME_BATCH, j->next_batch++, j->id, p, len);
   g_bytes_unref (payload);
   return frame;
 }
 
 static void
-choose_segment (pu_journal_t *j, pu_batch_job_t *job, uint64_t number)
+assign_segment (pu_journal_t *j, pu_batch_job_t *job, uint64_t number)
 {
-  pu_segment_t *seg = open_segment (j);
-  pu_segment_t fresh = { .number = number };
+  pu_segment_t *seg = current_segment (j);
+  pu_segment_t fresh = { .start_batch = number };
 
   if (seg == NULL || seg->bytes >= j->o.segment_bytes)
     {
-      job->new_segment = pu_segment_path (j, number);
+      job->new_segment_path = pu_segment_path (j, number);
       g_array_append_val (j->segments, fresh);
       j->rotate = false;
-      seg = open_segment (j);
+      seg = current_segment (j);
       j->meta.segment = number;
-      j->meta_gathered = true;
+      j->meta_pending = true;
     }
-  job->at = (int64_t)seg->bytes;
-  seg->last = MAX (seg->last, j->last_index);
-  for (guint i = 0; i < j->gathered->len; i++)
+  job->offset = (int64_t)seg->bytes;
+  seg->last_index = MAX (seg->last_index, j->last_index);
+  for (guint i = 0; i < j->pending_entries->len; i++)
     {
-      const pu_record_t *n = g_ptr_array_index (j->gathered, i);
+      const pu_record_t *n = g_ptr_array_index (j->pending_entries, i);
 
-      seg->last = MAX (seg->last, n->index);
+      seg->last_index = MAX (seg->last_index, n->index);
     }
 }
 
 static GBytes *
-meta_frame (pu_journal_t *j)
+encode_meta (pu_journal_t *j)
 {
   GBytes *payload;
   GBytes *frame;
@@ -148,49 +150,50 @@
   const void *p;
 
   j->meta.saves++;
-  /* Only what is committed cannot be dropped again.  */
-  j->meta.floor = MAX (j->meta.floor, MIN (j->commit, j->durable));
+  /* The floor covers committed entries alone, because any other may still be
+     dropped from the log.  */
+  j->meta.floor = MAX (j->meta.floor, MIN (j->commit_index, j->durable_index));
   payload = pu_xdr_encode ((xdrproc_t)xdr_pu_log_meta, &j->meta);
   p = g_bytes_get_data (payload, &len);
-  frame = pu_frame_new (PU_FRAME_META, j->meta.saves, j->id, p, len);
+  frame = pu_frame_encode (PU_FRAME_META, j->meta.saves, j->id, p, len);
   g_bytes_unref (payload);
   return frame;
 }
 
 static pu_batch_job_t *
-build_batch (pu_journal_t *j)
+new_batch_job (pu_journal_t *j)
 {
   pu_batch_job_t *job = g_new0 (pu_batch_job_t, 1);
-  guint n = j->gathered->len;
+  guint n = j->pending_entries->len;
   guint step = j->o.sync_each ? 1 : MAX (n, 1);
 
-  pu_journal_job_init (&job->base, j, PU_JOURNAL_BATCH);
-  job->ticket = j->ticket;
+  pu_journal_job_init (&job->base, j, PU_JOURNAL_JOB_BATCH);
+  job->ticket = j->pending_ticket;
   job->entries = n;
   job->frames = g_ptr_array_new_with_free_func ((GDestroyNotify)g_bytes_unref);
   if (n > 0)
     {
-      job->last = j->last_index;
-      choose_segment (j, job, j->next_batch);
+      job->last_index = j->last_index;
+      assign_segment (j, job, j->next_batch);
     }
   for (guint i = 0; i < n; i += step)
     {
-      GBytes *f = frame_of (j, i, step);
+      GBytes *f = encode_batch (j, i, step);
 
       job->bytes += g_bytes_get_size (f);
       g_ptr_array_add (job->frames, f);
     }
   if (n > 0)
-    open_segment (j)->bytes += job->bytes;
-  if (j->meta_gathered)
-    job->meta = meta_frame (j);
-  j->meta_gathered = false;
-  g_ptr_array_set_size (j->gathered, 0);
+    current_segment (j)->bytes += job->bytes;
+  if (j->meta_pending)
+    job->meta_frame = encode_meta (j);
+  j->meta_pending = false;
+  g_ptr_array_set_size (j->pending_entries, 0);
   return job;
 }
 
 static int
-start_segment (pu_batch_job_t *job)
+create_segment (pu_batch_job_t *job)
 {
   pu_journal_t *j = job->base.j;
   int rc;
@@ -198,13 +201,14 @@
   if (j->segment_fd >= 0)
     j->fs->close (j->fs->data, j->segment_fd);
   j->segment_fd
-      = j->fs->open (j->fs->data, job->new_segment, O_RDWR | O_CREAT);
+      = j->fs->open (j->fs->data, job->new_segment_path, O_RDWR | O_CREAT);
   if (j->segment_fd < 0)
     return j->segment_fd;
   rc = j->fs->truncate (j->fs->data, j->segment_fd, 0);
   if (rc < 0)
     return rc;
-  return pu_journal_sync_result (j->fs->sync_folder (j->fs->data, j->folder));
+  return pu_journal_map_sync_error (
+      j->fs->sync_folder (j->fs->data, j->folder));
 }
 
 static int
@@ -213,76 +217,77 @@
   pu_journal_t *j = job->base.j;
   gsize n;
   const void *p = g_bytes_get_data (frame, &n);
-  int rc = pu_journal_write_all (j->fs, j->segment_fd, p, n, job->at);
+  int rc = pu_journal_write_all (j->fs, j->segment_fd, p, n, job->offset);
 
   if (rc >= 0)
-    rc = pu_journal_sync_result (j->fs->sync (j->fs->data, j->segment_fd));
+    rc = pu_journal_map_sync_error (j->fs->sync (j->fs->data, j->segment_fd));
   if (rc < 0)
     return rc;
-  job->at += (int64_t)n;
+  job->offset += (int64_t)n;
   job->syncs++;
-  job->written++;
+  job->frames_written++;
   return 0;
 }
 
-/* Runs on the thread pool.  Goes on where the disk was full.  */
+/* Runs on the thread pool.  A retry after a full disk continues with the frame
+   that failed.  */
 static void
-run_batch (pu_batch_job_t *job)
+run_batch_job (pu_batch_job_t *job)
 {
   gint64 start = g_get_monotonic_time ();
 
   job->base.rc = 0;
-  if (job->new_segment != NULL && !job->started)
+  if (job->new_segment_path != NULL && !job->segment_created)
     {
-      job->failed_at = "start a segment of the log";
-      job->base.rc = start_segment (job);
-      job->started = job->base.rc >= 0;
+      job->operation = "create a log segment";
+      job->base.rc = create_segment (job);
+      job->segment_created = job->base.rc >= 0;
     }
-  while (job->base.rc >= 0 && job->written < job->frames->len)
+  while (job->base.rc >= 0 && job->frames_written < job->frames->len)
     {
-      job->failed_at = "write the log";
-      job->base.rc
-          = write_frame (job, g_ptr_array_index (job->frames, job->written));
+      job->operation = "write to the log segment";
+      job->base.rc = write_frame (
+          job, g_ptr_array_index (job->frames, job->frames_written));
     }
-  if (job->base.rc >= 0 && job->meta != NULL)
+  if (job->base.rc >= 0 && job->meta_frame != NULL)
     {
-      job->failed_at = "write the term and the vote";
-      job->base.rc = pu_journal_write_meta (job->base.j->fs,
-                                            job->base.j->meta_fd, job->meta);
+      job->operation = "write the metadata with term and vote";
+      job->base.rc = pu_journal_write_meta_slots (
+          job->base.j->fs, job->base.j->meta_fd, job->meta_frame);
       job->syncs += PU_META_SLOTS;
     }
-  job->took_us += (uint64_t)(g_get_monotonic_time () - start);
+  job->elapsed_us += (uint64_t)(g_get_monotonic_time () - start);
 }
 
 static void
-free_batch (pu_batch_job_t *job)
+free_batch_job (pu_batch_job_t *job)
 {
   g_ptr_array_unref (job->frames);
-  if (job->meta != NULL)
-    g_bytes_unref (job->meta);
-  g_free (job->new_segment);
+  if (job->meta_frame != NULL)
+    g_bytes_unref (job->meta_frame);
+  g_free (job->new_segment_path);
   g_free (job);
 }
 
 static void
-finish_batch (pu_batch_job_t *job)
+finish_batch_job (pu_batch_job_t *job)
 {
   pu_journal_t *j = job->base.j;
   uint64_t ticket = job->ticket;
   int rc = job->base.rc;
-  const char *failed_at = job->failed_at;
+  const char *operation = job->operation;
 
-  j->running = NULL;
+  j->batch_job = NULL;
   j->stats.batches++;
   j->stats.syncs += job->syncs;
   j->stats.entries += job->entries;
-  j->sync_us_total += job->took_us;
-  if (rc >= 0 && job->last != 0)
-    j->durable = job->last;
-  free_batch (job);
+  j->sync_us_total += job->elapsed_us;
+  if (rc >= 0 && job->last_index != 0)
+    j->durable_index = job->last_index;
+  free_batch_job (job);
   if (rc < 0)
     {
-      pu_journal_fail (j, failed_at, rc);
+      pu_journal_fail (j, operation, rc);
     }
   else if (!j->failed && !j->stopped && j->o.synced != NULL)
     {
@@ -290,12 +295,12 @@
     }
 }
 
-/* Running.  */
+/* Running of jobs.  */
 
 static bool
-has_batch (const pu_journal_t *j)
+has_pending_batch (const pu_journal_t *j)
 {
-  return j->gathered->len > 0 || j->meta_gathered;
+  return j->pending_entries->len > 0 || j->meta_pending;
 }
 
 static void
@@ -303,11 +308,11 @@
 {
   switch (job->kind)
     {
-    case PU_JOURNAL_BATCH:
-      run_batch ((pu_batch_job_t *)job);
+    case PU_JOURNAL_JOB_BATCH:
+      run_batch_job ((pu_batch_job_t *)job);
       break;
-    case PU_JOURNAL_SAVE:
-      pu_journal_save_run (job);
+    case PU_JOURNAL_JOB_SNAPSHOT:
+      pu_snapshot_job_run (job);
       break;
     }
 }
@@ -317,46 +322,47 @@
 {
   switch (job->kind)
     {
-    case PU_JOURNAL_BATCH:
-      finish_batch ((pu_batch_job_t *)job);
+    case PU_JOURNAL_JOB_BATCH:
+      finish_batch_job ((pu_batch_job_t *)job);
       break;
-    case PU_JOURNAL_SAVE:
-      pu_journal_save_finish (job);
+    case PU_JOURNAL_JOB_SNAPSHOT:
+      pu_snapshot_job_finish (job);
       break;
     }
 }
 
-/* Whether JOB, which has run, is to be run again, as the disk had no room for
-   it.  A voter that fell silent for good then would be lost for as long as its
-   process runs, and three that were full one after the other would be the end
-   of the log.  */
+/* Whether JOB, which has run, must run again because the disk was full.  If a
+   full disk failed the journal for good, the voter would be lost for as long
+   as its process runs, and three voters whose disks were full one after the
+   other would leave the log without a leader.  */
 static bool
-runs_again (pu_journal_job_t *job)
+needs_retry (pu_journal_job_t *job)
 {
-  bool full = pu_journal_is_full (job->rc);
+  bool full = pu_journal_is_disk_full (job->rc);
 
-  if (full && !job->again)
+  if (full && !job->retry)
     {
       pu_log_warn ("journal", "The disk is full; this voter acknowledges "
                               "nothing until there is room.");
     }
-  else if (job->rc >= 0 && job->again)
+  else if (job->rc >= 0 && job->retry)
     {
-      pu_log_note ("journal", "The disk has room again.");
+      pu_log_note ("journal",
+                   "The disk has free space again; writes have resumed.");
     }
-  job->again = full && !job->j->stopped;
-  return job->again;
+  job->retry = full && !job->j->stopped;
+  return job->retry;
 }
 
-/* A job that found the disk full pauses here: its thread of the pool has
-   nothing else to write.  */
+/* The wait before a retry may block this thread of the pool, which has nothing
+   else to write.  */
 static void
 on_work (uv_work_t *w)
 {
   pu_journal_job_t *job = w->data;
 
-  if (job->again)
-    uv_sleep (FULL_PAUSE_MS);
+  if (job->retry)
+    uv_sleep (DISK_FULL_RETRY_MS);
   run_job (job);
 }
 
@@ -375,7 +381,7 @@
   pu_journal_t *j = job->j;
 
   (void)status;
-  if (runs_again (job))
+  if (needs_retry (job))
     {
       queue_job (job);
       return;
@@ -384,24 +390,24 @@
   pu_journal_start (j);
 }
 
-/* Makes the next save ready to run, and the next batch, where there is one and
-   none is under way; true when it did.  */
+/* take_snapshot_job and take_batch_job make the next job of their kind ready
+   to run.  They return false when there is none or one is in flight.  */
 static bool
-next_save (pu_journal_t *j)
+take_snapshot_job (pu_journal_t *j)
 {
-  if (j->saving != NULL || j->saves.length == 0)
+  if (j->snapshot_job != NULL || j->snapshot_queue.length == 0)
     return false;
-  j->saving = g_queue_pop_head (&j->saves);
-  pu_journal_save_prepare (j->saving);
+  j->snapshot_job = g_queue_pop_head (&j->snapshot_queue);
+  pu_snapshot_job_prepare (j->snapshot_job);
   return true;
 }
 
 static bool
-next_batch (pu_journal_t *j)
+take_batch_job (pu_journal_t *j)
 {
-  if (j->running != NULL || !has_batch (j))
+  if (j->batch_job != NULL || !has_pending_batch (j))
     return false;
-  j->running = &build_batch (j)->base;
+  j->batch_job = &new_batch_job (j)->base;
   return true;
 }
 
@@ -410,21 +416,21 @@
 {
   if (j->failed || j->stopped || j->o.loop == NULL)
     return;
-  if (next_save (j))
-    queue_job (j->saving);
-  if (next_batch (j))
-    queue_job (j->running);
+  if (take_snapshot_job (j))
+    queue_job (j->snapshot_job);
+  if (take_batch_job (j))
+    queue_job (j->batch_job);
 }
 
-/* Runs the job in SLOT here; false when the disk is full, and it stays there.
- */
+/* Runs the job in SLOT on the calling thread.  Returns false when the disk is
+   full; the job then stays in SLOT.  */
 static bool
-flush_job (pu_journal_job_t **slot)
+run_job_now (pu_journal_job_t **slot)
 {
   pu_journal_job_t *job = g_steal_pointer (slot);
 
   run_job (job);
-  if (runs_again (job))
+  if (needs_retry (job))
     {
       *slot = job;
       return false;
@@ -441,14 +447,14 @@
 
   while (room && more && !j->failed)
     {
-      next_save (j);
-      if (j->saving != NULL)
-        room = flush_job (&j->saving);
+      take_snapshot_job (j);
+      if (j->snapshot_job != NULL)
+        room = run_job_now (&j->snapshot_job);
       if (room && !j->failed)
-        next_batch (j);
-      if (room && !j->failed && j->running != NULL)
-        room = flush_job (&j->running);
-      more = j->saves.length > 0 || has_batch (j);
+        take_batch_job (j);
+      if (room && !j->failed && j->batch_job != NULL)
+        room = run_job_now (&j->batch_job);
+      more = j->snapshot_queue.length > 0 || has_pending_batch (j);
     }
   if (j->failed && e != NULL)
     *e = j->error;
@@ -466,7 +472,7 @@
 bool
 pu_journal_busy (const pu_journal_t *j)
 {
-  return j->running != NULL || j->saving != NULL;
+  return j->batch_job != NULL || j->snapshot_job != NULL;
 }
 
 bool
@@ -477,7 +483,8 @@
 
 /* Opening.  */
 
-/* Opens the record, whose lock is the folder's.  */
+/* Opens the metadata file.  Its lock keeps other processes out of the folder.
+ */
 static bool
 open_meta (pu_journal_t *j, pu_error_t *e)
 {
@@ -501,17 +508,18 @@
   return rc >= 0;
 }
 
-/* Writes the record again, see settle_tail, and opens the newest segment.  */
+/* Writes the metadata again, for the reason that rewrite_tail gives, and opens
+   the newest segment.  */
 static bool
-settle (pu_journal_t *j, pu_error_t *e)
+reopen_for_writing (pu_journal_t *j, pu_error_t *e)
 {
   char *path;
 
   if (j->id != 0 && !pu_journal_create (j, j->id, e))
     return false;
-  if (open_segment (j) == NULL)
+  if (current_segment (j) == NULL)
     return true;
-  path = pu_segment_path (j, open_segment (j)->number);
+  path = pu_segment_path (j, current_segment (j)->start_batch);
   j->segment_fd = j->fs->open (j->fs->data, path, O_RDWR);
   if (j->segment_fd < 0)
     {
@@ -536,17 +544,17 @@
   j->meta_fd = -1;
   j->segment_fd = -1;
   j->segments = g_array_new (FALSE, TRUE, sizeof (pu_segment_t));
-  j->gathered
+  j->pending_entries
       = g_ptr_array_new_with_free_func ((GDestroyNotify)pu_record_unref);
-  g_queue_init (&j->saves);
+  g_queue_init (&j->snapshot_queue);
   rc = j->fs->mkdir (j->fs->data, j->folder);
   if (rc < 0)
     {
-      pu_error_set (e, PU_ERROR_IO, "cannot make %s: %s", j->folder,
+      pu_error_set (e, PU_ERROR_IO, "cannot create folder %s: %s", j->folder,
                     g_strerror (-rc));
     }
   if (rc < 0 || !open_meta (j, e) || !pu_journal_load (j, image, e)
-      || !settle (j, e))
+      || !reopen_for_writing (j, e))
     {
       pu_journal_free (j);
       return NULL;
@@ -562,8 +570,8 @@
 
   j->id = id;
   j->meta.id = id;
-  frame = meta_frame (j);
-  rc = pu_journal_write_meta (j->fs, j->meta_fd, frame);
+  frame = encode_meta (j);
+  rc = pu_journal_write_meta_slots (j->fs, j->meta_fd, frame);
   g_bytes_unref (frame);
   if (rc >= 0)
     rc = j->fs->sync_folder (j->fs->data, j->folder);
@@ -597,7 +605,8 @@
   if (fs == NULL)
     fs = pu_journal_fs_system ();
   rc = fs->list (fs->data, folder, names);
-  /* The record first: without it the rest is never taken for a voter.  */
+  /* The metadata first: without it, the other files are never taken for the
+     log of a voter.  */
   for (guint i = 0; rc >= 0 && i < names->len; i++)
     {
       if (strcmp (g_ptr_array_index (names, i), "meta") == 0)
@@ -615,7 +624,8 @@
     rc = fs->sync_folder (fs->data, folder);
   if (rc < 0)
     {
-      return pu_error_set (e, PU_ERROR_IO, "cannot set %s aside: %s", folder,
+      return pu_error_set (e, PU_ERROR_IO,
+                           "cannot set aside the files of %s: %s", folder,
                            g_strerror (-rc));
     }
   return true;
@@ -625,7 +635,7 @@
 pu_journal_held_before (const char *folder, const pu_journal_fs_t *fs)
 {
   GPtrArray *names = g_ptr_array_new_with_free_func (g_free);
-  bool held = false;
+  bool found = false;
 
   if (fs == NULL)
     fs = pu_journal_fs_system ();
@@ -633,12 +643,12 @@
     {
       for (guint i = 0; i < names->len; i++)
         {
-          held = held
-                 || g_str_has_prefix (g_ptr_array_index (names, i), "lost-");
+          found = found
+                  || g_str_has_prefix (g_ptr_array_index (names, i), "lost-");
         }
     }
   g_ptr_array_unref (names);
-  return held;
+  return found;
 }
 
 void
@@ -646,18 +656,20 @@
 {
   if (j == NULL)
     return;
-  /* Without a loop, a flush that found the disk full leaves its job.  */
+  /* Without a loop, a flush that found the disk full leaves its job in
+     place.  */
   g_assert (j->o.loop == NULL || !pu_journal_busy (j));
-  if (j->running != NULL)
-    free_batch ((pu_batch_job_t *)j->running);
-  if (j->saving != NULL)
-    pu_journal_save_free (j->saving);
+  if (j->batch_job != NULL)
+    free_batch_job ((pu_batch_job_t *)j->batch_job);
+  if (j->snapshot_job != NULL)
+    pu_snapshot_job_free (j->snapshot_job);
   if (j->meta_fd >= 0)
     j->fs->close (j->fs->data, j->meta_fd);
   if (j->segment_fd >= 0)
     j->fs->close (j->fs->data, j->segment_fd);
-  g_queue_clear_full (&j->saves, (GDestroyNotify)pu_journal_save_free);
-  g_ptr_array_unref (j->gathered);
+  g_queue_clear_full (&j->snapshot_queue,
+                      (GDestroyNotify)pu_snapshot_job_free);
+  g_ptr_array_unref (j->pending_entries);
   g_array_unref (j->segments);
   g_free (j->folder);
   g_free (j);
--- a/libplantainusher/log/journal_fake.h
+++ b/libplantainusher/log/journal_fake.h
@@ -1,7 +1,8 @@
 #ifndef PU_LOG_JOURNAL_FAKE_H
 #define PU_LOG_JOURNAL_FAKE_H
 
-/* journal_fake - a disk in memory that forgets what was not synced.  */
+/* journal_fake - a disk in memory that loses unsynced writes in a crash, and
+   fails chosen operations.  */
 
 #include <cerrno>
 #include <cstring>
@@ -24,12 +25,12 @@
 
   Folder live, durable;
   std::vector<std::shared_ptr<File> > open_files;
-  int ops = 0;
-  int crash_at = -1; // from this operation on all fail
-  int error_at = -1; // this one alone fails
+  int operations = 0;
+  int crash_at = -1; // this operation and all later ones fail
+  int error_at = -1; // only this operation fails, with ERROR
   int error = 0;
   bool short_writes = false;
-  bool lying = false; // sync reports success and does nothing
+  bool sync_is_noop = false; // fs.sync reports success, saves nothing
   pu_journal_fs_t fs{};
 
   FakeDisk ()
@@ -46,7 +47,7 @@
     };
     fs.write = [] (void *d, int fd, const void *p, size_t n,
                    int64_t at) -> int64_t {
-      if (int rc = self (d)->step ())
+      if (int rc = self (d)->begin_operation ())
         return rc;
       if (self (d)->short_writes && n > 7)
         n = 7;
@@ -56,14 +57,14 @@
       return (int64_t)n;
     };
     fs.sync = [] (void *d, int fd) {
-      int rc = self (d)->step ();
+      int rc = self (d)->begin_operation ();
       auto &f = self (d)->open_files[fd];
-      if (rc == 0 && !self (d)->lying)
+      if (rc == 0 && !self (d)->sync_is_noop)
         f->durable = f->live;
       return rc;
     };
     fs.truncate = [] (void *d, int fd, int64_t size) {
-      if (int rc = self (d)->step ())
+      if (int rc = self (d)->begin_operation ())
         return rc;
       self (d)->open_files[fd]->live.resize (size);
       return 0;
@@ -71,21 +72,21 @@
     fs.lock = [] (void *, int) { return 0; };
     fs.close = [] (void *, int) { return 0; };
     fs.rename = [] (void *d, const char *from, const char *to) {
-      if (int rc = self (d)->step ())
+      if (int rc = self (d)->begin_operation ())
         return rc;
       self (d)->live[to] = self (d)->live[from];
       self (d)->live.erase (from);
       return 0;
     };
     fs.unlink = [] (void *d, const char *p) {
-      if (int rc = self (d)->step ())
+      if (int rc = self (d)->begin_operation ())
         return rc;
       self (d)->live.erase (p);
       return 0;
     };
     fs.mkdir = [] (void *, const char *) { return 0; };
     fs.sync_folder = [] (void *d, const char *) {
-      int rc = self (d)->step ();
+      int rc = self (d)->begin_operation ();
       if (rc == 0)
         self (d)->durable = self (d)->live;
       return rc;
@@ -104,8 +105,9 @@
     };
   }
 
-  /* The power goes: each file keeps what was synced and perhaps a part of what
-     was not; of the folder either state is left.  */
+  /* A power failure: each file keeps what was synced and perhaps a prefix of
+     what was not.  The folder is left as last
+     synced or in its latest state.  */
   void
   crash (std::mt19937 &rand)
   {
@@ -126,7 +128,7 @@
     durable = live;
     open_files.clear ();
     crash_at = error_at = -1;
-    ops = 0;
+    operations = 0;
   }
 
 private:
@@ -136,12 +138,12 @@
     return static_cast<FakeDisk *> (d);
   }
   int
-  step ()
+  begin_operation ()
   {
-    ops++;
-    if (crash_at >= 0 && ops >= crash_at)
+    operations++;
+    if (crash_at >= 0 && operations >= crash_at)
       return -EIO;
-    return ops == error_at ? -error : 0;
+    return operations == error_at ? -error : 0;
   }
 };
 
--- a/libplantainusher/log/journal_frame.c
+++ b/libplantainusher/log/journal_frame.c
@@ -6,36 +6,37 @@
 
 enum
 {
-  AT_MAGIC = 0,
-  AT_LEN = 4,
-  AT_HASH = 8,
-  AT_NUMBER = 16,
-  AT_ID = 24,
-  ALIGN = 8,
+  /* Fields of the header.  */
+  OFFSET_MAGIC = 0,
+  OFFSET_LEN = 4,
+  OFFSET_CHECKSUM = 8,
+  OFFSET_NUMBER = 16,
+  OFFSET_ID = 24,
+  FRAME_ALIGN_BYTES = 8,
 };
 
 static size_t
-padded (size_t n)
+padded_len (size_t n)
 {
-  return (n + ALIGN - 1) / ALIGN * ALIGN;
+  return (n + FRAME_ALIGN_BYTES - 1) / FRAME_ALIGN_BYTES * FRAME_ALIGN_BYTES;
 }
 
 static void
-put32 (uint8_t *p, uint32_t v)
+put_le32 (uint8_t *p, uint32_t v)
 {
   v = GUINT32_TO_LE (v);
   memcpy (p, &v, sizeof v);
 }
 
 static void
-put64 (uint8_t *p, uint64_t v)
+put_le64 (uint8_t *p, uint64_t v)
 {
   v = GUINT64_TO_LE (v);
   memcpy (p, &v, sizeof v);
 }
 
 static uint32_t
-get32 (const uint8_t *p)
+get_le32 (const uint8_t *p)
 {
   uint32_t v;
 
@@ -44,7 +45,7 @@
 }
 
 static uint64_t
-get64 (const uint8_t *p)
+get_le64 (const uint8_t *p)
 {
   uint64_t v;
 
@@ -52,44 +53,47 @@
   return GUINT64_FROM_LE (v);
 }
 
-/* The checksum covers the length and all that follows the checksum.  */
+/* The checksum covers the length, as its seed, and all bytes after the
+   checksum field except the padding.  */
 static uint64_t
-hash_frame (const uint8_t *p, uint32_t len)
+frame_checksum (const uint8_t *p, uint32_t len)
 {
-  return XXH3_64bits_withSeed (p + AT_NUMBER,
-                               PU_FRAME_HEADER - AT_NUMBER + (size_t)len, len);
+  return XXH3_64bits_withSeed (
+      p + OFFSET_NUMBER, PU_FRAME_HEADER_BYTES - OFFSET_NUMBER + (size_t)len,
+      len);
 }
 
 GBytes *
-pu_frame_new (pu_frame_magic_t magic, uint64_t number, uint64_t id,
-              const void *payload, size_t len)
+pu_frame_encode (pu_frame_magic_t magic, uint64_t number, uint64_t id,
+                 const void *payload, size_t len)
 {
-  size_t size = PU_FRAME_HEADER + padded (len);
+  size_t size = PU_FRAME_HEADER_BYTES + padded_len (len);
   uint8_t *p = g_malloc0 (size);
 
-  put32 (p + AT_MAGIC, magic);
-  put32 (p + AT_LEN, (uint32_t)len);
-  put64 (p + AT_NUMBER, number);
-  put64 (p + AT_ID, id);
+  put_le32 (p + OFFSET_MAGIC, magic);
+  put_le32 (p + OFFSET_LEN, (uint32_t)len);
+  put_le64 (p + OFFSET_NUMBER, number);
+  put_le64 (p + OFFSET_ID, id);
   if (len > 0)
-    memcpy (p + PU_FRAME_HEADER, payload, len);
-  put64 (p + AT_HASH, hash_frame (p, (uint32_t)len));
+    memcpy (p + PU_FRAME_HEADER_BYTES, payload, len);
+  put_le64 (p + OFFSET_CHECKSUM, frame_checksum (p, (uint32_t)len));
   return g_bytes_new_take (p, size);
 }
 
 bool
-pu_frame_check (pu_frame_magic_t magic, const uint8_t *p, size_t n,
-                pu_frame_t *f)
+pu_frame_decode (pu_frame_magic_t magic, const uint8_t *p, size_t n,
+                 pu_frame_t *f)
 {
-  if (n < PU_FRAME_HEADER || get32 (p + AT_MAGIC) != magic)
+  if (n < PU_FRAME_HEADER_BYTES || get_le32 (p + OFFSET_MAGIC) != magic)
     return false;
-  f->len = get32 (p + AT_LEN);
-  f->size = PU_FRAME_HEADER + padded (f->len);
-  if (f->size > n || get64 (p + AT_HASH) != hash_frame (p, f->len))
+  f->len = get_le32 (p + OFFSET_LEN);
+  f->size = PU_FRAME_HEADER_BYTES + padded_len (f->len);
+  if (f->size > n
+      || get_le64 (p + OFFSET_CHECKSUM) != frame_checksum (p, f->len))
     return false;
-  f->number = get64 (p + AT_NUMBER);
-  f->id = get64 (p + AT_ID);
-  f->payload = p + PU_FRAME_HEADER;
+  f->number = get_le64 (p + OFFSET_NUMBER);
+  f->id = get_le64 (p + OFFSET_ID);
+  f->payload = p + PU_FRAME_HEADER_BYTES;
   return true;
 }
 
@@ -133,19 +137,19 @@
 }
 
 bool
-pu_journal_is_full (int rc)
+pu_journal_is_disk_full (int rc)
 {
   return rc == -ENOSPC || rc == -EDQUOT;
 }
 
 int
-pu_journal_sync_result (int rc)
+pu_journal_map_sync_error (int rc)
 {
-  return pu_journal_is_full (rc) ? -EIO : rc;
+  return pu_journal_is_disk_full (rc) ? -EIO : rc;
 }
 
 int
-pu_journal_write_meta (const pu_journal_fs_t *fs, int fd, GBytes *frame)
+pu_journal_write_meta_slots (const pu_journal_fs_t *fs, int fd, GBytes *frame)
 {
   gsize n;
   const void *p = g_bytes_get_data (frame, &n);
@@ -156,7 +160,7 @@
       int rc = pu_journal_write_all (fs, fd, p, n, at);
 
       if (rc == 0)
-        rc = pu_journal_sync_result (fs->sync (fs->data, fd));
+        rc = pu_journal_map_sync_error (fs->sync (fs->data, fd));
       if (rc < 0)
         return rc;
     }
--- a/libplantainusher/log/journal_fs.c
+++ b/libplantainusher/log/journal_fs.c
@@ -15,7 +15,7 @@
 };
 
 static int
-result (int rc)
+rc_or_errno (int rc)
 {
   return rc < 0 ? -errno : rc;
 }
@@ -24,7 +24,7 @@
 fs_open (void *data, const char *path, int flags)
 {
   (void)data;
-  return result (open (path, flags | O_CLOEXEC, FILE_MODE));
+  return rc_or_errno (open (path, flags | O_CLOEXEC, FILE_MODE));
 }
 
 static int64_t
@@ -45,42 +45,42 @@
 fs_sync (void *data, int fd)
 {
   (void)data;
-  return result (fdatasync (fd));
+  return rc_or_errno (fdatasync (fd));
 }
 
 static int
 fs_truncate (void *data, int fd, int64_t size)
 {
   (void)data;
-  return result (ftruncate (fd, size));
+  return rc_or_errno (ftruncate (fd, size));
 }
 
 static int
 fs_lock (void *data, int fd)
 {
   (void)data;
-  return result (flock (fd, LOCK_EX | LOCK_NB));
+  return rc_or_errno (flock (fd, LOCK_EX | LOCK_NB));
 }
 
 static int
 fs_close (void *data, int fd)
 {
   (void)data;
-  return result (close (fd));
+  return rc_or_errno (close (fd));
 }
 
 static int
 fs_rename (void *data, const char *from, const char *to)
 {
   (void)data;
-  return result (rename (from, to));
+  return rc_or_errno (rename (from, to));
 }
 
 static int
 fs_unlink (void *data, const char *path)
 {
   (void)data;
-  return result (unlink (path));
+  return rc_or_errno (unlink (path));
 }
 
 static int
@@ -99,7 +99,7 @@
   (void)data;
   if (fd < 0)
     return -errno;
-  rc = result (fsync (fd));
+  rc = rc_or_errno (fsync (fd));
   close (fd);
   return rc;
 }
--- a/libplantainusher/log/journal_fuzz.cc
+++ b/libplantainusher/log/journal_fuzz.cc
@@ -1,9 +1,10 @@
-/* The files of a journal, damaged in any way: it opens with the head of what
-   was written, or it is refused as damaged; nothing else, and never other
-   entries.  What is refused can be set aside and is empty then.
+/* Fuzzes the recovery of a journal with damaged files.  The journal must open
+   with a prefix of the written entries or fail with PU_ERROR_CORRUPT; it must
+   never return other entries.  A folder that was refused can be set aside and
+   then opens as empty.
 
-   The input is a list of damages of five bytes: what, which file, where (two),
-   a value.  */
+   The input is a list of damages of five bytes each: the kind, the file, the
+   offset (two bytes) and a value.  */
 #include <stdint.h>
 
 #include "base/log.h"
@@ -38,7 +39,7 @@
   return 1 + index / 4;
 }
 
-/* Entries in three segments, one a batch, and a record.  */
+/* Writes entries in three segments, one entry per batch, and the metadata.  */
 static void
 fill (FakeDisk *d)
 {
@@ -94,7 +95,8 @@
     }
 }
 
-/* The head of what was written, if the record was not lost with all else.  */
+/* Requires a prefix of the written entries.  The identity may be 0 when the
+   metadata was lost together with all else.  */
 static void
 check_image (const pu_disk_image_t *image)
 {
--- a/libplantainusher/log/journal_load.c
+++ b/libplantainusher/log/journal_load.c
@@ -7,11 +7,11 @@
 #include "base/log.h"
 
 /*
- * Reading a folder back.
+ * Recovery: reads the files of a folder when the journal is opened.
  *
- * A batch is written only after the one before it is synced.  So a batch that
- * does not check is a torn tail when no later batch stands anywhere behind it,
- * and damage to what was synced when one does.
+ * A batch is written only after the batch before it is synced.  So an invalid
+ * batch is a torn write when no later batch follows it anywhere in the
+ * segment, and damage to synced data when one does.
  */
 
 static bool
@@ -21,15 +21,15 @@
                        g_strerror (-rc));
 }
 
-/* The voter's own record: the newest of two slots.  */
+/* The metadata: the newest valid one of the two slots.  */
 
 static void
-read_slot (const uint8_t *p, size_t n, pu_log_meta *best)
+load_meta_slot (const uint8_t *p, size_t n, pu_log_meta *best)
 {
   pu_log_meta m = { 0 };
   pu_frame_t f;
 
-  if (!pu_frame_check (PU_FRAME_META, p, n, &f)
+  if (!pu_frame_decode (PU_FRAME_META, p, n, &f)
       || !pu_xdr_decode ((xdrproc_t)xdr_pu_log_meta, &m, f.payload, f.len))
     return;
   if (m.saves > best->saves)
@@ -37,7 +37,7 @@
 }
 
 static bool
-load_meta (pu_journal_t *j, bool others, pu_error_t *e)
+load_meta (pu_journal_t *j, bool has_log_files, pu_error_t *e)
 {
   char *path = pu_journal_path (j, "meta");
   GBytes *b = NULL;
@@ -54,9 +54,9 @@
       const uint8_t *p = g_bytes_get_data (b, &n);
 
       for (size_t at = 0; at < n; at += PU_META_SLOT_BYTES)
-        read_slot (p + at, MIN (n - at, PU_META_SLOT_BYTES), &j->meta);
+        load_meta_slot (p + at, MIN (n - at, PU_META_SLOT_BYTES), &j->meta);
       g_bytes_unref (b);
-      if (j->meta.id == 0 && others)
+      if (j->meta.id == 0 && has_log_files)
         ok = pu_error_set (e, PU_ERROR_CORRUPT, "%s is damaged", path);
     }
   j->id = j->meta.id;
@@ -64,7 +64,8 @@
   return ok;
 }
 
-/* The snapshot: the newest there is, whole or the folder is damaged.  */
+/* Loads the newest snapshot.  It was synced before its rename, so an invalid
+   one means that the folder is damaged.  */
 static bool
 load_snapshot (pu_journal_t *j, uint64_t index, pu_snapshot_t *s,
                uint64_t *first_batch, pu_error_t *e)
@@ -76,7 +77,7 @@
   int rc = j->fs->read (j->fs->data, path, &b);
   gsize n = 0;
   const uint8_t *p = rc == 0 ? g_bytes_get_data (b, &n) : NULL;
-  bool ok = rc == 0 && pu_frame_check (PU_FRAME_SNAPSHOT, p, n, &f)
+  bool ok = rc == 0 && pu_frame_decode (PU_FRAME_SNAPSHOT, p, n, &f)
             && f.id == j->id && f.number == index
             && pu_xdr_decode ((xdrproc_t)xdr_pu_log_snapshot, &x, f.payload,
                               f.len);
@@ -106,17 +107,19 @@
   return ok;
 }
 
-/* Where a segment's whole batches end, and where the last of them starts.  */
+/* The valid part of a segment.  */
 typedef struct
 {
-  size_t valid;
-  size_t last;
-} pu_tail_t;
+  size_t valid_bytes;       /* up to the end of the last valid batch */
+  size_t last_batch_offset; /* where that batch starts */
+} pu_segment_extent_t;
 
 /* Entries.  */
 
+/* Appends X to the entries of IMAGE.  An index that is there already replaces
+   that entry and drops all after it.  */
 static bool
-take_entry (const pu_log_entry *x, pu_disk_image_t *image, pu_error_t *e)
+replay_entry (const pu_log_entry *x, pu_disk_image_t *image, pu_error_t *e)
 {
   uint64_t base = image->snapshot.index;
   uint64_t last = base + image->entries->len;
@@ -139,8 +142,8 @@
 }
 
 static bool
-take_batch (const pu_frame_t *f, pu_segment_t *seg, pu_disk_image_t *image,
-            pu_error_t *e)
+replay_batch (const pu_frame_t *f, pu_segment_t *seg, pu_disk_image_t *image,
+              pu_error_t *e)
 {
   pu_log_batch b = { 0 };
   bool ok = true;
@@ -149,45 +152,47 @@
     return pu_error_set (e, PU_ERROR_CORRUPT, "a batch is malformed");
   for (guint i = 0; ok && i < b.entries.entries_len; i++)
     {
-      seg->last = MAX (seg->last, b.entries.entries_val[i].index);
-      ok = take_entry (&b.entries.entries_val[i], image, e);
+      seg->last_index = MAX (seg->last_index, b.entries.entries_val[i].index);
+      ok = replay_entry (&b.entries.entries_val[i], image, e);
     }
   image->commit = MAX (image->commit, b.commit);
   xdr_free ((xdrproc_t)xdr_pu_log_batch, (char *)&b);
   return ok;
 }
 
-/* Whether any batch later than NUMBER stands in P.  */
+/* Whether P holds a valid batch with a number above NUMBER, at any aligned
+   offset.  */
 static bool
-later_batch (const uint8_t *p, size_t n, uint64_t number)
+has_later_batch (const uint8_t *p, size_t n, uint64_t number)
 {
   pu_frame_t f;
 
-  for (size_t at = 0; at + PU_FRAME_HEADER <= n; at += sizeof (uint64_t))
+  for (size_t at = 0; at + PU_FRAME_HEADER_BYTES <= n; at += sizeof (uint64_t))
     {
-      if (pu_frame_check (PU_FRAME_BATCH, p + at, n - at, &f)
+      if (pu_frame_decode (PU_FRAME_BATCH, p + at, n - at, &f)
           && f.number > number)
         return true;
     }
   return false;
 }
 
-/* Cuts what is torn off the newest segment, and writes its last batch again:
-   it may stand in the page cache alone, and only a write after which a sync
-   succeeds proves that it is on the disk.  */
+/* Truncates the newest segment after its last valid batch, and writes that
+   batch again: the batch may exist in the page cache only, and a sync proves
+   that it is on the disk only if it follows a write.  */
 static bool
-settle_tail (pu_journal_t *j, const char *path, const uint8_t *p, size_t n,
-             const pu_tail_t *t, pu_error_t *e)
+rewrite_tail (pu_journal_t *j, const char *path, const uint8_t *p, size_t n,
+              const pu_segment_extent_t *t, pu_error_t *e)
 {
   int fd = j->fs->open (j->fs->data, path, O_RDWR);
   int rc = fd;
 
-  if (rc >= 0 && t->valid < n)
-    rc = j->fs->truncate (j->fs->data, fd, (int64_t)t->valid);
-  if (rc >= 0 && t->valid > t->last)
+  if (rc >= 0 && t->valid_bytes < n)
+    rc = j->fs->truncate (j->fs->data, fd, (int64_t)t->valid_bytes);
+  if (rc >= 0 && t->valid_bytes > t->last_batch_offset)
     {
-      rc = pu_journal_write_all (j->fs, fd, p + t->last, t->valid - t->last,
-                                 (int64_t)t->last);
+      rc = pu_journal_write_all (j->fs, fd, p + t->last_batch_offset,
+                                 t->valid_bytes - t->last_batch_offset,
+                                 (int64_t)t->last_batch_offset);
     }
   if (rc >= 0)
     rc = j->fs->sync (j->fs->data, fd);
@@ -195,41 +200,44 @@
     j->fs->close (j->fs->data, fd);
   if (rc < 0)
     return io_error (e, "settle", path, rc);
-  if (t->valid == n)
+  if (t->valid_bytes == n)
     return true;
-  j->stats.cut += n - t->valid;
-  pu_log_note ("journal", "Cut a torn tail of %zu bytes.", n - t->valid);
+  j->stats.torn_bytes += n - t->valid_bytes;
+  pu_log_note ("journal", "Truncated a torn tail of %zu bytes.",
+               n - t->valid_bytes);
   return true;
 }
 
-/* Reads segment I.  Only the last may end in a torn batch.  */
+/* Replays the batches of segment I.  Only the last segment may end in a torn
+   batch.  */
 static bool
 read_segment (pu_journal_t *j, guint i, const uint8_t *p, size_t n,
-              uint64_t first_batch, pu_disk_image_t *image, pu_tail_t *t,
-              pu_error_t *e)
+              uint64_t first_batch, pu_disk_image_t *image,
+              pu_segment_extent_t *t, pu_error_t *e)
 {
   pu_segment_t *seg = &g_array_index (j->segments, pu_segment_t, i);
   size_t at = 0;
   pu_frame_t f;
 
-  if (i > 0 && seg->number != j->next_batch && seg->number != first_batch)
+  if (i > 0 && seg->start_batch != j->next_batch
+      && seg->start_batch != first_batch)
     return pu_error_set (e, PU_ERROR_CORRUPT, "a segment is missing");
-  j->next_batch = seg->number;
-  while (at < n && pu_frame_check (PU_FRAME_BATCH, p + at, n - at, &f)
+  j->next_batch = seg->start_batch;
+  while (at < n && pu_frame_decode (PU_FRAME_BATCH, p + at, n - at, &f)
          && f.number == j->next_batch && f.id == j->id)
     {
-      seg->spent = f.number < first_batch;
-      if (!seg->spent && !take_batch (&f, seg, image, e))
+      seg->superseded = f.number < first_batch;
+      if (!seg->superseded && !replay_batch (&f, seg, image, e))
         return false;
-      t->last = at;
+      t->last_batch_offset = at;
       at += f.size;
       j->next_batch++;
     }
-  t->valid = at;
+  t->valid_bytes = at;
   seg->bytes = at;
   if (at < n
       && (i + 1 < j->segments->len
-          || later_batch (p + at, n - at, j->next_batch)))
+          || has_later_batch (p + at, n - at, j->next_batch)))
     {
       return pu_error_set (e, PU_ERROR_CORRUPT,
                            "batch %" G_GUINT64_FORMAT " is damaged",
@@ -242,12 +250,12 @@
 load_segment (pu_journal_t *j, guint i, uint64_t first_batch,
               pu_disk_image_t *image, pu_error_t *e)
 {
-  uint64_t number = g_array_index (j->segments, pu_segment_t, i).number;
+  uint64_t number = g_array_index (j->segments, pu_segment_t, i).start_batch;
   char *path = pu_segment_path (j, number);
   GBytes *b = NULL;
   int rc = j->fs->read (j->fs->data, path, &b);
   const uint8_t *p;
-  pu_tail_t t = { 0 };
+  pu_segment_extent_t t = { 0 };
   gsize n;
   bool ok;
 
@@ -260,7 +268,7 @@
   p = g_bytes_get_data (b, &n);
   ok = read_segment (j, i, p, n, first_batch, image, &t, e);
   if (ok && i + 1 == j->segments->len)
-    ok = settle_tail (j, path, p, n, &t, e);
+    ok = rewrite_tail (j, path, p, n, &t, e);
   g_bytes_unref (b);
   g_free (path);
   return ok;
@@ -269,17 +277,17 @@
 /* The folder.  */
 
 static gint
-by_number (gconstpointer a, gconstpointer b)
+compare_segments (gconstpointer a, gconstpointer b)
 {
-  uint64_t x = ((const pu_segment_t *)a)->number;
-  uint64_t y = ((const pu_segment_t *)b)->number;
+  uint64_t x = ((const pu_segment_t *)a)->start_batch;
+  uint64_t y = ((const pu_segment_t *)b)->start_batch;
 
   return x < y ? -1 : x > y;
 }
 
-/* Snapshots that a crash kept from being removed.  */
+/* Removes an older snapshot that a crash left behind; INDEX 0 is none.  */
 static void
-remove_older (pu_journal_t *j, uint64_t index)
+remove_snapshot (pu_journal_t *j, uint64_t index)
 {
   char *path;
 
@@ -291,7 +299,8 @@
 }
 
 static bool
-list_folder (pu_journal_t *j, uint64_t *snapshot, bool *others, pu_error_t *e)
+list_folder (pu_journal_t *j, uint64_t *snapshot, bool *has_log_files,
+             pu_error_t *e)
 {
   GPtrArray *names = g_ptr_array_new_with_free_func (g_free);
   int rc = j->fs->list (j->fs->data, j->folder, names);
@@ -303,27 +312,29 @@
 
       if (g_str_has_prefix (name, "log-"))
         {
-          seg.number = g_ascii_strtoull (name + strlen ("log-"), NULL, 10);
+          seg.start_batch
+              = g_ascii_strtoull (name + strlen ("log-"), NULL, 10);
           g_array_append_val (j->segments, seg);
-          *others = true;
+          *has_log_files = true;
         }
       if (g_str_has_prefix (name, "snap-"))
         {
           uint64_t index
               = g_ascii_strtoull (name + strlen ("snap-"), NULL, 10);
 
-          remove_older (j, MIN (*snapshot, index));
+          remove_snapshot (j, MIN (*snapshot, index));
           *snapshot = MAX (*snapshot, index);
-          *others = true;
+          *has_log_files = true;
         }
     }
   g_ptr_array_unref (names);
-  g_array_sort (j->segments, by_number);
+  g_array_sort (j->segments, compare_segments);
   return rc < 0 ? io_error (e, "list", j->folder, rc) : true;
 }
 
+/* Checks that the log reaches as far as the metadata says.  */
 static bool
-check_reach (pu_journal_t *j, pu_disk_image_t *image, pu_error_t *e)
+check_log_end (pu_journal_t *j, pu_disk_image_t *image, pu_error_t *e)
 {
   uint64_t last = image->snapshot.index + image->entries->len;
 
@@ -331,15 +342,15 @@
   if (last < j->meta.floor)
     {
       return pu_error_set (e, PU_ERROR_CORRUPT,
-                           "the log ends at %" G_GUINT64_FORMAT
-                           ", but reached %" G_GUINT64_FORMAT,
+                           "the log ends at entry %" G_GUINT64_FORMAT
+                           ", but had committed entry %" G_GUINT64_FORMAT,
                            last, (guint64)j->meta.floor);
     }
   if (j->meta.segment >= j->next_batch)
     return pu_error_set (e, PU_ERROR_CORRUPT, "the newest segment is missing");
   j->last_index = last;
-  j->commit = image->commit;
-  j->durable = last;
+  j->commit_index = image->commit;
+  j->durable_index = last;
   image->meta = j->meta;
   return true;
 }
@@ -349,9 +360,10 @@
 {
   uint64_t snapshot = 0;
   uint64_t first_batch = 0;
-  bool others = false;
+  bool has_log_files = false;
 
-  if (!list_folder (j, &snapshot, &others, e) || !load_meta (j, others, e))
+  if (!list_folder (j, &snapshot, &has_log_files, e)
+      || !load_meta (j, has_log_files, e))
     return false;
   if (snapshot != 0
       && !load_snapshot (j, snapshot, &image->snapshot, &first_batch, e))
@@ -363,8 +375,9 @@
       if (!load_segment (j, i, first_batch, image, e))
         return false;
     }
-  /* A batch voided by a snapshot may be missing at the end: start anew.  */
+  /* Batches that an installed snapshot made void may be missing at the end:
+     the next batch then starts a new segment.  */
   j->rotate = j->next_batch < first_batch;
   j->next_batch = MAX (j->next_batch, first_batch);
-  return check_reach (j, image, e);
+  return check_log_end (j, image, e);
 }
--- a/libplantainusher/log/journal_private.h
+++ b/libplantainusher/log/journal_private.h
@@ -6,19 +6,19 @@
 G_BEGIN_DECLS
 
 /*
- * journal_private - what the files of the journal share.
+ * journal_private - types and functions shared by the files of the journal.
  *
- *   journal.c       gathering, batches, running of jobs
- *   journal_save.c  snapshots
- *   journal_frame.c checksummed frames, files' names
- *   journal_load.c  reading a folder back
- *   journal_fs.c    the operating system's calls
+ *   journal.c           queueing, batches, running of jobs
+ *   journal_save.c      snapshots
+ *   journal_frame.c     checksummed frames, file names
+ *   journal_load.c      recovery when a folder is opened
+ *   journal_fs.c        the calls of the operating system
  *
- * A frame is a header and a payload, padded to eight bytes.  A job owns the
- * open files while it runs; all else belongs to the loop's thread.
+ * A frame is a header and a payload, padded to eight bytes.  While a job runs
+ * it owns the open files; the loop's thread owns everything else.
  */
 
-#define PU_FRAME_HEADER 32
+#define PU_FRAME_HEADER_BYTES 32
 
 typedef enum
 {
@@ -29,10 +29,10 @@
 
 typedef struct
 {
-  uint64_t number; /* of its first batch; its name */
-  uint64_t last;   /* highest entry in it */
+  uint64_t start_batch; /* number of the first batch; in the file's name */
+  uint64_t last_index;  /* highest entry */
   uint64_t bytes;
-  bool spent; /* a snapshot voided all of it */
+  bool superseded; /* an installed snapshot made all entries void */
 } pu_segment_t;
 
 enum
@@ -43,23 +43,23 @@
 
 typedef enum
 {
-  PU_JOURNAL_BATCH, /* a pu_batch_job_t of journal.c */
-  PU_JOURNAL_SAVE   /* a pu_save_job_t of journal_save.c */
-} pu_journal_kind_t;
+  PU_JOURNAL_JOB_BATCH,   /* a pu_batch_job_t of journal.c */
+  PU_JOURNAL_JOB_SNAPSHOT /* a pu_snapshot_job_t of journal_save.c */
+} pu_journal_job_kind_t;
 
-/* What a job begins with, whatever it writes.  */
+/* The common first member of all jobs.  */
 typedef struct
 {
   uv_work_t work;
   pu_journal_t *j;
-  pu_journal_kind_t kind;
-  bool again; /* the disk was full */
-  int rc;
+  pu_journal_job_kind_t kind;
+  bool retry; /* the disk was full */
+  int rc;     /* result: 0 or more, or -errno */
 } pu_journal_job_t;
 
 static inline void
 pu_journal_job_init (pu_journal_job_t *job, pu_journal_t *j,
-                     pu_journal_kind_t kind)
+                     pu_journal_job_kind_t kind)
 {
   *job = (pu_journal_job_t){ .j = j, .kind = kind };
   job->work.data = job;
@@ -75,88 +75,100 @@
   bool stopped;
   pu_error_t error;
 
-  /* The files; a running batch owns them.  */
+  /* The open files; a batch job owns them while it runs.  */
   int meta_fd;
-  int segment_fd; /* -1: open a new one */
+  int segment_fd; /* -1: none is open */
 
-  GArray *segments; /* pu_segment_t, rising; the last may be open */
-  bool rotate;      /* the open segment takes no more batches */
+  GArray *segments; /* pu_segment_t, by number; the last may be open */
+  bool rotate;      /* the next batch starts a new segment */
   uint64_t next_batch;
-  uint64_t last_index; /* highest entry written and not dropped again */
-  uint64_t durable;    /* highest entry synced */
-  uint64_t commit;
+  uint64_t last_index;    /* last entry queued or written, and not dropped */
+  uint64_t durable_index; /* last entry synced */
+  uint64_t commit_index;
   uint64_t snapshot_index;
   uint64_t snapshot_bytes;
-  pu_log_meta meta; /* as last gathered */
-
-  GPtrArray *gathered; /* pu_record_t */
-  bool meta_gathered;
-  uint64_t ticket;
-  GQueue saves;              /* of pu_journal_job_t *, each a save */
-  pu_journal_job_t *running; /* a batch */
-  pu_journal_job_t *saving;  /* a snapshot */
+  pu_log_meta meta; /* as last queued */
+
+  GPtrArray *pending_entries; /* pu_record_t, for the next batch */
+  bool meta_pending;
+  uint64_t pending_ticket;        /* highest ticket queued */
+  GQueue snapshot_queue;          /* of pu_journal_job_t * */
+  pu_journal_job_t *batch_job;    /* in flight, or NULL */
+  pu_journal_job_t *snapshot_job; /* in flight, or NULL */
   pu_journal_stats_t stats;
   uint64_t sync_us_total;
 };
 
 /* journal.c */
 
-/* pu_journal_fail - J takes no more writes, as RC shows that it could not do
-   WHAT.  */
-void pu_journal_fail (pu_journal_t *j, const char *what, int rc);
+/* pu_journal_fail - fails J permanently because OPERATION returned RC, which
+   is -errno.  OPERATION completes the sentence "cannot ...".  */
+void pu_journal_fail (pu_journal_t *j, const char *operation, int rc);
 
-/* journal_save.c: jobs of the kind PU_JOURNAL_SAVE */
+/* journal_save.c: jobs of the kind PU_JOURNAL_JOB_SNAPSHOT */
 
-/* pu_journal_save_prepare - JOB is the next to run: decides what it makes
-   useless.  */
-void pu_journal_save_prepare (pu_journal_job_t *job);
+/* pu_snapshot_job_prepare - chooses the files that JOB, which runs next, makes
+   obsolete.  */
+void pu_snapshot_job_prepare (pu_journal_job_t *job);
 
-/* pu_journal_save_run - writes the snapshot; on the thread pool.  */
-void pu_journal_save_run (pu_journal_job_t *job);
+/* pu_snapshot_job_run - writes the snapshot, on the thread pool, then removes
+   the obsolete files.  */
+void pu_snapshot_job_run (pu_journal_job_t *job);
 
-/* pu_journal_save_finish - takes the result in, and frees JOB.  */
-void pu_journal_save_finish (pu_journal_job_t *job);
-void pu_journal_save_free (pu_journal_job_t *job);
+/* pu_snapshot_job_finish - handles the result on the loop's thread and frees
+   JOB.  */
+void pu_snapshot_job_finish (pu_journal_job_t *job);
+void pu_snapshot_job_free (pu_journal_job_t *job);
 
 /* journal_frame.c */
-GBytes *pu_frame_new (pu_frame_magic_t magic, uint64_t number, uint64_t id,
-                      const void *payload, size_t len);
 
-/* pu_frame_check - whether a whole frame stands at P, of which N bytes are
-   there.  PAYLOAD points into P.  */
+/* pu_frame_encode - returns a frame.  NUMBER is that of the batch, the count
+   of metadata writes or the index of the snapshot; ID is the voter's
+   identity.  */
+GBytes *pu_frame_encode (pu_frame_magic_t magic, uint64_t number, uint64_t id,
+                         const void *payload, size_t len);
+
 typedef struct
 {
   uint64_t number;
   uint64_t id;
-  const uint8_t *payload;
+  const uint8_t *payload; /* points into the decoded bytes */
   uint32_t len;
   size_t size; /* with header and padding */
 } pu_frame_t;
 
-bool pu_frame_check (pu_frame_magic_t magic, const uint8_t *p, size_t n,
-                     pu_frame_t *f);
+/* pu_frame_decode - fills F and returns true when the N bytes at P begin with
+   a complete frame of kind MAGIC with a valid checksum.  */
+bool pu_frame_decode (pu_frame_magic_t magic, const uint8_t *p, size_t n,
+                      pu_frame_t *f);
 
 char *pu_journal_path (const pu_journal_t *j, const char *name);
 char *pu_segment_path (const pu_journal_t *j, uint64_t number);
 char *pu_snapshot_path (const pu_journal_t *j, uint64_t index);
 
-/* pu_journal_write_all - writes all N bytes at AT, going on after short
-   writes.  0 or -errno.  */
+/* pu_journal_write_all - writes all N bytes at offset AT, and continues after
+   short writes.  Returns 0 or -errno.  */
 int pu_journal_write_all (const pu_journal_fs_t *fs, int fd, const void *p,
                           size_t n, int64_t at);
 
-/* pu_journal_is_full - whether a call failed with RC for want of room: what it
-   should write can be written again.  */
-bool pu_journal_is_full (int rc);
+/* pu_journal_is_disk_full - whether RC is the error of a full disk or quota,
+   after which the same write can be retried.  */
+bool pu_journal_is_disk_full (int rc);
 
-/* pu_journal_sync_result - RC of a sync.  One that failed for want of room
-   fails like any other: it doesn't tell what is on the disk.  */
-int pu_journal_sync_result (int rc);
+/* pu_journal_map_sync_error - returns the result RC of a sync, with -EIO for a
+   full disk.  A failed sync is never retried, because it leaves unknown what
+   is on the disk.  */
+int pu_journal_map_sync_error (int rc);
 
-/* pu_journal_write_meta - both slots, each synced.  0 or -errno.  */
-int pu_journal_write_meta (const pu_journal_fs_t *fs, int fd, GBytes *frame);
+/* pu_journal_write_meta_slots - writes FRAME to both slots and syncs each.
+   Returns 0 or -errno.  */
+int pu_journal_write_meta_slots (const pu_journal_fs_t *fs, int fd,
+                                 GBytes *frame);
 
 /* journal_load.c */
+
+/* pu_journal_load - reads the folder into J and IMAGE.  Errors as for
+   pu_journal_open.  */
 bool pu_journal_load (pu_journal_t *j, pu_disk_image_t *image, pu_error_t *e);
 
 G_END_DECLS
--- a/libplantainusher/log/journal_test.cc
+++ b/libplantainusher/log/journal_test.cc
@@ -6,14 +6,15 @@
 namespace
 {
 
-/* These tests make the journal fail on purpose; its lines say nothing.  */
+/* These tests make the journal fail on purpose, so its log lines are
+   suppressed.  */
 [[maybe_unused]] const auto QUIET = g_log_set_default_handler (
     [] (const gchar *, GLogLevelFlags, const gchar *, gpointer) {}, nullptr);
 
 const uint64_t ID = 77;
 
-/* What a journal ought to hold: the terms of all entries, and the record.  */
-struct Model
+/* The contents of a journal: the terms of all entries, and the metadata.  */
+struct JournalState
 {
   std::vector<uint64_t> terms;
   uint64_t snapshot = 0;
@@ -22,7 +23,7 @@
 };
 
 bool
-operator== (const Model &a, const Model &b)
+operator== (const JournalState &a, const JournalState &b)
 {
   std::vector<uint64_t> x (a.terms.begin () + (long)a.snapshot,
                            a.terms.end ());
@@ -31,16 +32,16 @@
   return x == y && a.snapshot == b.snapshot && a.term == b.term;
 }
 
-struct Opened
+struct OpenJournal
 {
   pu_journal_t *j = nullptr;
   pu_error_t e{};
-  Model held;
+  JournalState contents;
   uint64_t synced = 0;
   uint64_t saved = 0;
   int failures = 0;
 
-  explicit Opened (FakeDisk &d, const char *folder = "f")
+  explicit OpenJournal (FakeDisk &d, const char *folder = "f")
   {
     pu_journal_options_t o;
     pu_disk_image_t image;
@@ -50,9 +51,10 @@
     o.fs = &d.fs;
     o.segment_bytes = 300;
     o.data = this;
-    o.synced = [] (uint64_t t, void *p) { ((Opened *)p)->synced = t; };
-    o.saved = [] (uint64_t i, void *p) { ((Opened *)p)->saved = i; };
-    o.failed = [] (const pu_error_t *, void *p) { ((Opened *)p)->failures++; };
+    o.synced = [] (uint64_t t, void *p) { ((OpenJournal *)p)->synced = t; };
+    o.saved = [] (uint64_t i, void *p) { ((OpenJournal *)p)->saved = i; };
+    o.failed
+        = [] (const pu_error_t *, void *p) { ((OpenJournal *)p)->failures++; };
     j = pu_journal_open (&o, &image, &e);
     if (j != nullptr)
       read (image);
@@ -63,26 +65,27 @@
       }
     pu_disk_image_clear (&image);
   }
-  ~Opened () { pu_journal_free (j); }
-  Opened (const Opened &) = delete;
-  Opened &operator= (const Opened &) = delete;
+  ~OpenJournal () { pu_journal_free (j); }
+  OpenJournal (const OpenJournal &) = delete;
+  OpenJournal &operator= (const OpenJournal &) = delete;
 
   void
   read (const pu_disk_image_t &image)
   {
-    held.snapshot = image.snapshot.index;
-    held.terms.resize (held.snapshot);
+    contents.snapshot = image.snapshot.index;
+    contents.terms.resize (contents.snapshot);
     for (guint i = 0; i < image.entries->len; i++)
       {
-        held.terms.push_back (
+        contents.terms.push_back (
             ((pu_record_t *)g_ptr_array_index (image.entries, i))->term);
       }
-    held.term = image.meta.term;
-    held.commit = image.commit;
+    contents.term = image.meta.term;
+    contents.commit = image.commit;
   }
-  /* Entries FIRST to FIRST + N - 1 of TERM, into M too.  */
+  /* Queues entries FIRST to FIRST + N - 1 of TERM, and puts them into M.  */
   void
-  write (Model &m, uint64_t ticket, uint64_t first, unsigned n, uint64_t term)
+  write (JournalState &m, uint64_t ticket, uint64_t first, unsigned n,
+         uint64_t term)
   {
     GPtrArray *a
         = g_ptr_array_new_with_free_func ((GDestroyNotify)pu_record_unref);
@@ -97,14 +100,14 @@
     g_ptr_array_unref (a);
   }
   void
-  meta (Model &m, uint64_t ticket)
+  meta (JournalState &m, uint64_t ticket)
   {
     pu_log_meta x{};
     x.term = ++m.term;
     pu_journal_meta (j, ticket, &x);
   }
   void
-  save (Model &m, uint64_t index, bool installed)
+  save (JournalState &m, uint64_t index, bool installed)
   {
     pu_snapshot_t s{};
     s.index = index;
@@ -118,9 +121,10 @@
   }
 };
 
-/* One step of a random history; each is one flush.  */
+/* Queues one random operation; the caller flushes after each.  */
 void
-step (Opened &o, Model &m, uint64_t ticket, std::mt19937 &rand)
+queue_random_operation (OpenJournal &o, JournalState &m, uint64_t ticket,
+                        std::mt19937 &rand)
 {
   uint64_t last = m.terms.size ();
   m.commit = std::max (m.commit, last > 2 ? last - 2 : 0);
@@ -152,68 +156,70 @@
     }
 }
 
-/* Runs a history, crashes at operation CRASH_AT and opens again.  Whatever was
-   reported durable must be there (KEPT), and nothing that was never written.
-   Returns false when the history ended before the crash.  */
+/* Runs random operations, crashes at disk operation CRASH_AT and opens the
+   journal again.  KEPT is set when it holds everything that was reported
+   durable, and nothing that was never written.  Returns false when the
+   operations ended before the crash.  */
 bool
-crash_and_open (unsigned seed, int crash_at, bool lying, bool *kept)
+crash_and_reopen (unsigned seed, int crash_at, bool sync_is_noop, bool *kept)
 {
   std::mt19937 rand (seed);
   FakeDisk d;
-  std::vector<Model> states (1);
+  std::vector<JournalState> expected (1);
   size_t durable = 0;
   bool crashed = false;
-  d.lying = lying;
+  d.sync_is_noop = sync_is_noop;
   {
-    Opened o (d);
+    OpenJournal o (d);
     if (o.j == nullptr)
       return false;
-    d.ops = 0;
+    d.operations = 0;
     d.crash_at = crash_at;
     for (uint64_t i = 1; i <= 25 && !crashed; i++)
       {
-        Model m = states.back ();
-        step (o, m, i, rand);
-        states.push_back (m);
+        JournalState m = expected.back ();
+        queue_random_operation (o, m, i, rand);
+        expected.push_back (m);
         crashed = !pu_journal_flush (o.j, nullptr);
-        durable = crashed ? durable : states.size () - 1;
+        durable = crashed ? durable : expected.size () - 1;
         EXPECT_EQ (o.failures, crashed ? 1 : 0);
       }
   }
   d.crash (rand);
-  Opened again (d);
+  OpenJournal again (d);
   *kept = false;
-  for (size_t i = durable; again.j != nullptr && i < states.size (); i++)
-    *kept = *kept || again.held == states[i];
+  for (size_t i = durable; again.j != nullptr && i < expected.size (); i++)
+    *kept = *kept || again.contents == expected[i];
   return crashed;
 }
 
-TEST (Journal, KeepsWhatItReportedOverACrashAtEachOperation)
+TEST (Journal, ReportedWritesSurviveACrashAtEachOperation)
 {
   for (unsigned seed = 1; seed <= 30; seed++)
     {
       bool kept = true;
-      for (int at = 1; crash_and_open (seed, at, false, &kept) && kept; at++)
+      for (int at = 1; crash_and_reopen (seed, at, false, &kept) && kept; at++)
         ;
       ASSERT_TRUE (kept) << "seed " << seed;
     }
 }
 
-/* The check above fails on a disk whose sync does nothing.  */
-TEST (Journal, LossOfSyncedWritesIsNoticed)
+/* Shows that the check of the test above can fail: with a sync that does
+   nothing it finds lost writes.  */
+TEST (Journal, CrashTestDetectsASyncThatDoesNothing)
 {
   bool kept = true;
-  for (int at = 10; kept && crash_and_open (1, at, true, &kept); at++)
+  for (int at = 10; kept && crash_and_reopen (1, at, true, &kept); at++)
     ;
   EXPECT_FALSE (kept);
 }
 
-/* A folder with six batches of one entry each, in two segments.  */
+/* Writes six batches of one entry each, in two segments, and the metadata.  */
 void
 fill (FakeDisk &d)
 {
-  Opened o (d);
-  Model m;
+  OpenJournal o (d);
+  JournalState m;
   for (uint64_t i = 1; i <= 6; i++)
     {
       m.commit = i - 1;
@@ -228,8 +234,8 @@
 {
   const char *name;
   void (*act) (FakeDisk &d);
-  pu_error_kind_t kind; /* PU_OK: it opens with LAST entries */
-  uint64_t last;
+  pu_error_kind_t kind; /* PU_OK: the journal opens */
+  uint64_t entries;     /* that it then holds */
 };
 
 std::string &
@@ -254,28 +260,28 @@
     PU_ERROR_CORRUPT, 0 },
   { "last batch torn, not known to be committed",
     [] (FakeDisk &d) { nth_log (d, 1).pop_back (); }, PU_OK, 5 },
-  { "one slot of the record",
+  { "one slot of the metadata",
     [] (FakeDisk &d) { d.live["f/meta"]->live[40] ^= 1; }, PU_OK, 6 },
-  { "both slots of the record",
+  { "both slots of the metadata",
     [] (FakeDisk &d) {
       d.live["f/meta"]->live[40] ^= 1;
       d.live["f/meta"]->live[4096 + 40] ^= 1;
     },
     PU_ERROR_CORRUPT, 0 },
-  { "record lost", [] (FakeDisk &d) { d.live.erase ("f/meta"); },
+  { "metadata lost", [] (FakeDisk &d) { d.live.erase ("f/meta"); },
     PU_ERROR_CORRUPT, 0 },
 };
 
-TEST (Journal, TellsDamageFromATornTail)
+TEST (Journal, DistinguishesDamageFromATornTail)
 {
   for (const Damage &damage : DAMAGES)
     {
       FakeDisk d;
       fill (d);
       damage.act (d);
-      Opened o (d);
+      OpenJournal o (d);
       EXPECT_EQ (o.e.kind, damage.kind) << damage.name << o.e.message;
-      EXPECT_EQ (o.held.terms.size (), damage.last) << damage.name;
+      EXPECT_EQ (o.contents.terms.size (), damage.entries) << damage.name;
     }
 }
 
@@ -284,33 +290,33 @@
   FakeDisk d;
   fill (d);
   ASSERT_TRUE (pu_journal_set_aside ("f", &d.fs, nullptr));
-  Opened o (d);
+  OpenJournal o (d);
   ASSERT_NE (o.j, nullptr);
-  EXPECT_TRUE (o.held.terms.empty ());
+  EXPECT_TRUE (o.contents.terms.empty ());
 }
 
-/* The operations of a first write: 1 the segment's truncate, 2 the folder's
-   sync, 3 the write, 4 its sync; with a record of the term, 5 to 8 a write and
-   a sync for each of its slots.  */
+/* The disk operations of the first write: 1 truncates the segment, 2 syncs the
+   folder, 3 writes the batch, 4 syncs it; 5 to 8 write and sync each slot of
+   the metadata, when it is written too.  */
 bool
 is_sync (int operation)
 {
   return operation % 2 == 0;
 }
 
-constexpr int first_operations = 8;
+constexpr int FIRST_WRITE_OPERATIONS = 8;
 
-/* One error at operation AT, when an entry and a term are written; one more
-   entry waits.  */
-struct Troubled
+/* A journal that got ERROR at disk operation AT while it wrote an entry and
+   the metadata.  One more entry is queued.  */
+struct JournalWithError
 {
   FakeDisk d;
-  Opened o{ d };
-  Model m;
+  OpenJournal o{ d };
+  JournalState m;
 
-  Troubled (int error, int at)
+  JournalWithError (int error, int at)
   {
-    d.ops = 0;
+    d.operations = 0;
     d.error_at = at;
     d.error = error;
     o.write (m, 1, 1, 1, 1);
@@ -321,15 +327,15 @@
   }
 };
 
-TEST (Journal, FailedWriteOrSyncFailsItForGood)
+TEST (Journal, FailedWriteOrSyncFailsTheJournalPermanently)
 {
   for (int error : { EIO, ENOSPC })
     {
-      for (int at = 1; at <= first_operations; at++)
+      for (int at = 1; at <= FIRST_WRITE_OPERATIONS; at++)
         {
           if (error == ENOSPC && !is_sync (at))
             continue;
-          Troubled t (error, at);
+          JournalWithError t (error, at);
           EXPECT_FALSE (pu_journal_flush (t.o.j, nullptr));
           EXPECT_EQ (t.o.synced, 0U);
           EXPECT_EQ (t.o.failures, 1);
@@ -337,32 +343,33 @@
     }
 }
 
-/* Three voters whose disks were full one after the other, each for four
-   seconds, were silent for good: no leader was left.  */
-TEST (Journal, FullDiskIsWrittenOnceItHasRoom)
+/* Guards against a voter that stays silent after its disk was full: three
+   voters whose disks were full one after the other, each for four seconds,
+   left the log without a leader.  */
+TEST (Journal, WriteToAFullDiskIsRetriedUntilItSucceeds)
 {
-  for (int at = 1; at <= first_operations; at++)
+  for (int at = 1; at <= FIRST_WRITE_OPERATIONS; at++)
     {
       if (is_sync (at))
         continue;
-      Troubled t (ENOSPC, at);
+      JournalWithError t (ENOSPC, at);
       EXPECT_TRUE (pu_journal_flush (t.o.j, nullptr)) << at;
       EXPECT_EQ (t.o.synced, 3U) << at;
       EXPECT_EQ (t.o.failures, 0) << at;
-      Opened again (t.d);
-      EXPECT_TRUE (again.held == t.m) << at;
+      OpenJournal again (t.d);
+      EXPECT_TRUE (again.contents == t.m) << at;
     }
 }
 
-TEST (Journal, FullDiskKeepsASnapshotForLater)
+TEST (Journal, SnapshotToAFullDiskIsRetried)
 {
   FakeDisk d;
-  Opened o (d);
-  Model m;
+  OpenJournal o (d);
+  JournalState m;
   o.write (m, 1, 1, 3, 1);
   m.commit = 3;
   ASSERT_TRUE (pu_journal_flush (o.j, nullptr));
-  d.ops = 0;
+  d.operations = 0;
   d.error_at = 2; /* the write, after the truncate */
   d.error = ENOSPC;
   o.save (m, 2, false);
@@ -371,27 +378,27 @@
   EXPECT_TRUE (pu_journal_flush (o.j, nullptr));
   EXPECT_EQ (o.saved, 2U);
   EXPECT_EQ (o.failures, 0);
-  Opened again (d);
-  EXPECT_TRUE (again.held == m);
+  OpenJournal again (d);
+  EXPECT_TRUE (again.contents == m);
 }
 
-TEST (Journal, GoesOnAfterShortWrites)
+TEST (Journal, ContinuesAfterShortWrites)
 {
   FakeDisk d;
   d.short_writes = true;
   fill (d);
-  Opened o (d);
-  EXPECT_EQ (o.held.terms.size (), 6U);
+  OpenJournal o (d);
+  EXPECT_EQ (o.contents.terms.size (), 6U);
 }
 
-TEST (Journal, OneProcessAlone)
+TEST (Journal, SecondOpenOfTheSameFolderIsRefused)
 {
   g_autofree char *folder = g_dir_make_tmp ("pu-journal-XXXXXX", nullptr);
   FakeDisk d;
   d.fs = *pu_journal_fs_system ();
   {
-    Opened one (d, folder);
-    Opened two (d, folder);
+    OpenJournal one (d, folder);
+    OpenJournal two (d, folder);
     EXPECT_NE (one.j, nullptr);
     EXPECT_EQ (two.e.kind, PU_ERROR_IO);
   }
--- a/libplantainusher/log/record.c
+++ b/libplantainusher/log/record.c
@@ -94,7 +94,7 @@
 pu_log_msg_decode (pu_log_msg *m, const void *bytes, size_t len, pu_error_t *e)
 {
   memset (m, 0, sizeof *m);
-  if (len > PU_LOG_MSG_MAX)
+  if (len > PU_LOG_MSG_MAX_BYTES)
     {
       return pu_error_set (e, PU_ERROR_TOO_LARGE,
                            "a log message of %zu bytes is too large", len);
@@ -103,7 +103,8 @@
     return pu_error_set (e, PU_ERROR_INVALID, "malformed log message");
   if (m->protocol != PU_LOG_PROTOCOL)
     {
-      pu_error_set (e, PU_ERROR_INVALID, "log message of protocol %u",
+      pu_error_set (e, PU_ERROR_INVALID,
+                    "log message has unsupported protocol version %u",
                     m->protocol);
       xdr_free ((xdrproc_t)xdr_pu_log_msg, (char *)m);
       return false;
@@ -111,7 +112,8 @@
   return true;
 }
 
-/* The copies are freed with free, as the XDR library's own values are.  */
+/* Copies are allocated with malloc, as the XDR library allocates decoded
+   values, so that xdr_free can free both.  */
 void
 pu_log_peer_copy (pu_log_peer *to, const pu_log_peer *from)
 {
--- a/libplantainusher/log/record.h
+++ b/libplantainusher/log/record.h
@@ -11,10 +11,11 @@
 G_BEGIN_DECLS
 
 /*
- * entry - entries of a log in memory, and the codecs of log_msg.x.
+ * record - the entries of a replicated log in memory, and the XDR codecs of
+ * log_msg.x.
  */
 
-/* An entry; counted by reference, never changed.  */
+/* A log entry; reference counted and immutable.  */
 typedef struct
 {
   uint64_t index;
@@ -29,41 +30,47 @@
 pu_record_t *pu_record_ref (const pu_record_t *n);
 void pu_record_unref (pu_record_t *n);
 
-/* pu_record_to_xdr - a view of N for encoding; it borrows N's bytes.  */
+/* pu_record_to_xdr - fills X with the fields of N, to be encoded.  X borrows
+   the data of N, which must outlive it.  */
 void pu_record_to_xdr (const pu_record_t *n, pu_log_entry *x);
 
-/* pu_record_from_xdr - a new entry with a copy of X.  */
+/* pu_record_from_xdr - returns a new entry with a copy of X.  */
 pu_record_t *pu_record_from_xdr (const pu_log_entry *x);
 
-/* pu_xdr_encode - the bytes of the XDR value at P, or NULL when it breaks a
-   bound.  */
+/* pu_xdr_encode - returns the XDR encoding of the value at P, or NULL when the
+   value exceeds a bound of its type.  */
 GBytes *pu_xdr_encode (xdrproc_t proc, const void *p);
 
-/* pu_xdr_decode - fills the zeroed value at P from all of BYTES.  Returns
-   false, with P cleared, when they are malformed or have a rest.  */
+/* pu_xdr_decode - fills the zeroed value at P from the LEN bytes at BYTES.
+   Returns false, and frees what P got, when they are malformed or more bytes
+   follow the value.  */
 bool pu_xdr_decode (xdrproc_t proc, void *p, const void *bytes, size_t len);
 
-/* pu_log_msg_encode, pu_log_msg_decode - the same for a message, whose size is
-   bounded by PU_LOG_MSG_MAX.  Free a decoded one with xdr_free.  */
+/* pu_log_msg_encode, pu_log_msg_decode - encode and decode a message between
+   voters.  Decoding refuses messages above PU_LOG_MSG_MAX_BYTES
+   (PU_ERROR_TOO_LARGE), malformed ones and those of another protocol version
+   (PU_ERROR_INVALID).  Free a decoded message with xdr_free.  */
 #define PU_LOG_PROTOCOL 1
-#define PU_LOG_MSG_MAX (PU_LOG_ENTRY_MAX + 2 * 1048576)
+#define PU_LOG_MSG_MAX_BYTES (PU_LOG_ENTRY_MAX + 2 * 1048576)
 GBytes *pu_log_msg_encode (const pu_log_msg *m);
 bool pu_log_msg_decode (pu_log_msg *m, const void *bytes, size_t len,
                         pu_error_t *e);
 
-/* Deep copies; strings come out non-NULL.  */
+/* Deep copies, freed with the _clear functions.  A string that is NULL is
+   copied as an empty one.  */
 void pu_log_peer_copy (pu_log_peer *to, const pu_log_peer *from);
 void pu_log_peer_clear (pu_log_peer *p);
 void pu_log_config_copy (pu_log_config *to, const pu_log_config *from);
 void pu_log_config_clear (pu_log_config *c);
 
-/* pu_log_config_find - the member with ID, or NULL.  */
+/* pu_log_config_find - returns the member with identity ID, or NULL.  */
 pu_log_member *pu_log_config_find (const pu_log_config *c, uint64_t id);
 
-/* pu_log_config_voters - how many members count.  */
+/* pu_log_config_voters - returns the number of voting members (see
+   pu_log_counts).  */
 uint32_t pu_log_config_voters (const pu_log_config *c);
 
-/* pu_log_counts - whether members of ROLE count for a quorum.  */
+/* pu_log_counts - whether members with ROLE count towards a quorum.  */
 bool pu_log_counts (pu_log_role role);
 
 G_END_DECLS
