--- a/libplantainusher/log/journal.c
+++ b/libplantainusher/log/journal.c
@@ -332,9 +332,9 @@
 }
 
 /* Whether JOB, which has run, must run again because the disk was full.  If a
-   full disk failed the journal for good, the voter would be lost for as long
-   as its process runs, and three voters whose disks were full one after the
-   other would leave the log without a leader.  */
+   full disk failed the journal permanently, the voter would be lost for as
+   long as its process runs, and three voters whose disks were full one after
+   the other would leave the log without a leader.  */
 static bool
 needs_retry (pu_journal_job_t *job)
 {
--- a/libplantainusher/log/journal_load.c
+++ b/libplantainusher/log/journal_load.c
@@ -15,14 +15,13 @@
  */
 
 static bool
-io_error (pu_error_t *e, const char *what, const char *path, int rc)
+io_error (pu_error_t *e, const char *operation, const char *path, int rc)
 {
-  return pu_error_set (e, PU_ERROR_IO, "cannot %s %s: %s", what, path,
+  return pu_error_set (e, PU_ERROR_IO, "cannot %s %s: %s", operation, path,
                        g_strerror (-rc));
 }
 
-/* The metadata: the newest valid one of the two slots.  */
-
+/* Decodes a slot of the metadata; BEST becomes the newest valid one.  */
 static void
 load_meta_slot (const uint8_t *p, size_t n, pu_log_meta *best)
 {
--- a/libplantainusher/log/journal_save.c
+++ b/libplantainusher/log/journal_save.c
@@ -10,7 +10,7 @@
 {
   pu_journal_job_t base;
   pu_snapshot_t snapshot;
-  uint64_t first_batch;
+  uint64_t first_batch; /* batches before it are void; 0: none are */
   uint64_t bytes;
   char *temporary_path;
   char *path;
