--- a/libplantainusher/control/polls.c
+++ b/libplantainusher/control/polls.c
@@ -82,7 +82,7 @@
 is_electing (const pu_control_t *c)
 {
   return !c->heard_leader
-         && pu_control_now (c) < c->started + c->options.electing_ms;
+         && pu_control_now (c) < c->started + c->options.startup_grace_ms;
 }
 
 /* image_state - the state that a daemon without one may be given; NULL when
@@ -274,7 +274,7 @@
 }
 
 void
-pu_control_polls_wake (pu_control_t *c, pu_news_t news)
+pu_control_polls_notify (pu_control_t *c, pu_news_t news)
 {
   uint64_t wait_ms;
 
@@ -322,7 +322,7 @@
       pu_rpc_call_garbage (call);
       return;
     }
-  pu_sessions_heard (c->sessions, &args, now);
+  pu_sessions_add_poll (c->sessions, &args, now);
   p = g_new0 (poll_t, 1);
   p->control = c;
   p->call = call;
