--- a/libplantainusher/control/control.c
+++ b/libplantainusher/control/control.c
@@ -75,12 +75,13 @@
   return pu_state_apply (c->state, index, command, reply);
 }
 
-static pu_news_t
+static pu_pace_urgency_t
 news_kind (const pu_command *command, const GBytes *delta)
 {
   if (delta != NULL)
-    return PU_NEWS_GATHERED;
-  return command->type == PU_COMMAND_SUBMIT ? PU_NEWS_AT_ONCE : PU_NEWS_SOON;
+    return PU_PACE_BATCHED;
+  return command->type == PU_COMMAND_SUBMIT ? PU_PACE_IMMEDIATE
+                                            : PU_PACE_RATE_LIMITED;
 }
 
 static void
@@ -106,7 +107,7 @@
     }
   if (apply_command (c, index, &command, &reply, &delta, &publish))
     {
-      pu_control_keep_reply (c, index, &reply);
+      pu_control_store_reply (c, index, &reply);
       pu_reply_clear (&reply);
     }
   if (publish)
@@ -136,7 +137,7 @@
     return false;
   pu_state_skip (c->state, index);
   pu_feed_reset (c->feed, index);
-  pu_control_polls_notify (c, PU_NEWS_AT_ONCE);
+  pu_control_polls_notify (c, PU_PACE_IMMEDIATE);
   return true;
 }
 
--- a/libplantainusher/control/control_private.h
+++ b/libplantainusher/control/control_private.h
@@ -27,7 +27,7 @@
   pu_feed_t *feed;
   pu_sessions_t *sessions;
   pu_membership_t *membership;
-  GHashTable *heard;    /* on the leader: name of a daemon -> heard_t */
+  GHashTable *heard; /* on the leader: name of a daemon -> daemon_session_t */
   GArray *leader_tasks; /* the leader tasks, pu_control_leader_task_t */
   pu_control_demand_fn *demand;
   void *demand_data;
@@ -83,8 +83,8 @@
 /* proposals.c */
 void pu_control_proposals_init (pu_control_t *c);
 void pu_control_proposals_clear (pu_control_t *c);
-void pu_control_keep_reply (pu_control_t *c, uint64_t position,
-                            const pu_reply *r);
+void pu_control_store_reply (pu_control_t *c, uint64_t position,
+                             const pu_reply *r);
 void pu_control_on_propose (void *data, pu_rpc_call_t *call,
                             const guint8 *body, size_t n);
 
@@ -97,7 +97,7 @@
 void pu_control_polls_clear (pu_control_t *c);
 /* pu_control_polls_notify - schedules the answers to the waiting polls after
    an update of kind NEWS.  */
-void pu_control_polls_notify (pu_control_t *c, pu_news_t news);
+void pu_control_polls_notify (pu_control_t *c, pu_pace_urgency_t news);
 void pu_control_polls_tick (pu_control_t *c, uint64_t now);
 void pu_control_on_poll (void *data, pu_rpc_call_t *call, const guint8 *body,
                          size_t n);
--- a/libplantainusher/control/lead.c
+++ b/libplantainusher/control/lead.c
@@ -11,12 +11,12 @@
   uint64_t position;
   uint64_t last_heard; /* ms */
   char *voter;         /* the voter that the daemon polls */
-} heard_t;
+} daemon_session_t;
 
 static void
 daemon_session_free (gpointer p)
 {
-  heard_t *h = p;
+  daemon_session_t *h = p;
 
   g_free (h->voter);
   g_free (h);
@@ -46,11 +46,11 @@
 daemon_session_update (pu_control_t *c, const pu_session *s, const char *voter,
                        uint64_t at)
 {
-  heard_t *h = g_hash_table_lookup (c->heard, s->name);
+  daemon_session_t *h = g_hash_table_lookup (c->heard, s->name);
 
   if (h == NULL)
     {
-      h = g_new0 (heard_t, 1);
+      h = g_new0 (daemon_session_t, 1);
       g_hash_table_insert (c->heard, g_strdup (s->name), h);
     }
   if (s->incarnation < h->incarnation || at < h->last_heard)
@@ -330,7 +330,7 @@
   g_hash_table_iter_init (&iter, c->heard);
   while (g_hash_table_iter_next (&iter, &key, &value))
     {
-      const heard_t *h = value;
+      const daemon_session_t *h = value;
       uint64_t silent = now - h->last_heard;
       uint64_t allowed = 0;
 
--- a/libplantainusher/control/pace.h
+++ b/libplantainusher/control/pace.h
@@ -26,16 +26,16 @@
 
 typedef enum
 {
-  PU_NEWS_AT_ONCE, /* a document, which must be in force everywhere within
-                      seconds: no delay */
-  PU_NEWS_SOON,    /* no delay after a pause, else rate-limited */
-  PU_NEWS_GATHERED /* always batched: a change of copies, which is less than
+  PU_PACE_IMMEDIATE,    /* a document, which must be in force everywhere within
+                         seconds: no delay */
+  PU_PACE_RATE_LIMITED, /* no delay after a pause, else rate-limited */
+  PU_PACE_BATCHED /* always batched: a change of copies, which is less than
                       half of the bytes of the reply and the poll it costs */
-} pu_news_t;
+} pu_pace_urgency_t;
 
 typedef struct
 {
-  uint32_t gather_ms;     /* delay of PU_NEWS_GATHERED */
+  uint32_t gather_ms;     /* delay of PU_PACE_BATCHED */
   uint64_t sent_position; /* all pending polls were sent entries up to it */
   uint64_t sent_at;       /* time of the last notification, ms */
   uint64_t due;           /* time of the next notification, ms, if PENDING */
@@ -45,7 +45,8 @@
 /* pu_pace_schedule - schedules the notification of a change of URGENCY.
    Returns the milliseconds from NOW until the notification, which covers all
    pending changes.  */
-uint64_t pu_pace_schedule (pu_pace_t *p, pu_news_t urgency, uint64_t now);
+uint64_t pu_pace_schedule (pu_pace_t *p, pu_pace_urgency_t urgency,
+                           uint64_t now);
 
 /* pu_pace_mark_sent - records that all entries up to POSITION are sent at
    NOW, so that no change is pending.  */
--- a/libplantainusher/control/pace_test.cc
+++ b/libplantainusher/control/pace_test.cc
@@ -24,9 +24,10 @@
 {
   pu_pace_t p = new_pace ();
 
-  EXPECT_EQ (0U, pu_pace_schedule (&p, PU_NEWS_SOON, 10000));
+  EXPECT_EQ (0U, pu_pace_schedule (&p, PU_PACE_RATE_LIMITED, 10000));
   pu_pace_mark_sent (&p, 1, 10000);
-  EXPECT_EQ (0U, pu_pace_schedule (&p, PU_NEWS_SOON, 10000 + min_interval_ms));
+  EXPECT_EQ (0U, pu_pace_schedule (&p, PU_PACE_RATE_LIMITED,
+                                   10000 + min_interval_ms));
 }
 
 /* 3,000 backend servers check in within three seconds.  Each pending poll must
@@ -48,7 +49,7 @@
       if (!p.pending)
         oldest_pending = now;
       position++;
-      due = now + pu_pace_schedule (&p, PU_NEWS_SOON, now);
+      due = now + pu_pace_schedule (&p, PU_PACE_RATE_LIMITED, now);
     }
   EXPECT_LE (notifications, 31);
   EXPECT_GE (notifications, 28);
@@ -60,8 +61,9 @@
   pu_pace_t p = new_pace ();
 
   pu_pace_mark_sent (&p, 1, 10000);
-  EXPECT_EQ (min_interval_ms - 10, pu_pace_schedule (&p, PU_NEWS_SOON, 10010));
-  EXPECT_EQ (0U, pu_pace_schedule (&p, PU_NEWS_AT_ONCE, 10020));
+  EXPECT_EQ (min_interval_ms - 10,
+             pu_pace_schedule (&p, PU_PACE_RATE_LIMITED, 10010));
+  EXPECT_EQ (0U, pu_pace_schedule (&p, PU_PACE_IMMEDIATE, 10020));
   pu_pace_mark_sent (&p, 3, 10020);
   EXPECT_FALSE (p.pending);
 }
@@ -71,9 +73,9 @@
 {
   pu_pace_t p = new_pace ();
 
-  EXPECT_EQ (gather_ms, pu_pace_schedule (&p, PU_NEWS_GATHERED, 10000));
-  EXPECT_EQ (gather_ms - 100, pu_pace_schedule (&p, PU_NEWS_GATHERED, 10100));
-  EXPECT_EQ (0U, pu_pace_schedule (&p, PU_NEWS_SOON, 10110));
+  EXPECT_EQ (gather_ms, pu_pace_schedule (&p, PU_PACE_BATCHED, 10000));
+  EXPECT_EQ (gather_ms - 100, pu_pace_schedule (&p, PU_PACE_BATCHED, 10100));
+  EXPECT_EQ (0U, pu_pace_schedule (&p, PU_PACE_RATE_LIMITED, 10110));
 }
 
 /* A poll that arrives just after a notification lacks its entries and must not
@@ -83,7 +85,7 @@
   pu_pace_t p = new_pace ();
 
   pu_pace_mark_sent (&p, 7, 10000);
-  pu_pace_schedule (&p, PU_NEWS_SOON, 10010);
+  pu_pace_schedule (&p, PU_PACE_RATE_LIMITED, 10010);
   EXPECT_TRUE (pu_pace_is_stale (&p, 6));
   EXPECT_FALSE (pu_pace_is_stale (&p, 7));
 }
--- a/libplantainusher/control/polls.c
+++ b/libplantainusher/control/polls.c
@@ -40,7 +40,7 @@
     {
       const pu_log_member *m = &config->members.members_val[i];
 
-      if (!pu_log_counts (m->role))
+      if (!pu_log_role_is_voting (m->role))
         continue;
       XXH64_update (h, m->peer.name, strlen (m->peer.name) + 1);
       XXH64_update (h, m->peer.address, strlen (m->peer.address) + 1);
@@ -68,7 +68,7 @@
     {
       const pu_log_member *m = &config->members.members_val[i];
 
-      if (!pu_log_counts (m->role) || n == PU_CONTROL_VOTERS_MAX)
+      if (!pu_log_role_is_voting (m->role) || n == PU_CONTROL_VOTERS_MAX)
         continue;
       voters[n].name = m->peer.name;
       voters[n].address = m->peer.address;
@@ -285,7 +285,7 @@
 }
 
 void
-pu_control_polls_notify (pu_control_t *c, pu_news_t urgency)
+pu_control_polls_notify (pu_control_t *c, pu_pace_urgency_t urgency)
 {
   uint64_t wait_ms;
 
--- a/libplantainusher/log/journal.h
+++ b/libplantainusher/log/journal.h
@@ -99,24 +99,26 @@
 bool pu_journal_set_aside (const char *folder, const pu_journal_fs_t *fs,
                            pu_error_t *e);
 
-/* pu_journal_held_before - whether FOLDER holds files that were set aside, so
+/* pu_journal_had_identity - whether FOLDER holds files that were set aside, so
    belonged to an earlier identity.  */
-bool pu_journal_held_before (const char *folder, const pu_journal_fs_t *fs);
+bool pu_journal_had_identity (const char *folder, const pu_journal_fs_t *fs);
 
 /* pu_journal_free - closes the files.  No job may be in flight: see
    pu_journal_busy.  */
 void pu_journal_free (pu_journal_t *j);
 
-/* pu_journal_write, pu_journal_meta - queue entries or metadata for the next
-   batch.  Tickets must rise; `synced` reports them.  */
-void pu_journal_write (pu_journal_t *j, uint64_t ticket,
-                       const GPtrArray *entries, uint64_t commit);
-void pu_journal_meta (pu_journal_t *j, uint64_t ticket, const pu_log_meta *m);
-
-/* pu_journal_save - queues a snapshot, which is written independently of the
-   batches and reported by `saved`.  INSTALLED makes void all entries that were
-   queued or written before.  */
-void pu_journal_save (pu_journal_t *j, const pu_snapshot_t *s, bool installed);
+/* pu_journal_queue_entries, pu_journal_queue_meta - queue entries or metadata
+   for the next batch.  Tickets must rise; `synced` reports them.  */
+void pu_journal_queue_entries (pu_journal_t *j, uint64_t ticket,
+                               const GPtrArray *entries, uint64_t commit);
+void pu_journal_queue_meta (pu_journal_t *j, uint64_t ticket,
+                            const pu_log_meta *m);
+
+/* pu_journal_queue_snapshot - queues a snapshot, which is written
+   independently of the batches and reported by `saved`.  INSTALLED makes void
+   all entries that were queued or written before.  */
+void pu_journal_queue_snapshot (pu_journal_t *j, const pu_snapshot_t *s,
+                                bool installed);
 
 /* pu_journal_start - submits the queued writes to the thread pool.  Writes
    queued while a job is in flight follow when it ends, without another
--- a/libplantainusher/log/journal_save.c
+++ b/libplantainusher/log/journal_save.c
@@ -35,7 +35,8 @@
 }
 
 void
-pu_journal_save (pu_journal_t *j, const pu_snapshot_t *s, bool installed)
+pu_journal_queue_snapshot (pu_journal_t *j, const pu_snapshot_t *s,
+                           bool installed)
 {
   pu_snapshot_job_t *job = g_new0 (pu_snapshot_job_t, 1);
 
--- a/libplantainusher/log/record.h
+++ b/libplantainusher/log/record.h
@@ -50,7 +50,7 @@
    voters.  Decoding refuses messages above PU_LOG_MSG_MAX_BYTES
    (PU_ERROR_TOO_LARGE), malformed ones and those of another protocol version
    (PU_ERROR_INVALID).  Free a decoded message with xdr_free.  */
-#define PU_LOG_PROTOCOL 1
+#define PU_LOG_PROTOCOL_VERSION 1
 #define PU_LOG_MSG_MAX_BYTES (PU_LOG_ENTRY_MAX + 2 * 1048576)
 GBytes *pu_log_msg_encode (const pu_log_msg *m);
 bool pu_log_msg_decode (pu_log_msg *m, const void *bytes, size_t len,
@@ -63,15 +63,15 @@
 void pu_log_config_copy (pu_log_config *to, const pu_log_config *from);
 void pu_log_config_clear (pu_log_config *c);
 
-/* pu_log_config_find - returns the member with identity ID, or NULL.  */
-pu_log_member *pu_log_config_find (const pu_log_config *c, uint64_t id);
+/* pu_log_config_find_member - returns the member with identity ID, or NULL. */
+pu_log_member *pu_log_config_find_member (const pu_log_config *c, uint64_t id);
 
-/* pu_log_config_voters - returns the number of voting members (see
-   pu_log_counts).  */
-uint32_t pu_log_config_voters (const pu_log_config *c);
+/* pu_log_config_count_voters - returns the number of voting members (see
+   pu_log_role_is_voting).  */
+uint32_t pu_log_config_count_voters (const pu_log_config *c);
 
-/* pu_log_counts - whether members with ROLE count towards a quorum.  */
-bool pu_log_counts (pu_log_role role);
+/* pu_log_role_is_voting - whether members with ROLE count towards a quorum. */
+bool pu_log_role_is_voting (pu_log_role role);
 
 G_END_DECLS
 
