--- a/libplantainusher/state/apply.c
+++ b/libplantainusher/state/apply.c
@@ -5,7 +5,8 @@
 #include <string.h>
 
 void
-pu_apply_answer (pu_apply_t *a, pu_outcome outcome, const char *format, ...)
+pu_apply_set_outcome (pu_apply_t *a, pu_outcome outcome, const char *format,
+                      ...)
 {
   char text[PU_DETAIL_MAX];
   va_list ap;
@@ -19,7 +20,7 @@
 }
 
 bool
-pu_apply_broken (const pu_state_t *s, pu_state_break_t rule)
+pu_apply_has_break (const pu_state_t *s, pu_state_break_t rule)
 {
   return (s->options.test_breaks & rule) != 0;
 }
@@ -32,52 +33,60 @@
   return d == NULL ? 0 : d->doc_version;
 }
 
-/* A change id that came before gets the first answer again.  */
+/* Repeats the first reply when the change id of C was accepted before, or sets
+   a conflict when it was used for another document.  Returns whether it set
+   the reply.  */
 static bool
-is_seen (pu_apply_t *a, const pu_submit *c)
+reply_if_duplicate_change (pu_apply_t *a, const pu_submit *c)
 {
-  const pu_doc_record *seen
+  const pu_doc_record *first
       = pu_state_document_of_change (a->state, c->change_id);
 
-  if (seen == NULL || pu_apply_broken (a->state, PU_STATE_BREAK_CHANGE_TWICE))
+  if (first == NULL
+      || pu_apply_has_break (a->state, PU_STATE_BREAK_NO_CHANGE_ID_CHECK))
     return false;
-  a->reply->doc_version = seen->doc_version;
-  a->reply->position = seen->position;
-  if (seen->hash == pu_delta_hash (c))
+  a->reply->doc_version = first->doc_version;
+  a->reply->position = first->position;
+  if (first->hash == pu_delta_hash (c))
     {
-      pu_apply_answer (a, PU_OUTCOME_SEEN, "The change was accepted before.");
+      pu_apply_set_outcome (a, PU_OUTCOME_SEEN,
+                            "The change was already accepted.");
     }
   else
     {
-      pu_apply_answer (a, PU_OUTCOME_CONFLICT,
-                       "The change id was used for another document.");
+      pu_apply_set_outcome (a, PU_OUTCOME_CONFLICT,
+                            "The change id was used for another document.");
     }
   return true;
 }
 
-/* Whether C, which has a rank, comes behind the document in force: then it
-   changes nothing, now or when it is sent again.  */
+/* Acknowledges C, which has a rank, without effect when its rank is not above
+   that of the document in force, so that C changes nothing when it is sent
+   again either.  Returns whether it set the reply.  */
 static bool
-is_outranked (pu_apply_t *a, const pu_submit *c)
+reply_if_outranked (pu_apply_t *a, const pu_submit *c)
 {
   const pu_doc_record *d = pu_state_document (a->state);
 
   if (d == NULL || c->rank > d->rank
-      || pu_apply_broken (a->state, PU_STATE_BREAK_RANK))
+      || pu_apply_has_break (a->state, PU_STATE_BREAK_RANK))
     return false;
-  pu_apply_answer (a, PU_OUTCOME_SEEN, "Rank %lu is in force.",
-                   (unsigned long)d->rank);
+  pu_apply_set_outcome (a, PU_OUTCOME_SEEN, "Rank %lu is in force.",
+                        (unsigned long)d->rank);
   return true;
 }
 
+/* Sets a conflict when C is not based on the version CURRENT, which is in
+   force.  Returns whether it set the reply.  */
 static bool
-is_based_elsewhere (pu_apply_t *a, const pu_submit *c, uint64_t current)
+reply_if_stale_base (pu_apply_t *a, const pu_submit *c, uint64_t current)
 {
   if (c->base_version == current
-      || pu_apply_broken (a->state, PU_STATE_BREAK_BASE_VERSION))
+      || pu_apply_has_break (a->state, PU_STATE_BREAK_BASE_VERSION))
     return false;
-  pu_apply_answer (a, PU_OUTCOME_CONFLICT, "The document is at version %lu.",
-                   (unsigned long)current);
+  pu_apply_set_outcome (a, PU_OUTCOME_CONFLICT,
+                        "The document is at version %lu.",
+                        (unsigned long)current);
   return true;
 }
 
@@ -91,14 +100,16 @@
   char *text;
 
   a->reply->doc_version = current;
-  if (is_seen (a, c))
+  if (reply_if_duplicate_change (a, c))
     return;
-  if (c->rank > 0 ? is_outranked (a, c) : is_based_elsewhere (a, c, current))
+  if (c->rank > 0 ? reply_if_outranked (a, c)
+                  : reply_if_stale_base (a, c, current))
     return;
   text = pu_delta_text (s, c);
   if (text == NULL)
     {
-      pu_apply_answer (a, PU_OUTCOME_REFUSED, "The delta does not fit.");
+      pu_apply_set_outcome (a, PU_OUTCOME_REFUSED,
+                            "The delta does not match the document in force.");
       return;
     }
   d.doc_version = current + 1;
--- a/libplantainusher/state/apply.h
+++ b/libplantainusher/state/apply.h
@@ -6,33 +6,36 @@
 G_BEGIN_DECLS
 
 /*
- * apply - one function for each command, grouped by duty in apply_*.c.
+ * apply - one function for each command, grouped by subject in apply_*.c.
  *
- * Each changes the tables and fills the reply; it counts a change in
- * state->changes when entries see it.
+ * Each function changes the tables and sets the reply.  It increments
+ * state->changes when it changes what the public copies hold.
  */
 
 typedef struct
 {
   pu_state_t *state;
   uint64_t position; /* of the command in the log */
-  pu_reply *reply;   /* PU_OUTCOME_DONE until said otherwise */
+  pu_reply *reply;   /* its outcome is PU_OUTCOME_DONE until set */
 } pu_apply_t;
 
-/* pu_apply_answer - sets the outcome and its printf-style detail.  */
-void pu_apply_answer (pu_apply_t *a, pu_outcome outcome, const char *format,
-                      ...) G_GNUC_PRINTF (3, 4);
+/* pu_apply_set_outcome - sets the outcome of the reply and its detail, which
+   is formatted as by printf.  */
+void pu_apply_set_outcome (pu_apply_t *a, pu_outcome outcome,
+                           const char *format, ...) G_GNUC_PRINTF (3, 4);
 
-/* pu_apply_broken - whether a test broke RULE on purpose.  */
-bool pu_apply_broken (const pu_state_t *s, pu_state_break_t rule);
+/* pu_apply_has_break - returns whether a test injects the fault RULE.  */
+bool pu_apply_has_break (const pu_state_t *s, pu_state_break_t rule);
 
-/* pu_apply_doc_version - of the document in force; 0 before the first.  */
+/* pu_apply_doc_version - returns the version of the document in force; 0
+   before the first.  */
 uint64_t pu_apply_doc_version (const pu_state_t *s);
 
-/* pu_apply_close_claims - what OWNER, at INCARNATION or an older one, left
-   open may have run: nobody may run it again.  */
-void pu_apply_close_claims (pu_state_t *s, const char *owner,
-                            uint64_t incarnation);
+/* pu_apply_abandon_claims - closes the open claims of OWNER, at INCARNATION or
+   an older one, with PU_CLAIM_UNKNOWN.  Their requests may have run, so they
+   must not run again.  */
+void pu_apply_abandon_claims (pu_state_t *s, const char *owner,
+                              uint64_t incarnation);
 
 void pu_apply_submit (pu_apply_t *a, const pu_submit *c);
 void pu_apply_member_up (pu_apply_t *a, const pu_member_record *c);
--- a/libplantainusher/state/apply_backends.c
+++ b/libplantainusher/state/apply_backends.c
@@ -5,29 +5,32 @@
 
 #include <string.h>
 
-/* The orders that a report proves to be over leave the table too.  */
+/* Removes the orders that the ledger closed from the table.  CLOSED holds
+   their tokens.  */
 static void
-drop_closed_orders (pu_state_t *s, const GArray *closed)
+remove_closed_orders (pu_state_t *s, const GArray *closed)
 {
   for (guint i = 0; i < closed->len; i++)
     g_tree_remove (s->orders, &g_array_index (closed, guint64, i));
 }
 
-/* Takes N, which becomes the state's, into the memory and the table.  */
+/* Counts the report N in the ledger and stores N in the table; refuses a stale
+   report.  Takes ownership of N.  */
 static void
-take_backend (pu_apply_t *a, pu_backend_record *n)
+store_report (pu_apply_t *a, pu_backend_record *n)
 {
   GArray *closed = g_array_new (FALSE, FALSE, sizeof (guint64));
 
   if (pu_memory_backend_up (a->state->memory, n, closed))
     {
-      drop_closed_orders (a->state, closed);
+      remove_closed_orders (a->state, closed);
       pu_tables_put_backend (a->state, n);
       a->state->changes++;
     }
   else
     {
-      pu_apply_answer (a, PU_OUTCOME_REFUSED, "An old report of %s.", n->name);
+      pu_apply_set_outcome (a, PU_OUTCOME_REFUSED,
+                            "The report of %s is stale.", n->name);
       pu_codec_free ((xdrproc_t)xdr_pu_backend_record, n);
     }
   g_array_free (closed, TRUE);
@@ -41,14 +44,15 @@
   pu_backend_record n = *c;
 
   n.down = FALSE;
-  /* The number of the report alone is no change.  */
+  /* A report that differs in nothing but its sequence number changes
+     nothing.  */
   if (old != NULL && old->incarnation == c->incarnation && old->seq <= c->seq)
     n.seq = old->seq;
   if (old != NULL && old->incarnation > c->incarnation)
     {
-      pu_apply_answer (a, PU_OUTCOME_REFUSED,
-                       "Incarnation %lu of %s is known.",
-                       (unsigned long)old->incarnation, c->name);
+      pu_apply_set_outcome (a, PU_OUTCOME_REFUSED,
+                            "Newer incarnation %lu of %s is known.",
+                            (unsigned long)old->incarnation, c->name);
       return;
     }
   if (old != NULL && old->incarnation == c->incarnation)
@@ -56,11 +60,11 @@
   if (old != NULL
       && pu_codec_equal ((xdrproc_t)xdr_pu_backend_record, old, &n))
     {
-      pu_apply_answer (a, PU_OUTCOME_SEEN, "The backend server is known.");
+      pu_apply_set_outcome (a, PU_OUTCOME_SEEN, "The report changes nothing.");
       return;
     }
   n.seq = c->seq;
-  take_backend (
+  store_report (
       a, pu_codec_clone ((xdrproc_t)xdr_pu_backend_record, &n, sizeof n));
 }
 
@@ -73,12 +77,13 @@
 
   if (old != NULL
       && (pu_backend_delta_fits (c, old)
-          || pu_apply_broken (s, PU_STATE_BREAK_DELTA_BASE)))
+          || pu_apply_has_break (s, PU_STATE_BREAK_DELTA_BASE)))
     n = pu_backend_delta_apply (c, old);
   if (n == NULL)
     {
-      pu_apply_answer (a, PU_OUTCOME_REFUSED,
-                       "The delta of %s does not fit its record.", c->name);
+      pu_apply_set_outcome (a, PU_OUTCOME_REFUSED,
+                            "The delta of %s does not match its record.",
+                            c->name);
       return;
     }
   pu_memory_restore_backend (s->memory, n);
@@ -106,24 +111,27 @@
   return applied;
 }
 
+/* Returns the backend server that C names, when it is up and has the
+   incarnation in C; else NULL, with the reply set.  */
 static pu_backend_record *
-backend_in_force (pu_apply_t *a, const pu_down *c)
+current_backend (pu_apply_t *a, const pu_down *c)
 {
   pu_backend_record *b = g_tree_lookup (a->state->backends, c->name);
 
   if (b != NULL && b->incarnation == c->incarnation && !b->down)
     return b;
-  pu_apply_answer (a, PU_OUTCOME_REFUSED,
-                   "No backend server %s of incarnation %lu.", c->name,
-                   (unsigned long)c->incarnation);
+  pu_apply_set_outcome (a, PU_OUTCOME_REFUSED,
+                        "Backend server %s with incarnation %lu is not up.",
+                        c->name, (unsigned long)c->incarnation);
   return NULL;
 }
 
-/* How many backend servers that are down are remembered.  */
+/* The most records of backend servers that are down; above it, each
+   BACKEND_DOWN evicts one that has no open orders.  */
 #define DOWN_BACKENDS_MAX 1024
 
 static guint
-count_down (const pu_state_t *s)
+count_down_backends (const pu_state_t *s)
 {
   guint down = 0;
 
@@ -137,10 +145,10 @@
   return down;
 }
 
-/* The first backend server that is down and whose orders are all over, or
+/* Returns the first backend server that is down and has no open orders, or
    NULL.  */
 static const pu_backend_record *
-find_forgettable (const pu_state_t *s)
+find_removable_backend (const pu_state_t *s)
 {
   for (GTreeNode *n = g_tree_node_first (s->backends); n != NULL;
        n = g_tree_node_next (n))
@@ -153,44 +161,45 @@
   return NULL;
 }
 
-/* Forgets one that is down, when too many are remembered.  */
+/* Removes the record of one backend server that is down, when there are more
+   than DOWN_BACKENDS_MAX.  */
 static void
-forget_one_down (pu_state_t *s)
+evict_down_backend (pu_state_t *s)
 {
   const pu_backend_record *found;
 
-  if (count_down (s) <= DOWN_BACKENDS_MAX)
+  if (count_down_backends (s) <= DOWN_BACKENDS_MAX)
     return;
-  found = find_forgettable (s);
+  found = find_removable_backend (s);
   if (found == NULL)
     return;
-  pu_memory_forget (s->memory, found->name);
+  pu_memory_remove_backend (s->memory, found->name);
   pu_tables_remove_backend (s, found->name);
 }
 
 void
 pu_apply_backend_down (pu_apply_t *a, const pu_down *c)
 {
-  pu_backend_record *b = backend_in_force (a, c);
+  pu_backend_record *b = current_backend (a, c);
 
   if (b == NULL)
     return;
   b->down = TRUE;
-  pu_tables_note_backend (a->state, b->name);
+  pu_tables_mark_backend_changed (a->state, b->name);
   pu_memory_backend_down (a->state->memory, b);
-  forget_one_down (a->state);
+  evict_down_backend (a->state);
   a->state->changes++;
 }
 
 void
 pu_apply_backend_leaving (pu_apply_t *a, const pu_down *c)
 {
-  pu_backend_record *b = backend_in_force (a, c);
+  pu_backend_record *b = current_backend (a, c);
 
   if (b == NULL)
     return;
   b->leaving = TRUE;
-  pu_tables_note_backend (a->state, b->name);
+  pu_tables_mark_backend_changed (a->state, b->name);
   pu_memory_backend_leaving (a->state->memory, b);
   a->state->changes++;
 }
@@ -209,10 +218,10 @@
       pu_tables_put_order (s, o);
       return;
     }
-  pu_apply_answer (a,
-                   e.kind == PU_ERROR_CONFLICT ? PU_OUTCOME_CONFLICT
-                                               : PU_OUTCOME_REFUSED,
-                   "%s", e.message);
+  pu_apply_set_outcome (a,
+                        e.kind == PU_ERROR_CONFLICT ? PU_OUTCOME_CONFLICT
+                                                    : PU_OUTCOME_REFUSED,
+                        "%s", e.message);
   pu_codec_free ((xdrproc_t)xdr_pu_order_record, o);
 }
 
@@ -223,17 +232,17 @@
 
   if (g_tree_lookup (a->state->orders, &token) == NULL)
     {
-      pu_apply_answer (a, PU_OUTCOME_SEEN, "No reservation %lu.",
-                       (unsigned long)token);
+      pu_apply_set_outcome (a, PU_OUTCOME_SEEN, "No order %lu is open.",
+                            (unsigned long)token);
       return;
     }
-  /* The record stays while the ledger counts the order, so that an image
-     gives the same ledger.  */
+  /* The record stays as long as the order is open in the ledger, so that a
+     ledger restored from a snapshot is the same.  */
   if (!pu_memory_release (a->state->memory, token))
     {
-      pu_apply_answer (a, PU_OUTCOME_REFUSED,
-                       "Order %lu may still be carried out.",
-                       (unsigned long)token);
+      pu_apply_set_outcome (a, PU_OUTCOME_REFUSED,
+                            "Order %lu may still take effect.",
+                            (unsigned long)token);
       return;
     }
   g_tree_remove (a->state->orders, &token);
--- a/libplantainusher/state/apply_claims.c
+++ b/libplantainusher/state/apply_claims.c
@@ -8,15 +8,15 @@
 typedef struct
 {
   const char *owner;
-  uint64_t incarnation; /* claims of this one and older ones */
+  uint64_t incarnation; /* this one and older ones */
   GPtrArray *found;     /* of pu_claim_record * */
-} owned_t;
+} owner_claims_t;
 
 static gboolean
-collect_owned (gpointer key, gpointer value, gpointer data)
+collect_owner_claim (gpointer key, gpointer value, gpointer data)
 {
   pu_claim_record *c = value;
-  owned_t *o = data;
+  owner_claims_t *o = data;
 
   (void)key;
   if (strcmp (c->owner, o->owner) == 0
@@ -25,47 +25,48 @@
   return FALSE;
 }
 
-/* What an owner that is gone left open may have run: nobody may run it
-   again.  */
 void
-pu_apply_close_claims (pu_state_t *s, const char *owner, uint64_t incarnation)
+pu_apply_abandon_claims (pu_state_t *s, const char *owner,
+                         uint64_t incarnation)
 {
-  owned_t o = { owner, incarnation, g_ptr_array_new () };
+  owner_claims_t o = { owner, incarnation, g_ptr_array_new () };
 
-  g_tree_foreach (s->open_claims, collect_owned, &o);
+  g_tree_foreach (s->open_claims, collect_owner_claim, &o);
   for (guint i = 0; i < o.found->len; i++)
     {
-      pu_tables_claim_phase (s, g_ptr_array_index (o.found, i),
-                             PU_CLAIM_UNKNOWN);
+      pu_tables_set_claim_phase (s, g_ptr_array_index (o.found, i),
+                                 PU_CLAIM_UNKNOWN);
     }
   g_ptr_array_free (o.found, TRUE);
 }
 
 static void
-replace_text (char **field, const char *text)
+replace_string (char **field, const char *text)
 {
   free (*field);
   *field = strdup (text);
 }
 
-/* How many open claims may stand before the ones that are dropped.  */
-#define OPEN_CLAIMS_PASSED_MAX 1000
+/* The most expired claims, still open, that one eviction passes over; it
+   bounds the time that a claim takes to apply.  */
+#define EXPIRED_OPEN_CLAIMS_MAX 1000
 
-/* Drops the claims that are out of the window, the oldest first; those still
-   open stay.  */
+/* Removes the claims whose retention window has ended at WALL, or at the
+   latest time of an earlier claim, the first to expire first.  Open claims
+   stay.  */
 static void
-drop_old_claims (pu_state_t *s, uint64_t wall)
+evict_expired_claims (pu_state_t *s, uint64_t wall)
 {
   GPtrArray *old = g_ptr_array_new ();
   guint open = 0;
 
-  s->claim_wall = MAX (s->claim_wall, wall);
-  for (GTreeNode *n = g_tree_node_first (s->claim_ages);
-       n != NULL && open < OPEN_CLAIMS_PASSED_MAX; n = g_tree_node_next (n))
+  s->latest_claim_wall = MAX (s->latest_claim_wall, wall);
+  for (GTreeNode *n = g_tree_node_first (s->claims_by_expiry);
+       n != NULL && open < EXPIRED_OPEN_CLAIMS_MAX; n = g_tree_node_next (n))
     {
       pu_claim_record *c = g_tree_node_value (n);
 
-      if (c->wall + c->window_ms >= s->claim_wall)
+      if (c->wall + c->window_ms >= s->latest_claim_wall)
         break;
       if (c->phase == PU_CLAIM_OPEN)
         {
@@ -81,11 +82,12 @@
   g_ptr_array_free (old, TRUE);
 }
 
+/* Sets the position and the claim of the reply to those of C.  */
 static void
-show_claim (pu_apply_t *a, const pu_claim_record *c)
+set_reply_claim (pu_apply_t *a, const pu_claim_record *c)
 {
   a->reply->position = c->position;
-  /* rpcgen frees the optional record with free.  */
+  /* xdr_free frees the optional record with free.  */
   a->reply->claim = calloc (1, sizeof *a->reply->claim);
   pu_claim_record *copy
       = pu_codec_clone ((xdrproc_t)xdr_pu_claim_record, c, sizeof *c);
@@ -93,25 +95,26 @@
   g_free (copy);
 }
 
-/* An attempt, as a claim's list of closed ones names it; free it.  */
+/* Returns the identifier of an attempt in a claim's list of closed attempts;
+   to be freed with g_free.  */
 static char *
-attempt_name (const char *owner, uint64_t incarnation, uint64_t attempt)
+attempt_id (const char *owner, uint64_t incarnation, uint64_t attempt)
 {
   return g_strdup_printf ("%s@%lu/%lu", owner, (unsigned long)incarnation,
                           (unsigned long)attempt);
 }
 
-/* Fills LIST, of PU_CLOSED_MAX, with the attempts that a claim over OLD must
-   remember: OLD's own and the newest of OLD's list.  Returns how many; the
-   first is to be freed.  */
+/* Fills LIST, of PU_CLOSED_MAX elements, with the closed attempts that a claim
+   which replaces OLD must keep: OLD's own attempt, then the newest of OLD's
+   list.  Returns their number.  The caller frees the first element only.  */
 static u_int
-closed_attempts (const pu_claim_record *old, pu_detail *list)
+collect_closed_attempts (const pu_claim_record *old, pu_detail *list)
 {
   u_int n = 0;
 
   if (old == NULL)
     return 0;
-  list[n++] = attempt_name (old->owner, old->owner_incarnation, old->attempt);
+  list[n++] = attempt_id (old->owner, old->owner_incarnation, old->attempt);
   for (u_int i = 0; i < old->closed.closed_len && n < PU_CLOSED_MAX; i++)
     list[n++] = old->closed.closed_val[i];
   return n;
@@ -120,7 +123,7 @@
 static bool
 is_closed_attempt (const pu_claim_record *old, const pu_claim_request *c)
 {
-  char *name = attempt_name (c->owner, c->owner_incarnation, c->attempt);
+  char *name = attempt_id (c->owner, c->owner_incarnation, c->attempt);
   bool found = false;
 
   for (u_int i = 0; i < old->closed.closed_len; i++)
@@ -148,7 +151,7 @@
       = c->window_ms > 0 ? c->window_ms : a->state->options.claim_window_ms;
   n.phase = PU_CLAIM_OPEN;
   n.content_type = "";
-  n.closed.closed_len = closed_attempts (old, closed);
+  n.closed.closed_len = collect_closed_attempts (old, closed);
   n.closed.closed_val = closed;
   pu_tables_put_claim (
       a->state, pu_codec_clone ((xdrproc_t)xdr_pu_claim_record, &n, sizeof n));
@@ -157,48 +160,50 @@
 }
 
 static bool
-same_attempt (const pu_claim_record *old, const pu_claim_request *c)
+is_same_attempt (const pu_claim_record *old, const pu_claim_request *c)
 {
   return old->owner_incarnation == c->owner_incarnation
          && old->attempt == c->attempt && strcmp (old->owner, c->owner) == 0;
 }
 
-/* An entry that is no member any more, or under a newer incarnation, may not
-   claim: nobody would close its claim.  */
+/* Returns whether the owner in C is a member with the incarnation in C.  The
+   claim of any other owner would never be closed.  */
 static bool
-owner_in_force (const pu_state_t *s, const pu_claim_request *c)
+is_owner_member (const pu_state_t *s, const pu_claim_request *c)
 {
   const pu_member_record *m = pu_state_member (s, c->owner);
 
   return m != NULL && m->incarnation == c->owner_incarnation;
 }
 
-/* Whether a claim may be granted over OLD, which may be NULL.  */
+/* Returns whether a claim may be granted in place of OLD, which may be
+   NULL.  */
 static bool
-may_open (const pu_state_t *s, const pu_claim_record *old)
+may_grant (const pu_state_t *s, const pu_claim_record *old)
 {
   if (old == NULL || old->phase == PU_CLAIM_NOT_RUN)
     return true;
   return old->phase == PU_CLAIM_UNKNOWN
-         && pu_apply_broken (s, PU_STATE_BREAK_REGRANT_UNKNOWN);
+         && pu_apply_has_break (s, PU_STATE_BREAK_REGRANT_UNKNOWN);
 }
 
-/* Whether C is a copy of an attempt that OLD knows; it is answered then.  */
+/* Sets the reply when C is a duplicate of OLD's own attempt or of one in its
+   list of closed attempts.  Returns whether it did.  */
 static bool
-came_before (pu_apply_t *a, const pu_claim_record *old,
-             const pu_claim_request *c)
+reply_if_duplicate_attempt (pu_apply_t *a, const pu_claim_record *old,
+                            const pu_claim_request *c)
 {
-  bool same = same_attempt (old, c);
+  bool same = is_same_attempt (old, c);
 
-  if (pu_apply_broken (a->state, PU_STATE_BREAK_LATE_COPY))
+  if (pu_apply_has_break (a->state, PU_STATE_BREAK_LATE_COPY))
     return false;
   if (!same && !is_closed_attempt (old, c))
     return false;
-  show_claim (a, old);
-  pu_apply_answer (a,
-                   same && old->phase == PU_CLAIM_OPEN ? PU_OUTCOME_DONE
-                                                       : PU_OUTCOME_SEEN,
-                   "The same attempt came before.");
+  set_reply_claim (a, old);
+  pu_apply_set_outcome (a,
+                        same && old->phase == PU_CLAIM_OPEN ? PU_OUTCOME_DONE
+                                                            : PU_OUTCOME_SEEN,
+                        "The attempt is a duplicate.");
   return true;
 }
 
@@ -207,42 +212,44 @@
 {
   const pu_claim_record *old;
 
-  drop_old_claims (a->state, c->wall);
+  evict_expired_claims (a->state, c->wall);
   old = pu_tables_find_claim (a->state, c->service, c->key);
-  if (old != NULL && came_before (a, old, c))
+  if (old != NULL && reply_if_duplicate_attempt (a, old, c))
     return;
-  if (!owner_in_force (a->state, c))
+  if (!is_owner_member (a->state, c))
     {
-      pu_apply_answer (a, PU_OUTCOME_REFUSED, "Entry %s is no member.",
-                       c->owner);
+      pu_apply_set_outcome (a, PU_OUTCOME_REFUSED,
+                            "Entry %s is not a member with this incarnation.",
+                            c->owner);
       return;
     }
-  if (may_open (a->state, old))
+  if (may_grant (a->state, old))
     {
       open_claim (a, c, old);
       return;
     }
-  show_claim (a, old);
+  set_reply_claim (a, old);
   if (old->fingerprint != c->fingerprint)
     {
-      pu_apply_answer (a, PU_OUTCOME_CONFLICT,
-                       "The key was used for another request.");
+      pu_apply_set_outcome (a, PU_OUTCOME_CONFLICT,
+                            "The key was used for another request.");
     }
   else if (old->phase == PU_CLAIM_OPEN)
     {
-      pu_apply_answer (a, PU_OUTCOME_BUSY, "The request is running.");
+      pu_apply_set_outcome (a, PU_OUTCOME_BUSY, "The request is running.");
     }
   else
     {
-      pu_apply_answer (a, PU_OUTCOME_SEEN, "The request came before.");
+      pu_apply_set_outcome (a, PU_OUTCOME_SEEN,
+                            "The request has run or may have run.");
     }
 }
 
 static void
-keep_result (pu_claim_record *r, const pu_claim_done *c)
+set_result (pu_claim_record *r, const pu_claim_done *c)
 {
   r->status = c->status;
-  replace_text (&r->content_type, c->content_type);
+  replace_string (&r->content_type, c->content_type);
   free (r->result.result_val);
   r->result.result_len = c->result.result_len;
   r->result.result_val = malloc (MAX (c->result.result_len, 1));
@@ -257,15 +264,17 @@
 
   if (r == NULL || r->position != c->position || c->phase == PU_CLAIM_OPEN)
     {
-      pu_apply_answer (a, PU_OUTCOME_REFUSED, "No such claim is open.");
+      pu_apply_set_outcome (a, PU_OUTCOME_REFUSED, "No such claim is open.");
       return;
     }
-  /* The owner may still know better than those who took it for dead.  */
+  /* The owner may have been removed as a member while it was still running;
+     the outcome that it records replaces PU_CLAIM_UNKNOWN.  */
   if (r->phase != PU_CLAIM_OPEN && r->phase != PU_CLAIM_UNKNOWN)
     {
-      pu_apply_answer (a, PU_OUTCOME_SEEN, "The claim is closed.");
+      pu_apply_set_outcome (a, PU_OUTCOME_SEEN,
+                            "The claim is already closed.");
       return;
     }
-  keep_result (r, c);
-  pu_tables_claim_phase (a->state, r, c->phase);
+  set_result (r, c);
+  pu_tables_set_claim_phase (a->state, r, c->phase);
 }
--- a/libplantainusher/state/apply_suspects.c
+++ b/libplantainusher/state/apply_suspects.c
@@ -1,18 +1,20 @@
-/* Commands about requests that may crash what runs them.  */
+/* Commands about suspects: requests that may crash the backend server that
+   runs them.  */
 
 #include "state/apply.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-/* A death that a suspect met while it ran apart counts against it alone.
-   Whoever else was struck for it, before or after, is innocent of it.  */
-#define APART_MARK "!"
+/* Follows a lost backend server in a suspect's list when the request ran there
+   isolated.  That loss counts against this suspect alone: strikes of other
+   requests for it are removed, and later ones are refused.  */
+#define ISOLATED_MARK "!"
 
-/* The place of LOST, or of LOST with the mark of one that ran apart, in P's
-   list; -1 when it is not there.  */
+/* Returns the index of LOST in P's list, with the mark of an isolated request
+   when ISOLATED is set and without it otherwise; -1 when it is not there.  */
 static int
-find_lost (const pu_suspect_record *p, const char *lost, bool apart)
+find_lost (const pu_suspect_record *p, const char *lost, bool isolated)
 {
   size_t n = strlen (lost);
 
@@ -21,15 +23,15 @@
       const char *one = p->lost.lost_val[i];
 
       if (strncmp (one, lost, n) == 0
-          && strcmp (one + n, apart ? APART_MARK : "") == 0)
+          && strcmp (one + n, isolated ? ISOLATED_MARK : "") == 0)
         return (int)i;
     }
   return -1;
 }
 
-/* Whether a suspect that ran apart accounts for the death LOST.  */
+/* Returns whether LOST counts against a suspect that ran isolated.  */
 static bool
-is_explained (const pu_state_t *s, const char *lost)
+is_attributed (const pu_state_t *s, const char *lost)
 {
   for (GTreeNode *n = g_tree_node_first (s->suspects); n != NULL;
        n = g_tree_node_next (n))
@@ -40,8 +42,9 @@
   return false;
 }
 
+/* Removes the strike at index PLACE of P's list.  */
 static void
-unstrike (const pu_state_t *s, pu_suspect_record *p, int place)
+remove_strike (const pu_state_t *s, pu_suspect_record *p, int place)
 {
   u_int last = p->lost.lost_len - 1;
 
@@ -52,9 +55,10 @@
   p->convicted = p->strikes >= s->options.convict_strikes;
 }
 
-/* Takes back what others were struck with for the death LOST.  */
+/* Removes the strikes for the loss LOST of all requests that were not
+   isolated, and the suspects that have no strike left.  */
 static void
-absolve_others (pu_state_t *s, const char *lost)
+remove_other_strikes (pu_state_t *s, const char *lost)
 {
   GArray *cleared = g_array_new (FALSE, FALSE, sizeof (uint64_t));
 
@@ -66,7 +70,7 @@
 
       if (place < 0)
         continue;
-      unstrike (s, p, place);
+      remove_strike (s, p, place);
       if (p->strikes == 0)
         g_array_append_val (cleared, p->fingerprint);
     }
@@ -75,8 +79,9 @@
   g_array_free (cleared, TRUE);
 }
 
+/* Appends LOST to P's list, unless the list is full.  */
 static void
-note_lost (pu_suspect_record *p, const char *lost, bool apart)
+add_lost (pu_suspect_record *p, const char *lost, bool isolated)
 {
   u_int n = p->lost.lost_len;
   size_t size;
@@ -84,17 +89,18 @@
   if (n == PU_LOST_MAX)
     return;
   p->lost.lost_val = realloc (p->lost.lost_val, (n + 1) * sizeof (pu_detail));
-  size = strlen (lost) + sizeof APART_MARK;
+  size = strlen (lost) + sizeof ISOLATED_MARK;
   p->lost.lost_val[n] = malloc (size);
   g_snprintf (p->lost.lost_val[n], size, "%s%s", lost,
-              apart ? APART_MARK : "");
+              isolated ? ISOLATED_MARK : "");
   p->lost.lost_len = n + 1;
 }
 
-/* The suspect to strike: the one that is known, or a new one where there is
-   none or where the known one's only strikes are too old to count.  */
+/* Returns the suspect with the fingerprint in C.  Adds one without strikes
+   when there is none, or in place of one that is not convicted and whose last
+   strike has left the window.  */
 static pu_suspect_record *
-suspect_to_strike (pu_state_t *s, const pu_strike *c)
+find_or_add_suspect (pu_state_t *s, const pu_strike *c)
 {
   uint64_t fingerprint = c->fingerprint;
   pu_suspect_record *p = g_tree_lookup (s->suspects, &fingerprint);
@@ -118,22 +124,26 @@
 
   g_snprintf (lost, sizeof lost, "%s@%lu", c->backend,
               (unsigned long)c->incarnation);
-  if (!c->apart && is_explained (a->state, lost))
+  if (!c->apart && is_attributed (a->state, lost))
     {
-      pu_apply_answer (a, PU_OUTCOME_SEEN, "A suspect accounts for %s.", lost);
+      pu_apply_set_outcome (
+          a, PU_OUTCOME_SEEN,
+          "The loss of %s counts against an isolated suspect.", lost);
       return;
     }
-  p = suspect_to_strike (a->state, c);
+  p = find_or_add_suspect (a->state, c);
   if (find_lost (p, lost, c->apart) >= 0)
     {
-      pu_apply_answer (a, PU_OUTCOME_SEEN, "The strike is counted.");
+      pu_apply_set_outcome (a, PU_OUTCOME_SEEN,
+                            "The strike was already counted.");
       return;
     }
   if (c->apart)
-    absolve_others (a->state, lost);
-  /* Absolved itself when it ran there apart and not apart: find it anew.  */
-  p = suspect_to_strike (a->state, c);
-  note_lost (p, lost, c->apart);
+    remove_other_strikes (a->state, lost);
+  /* The call may have removed P: it has lost its only strike when the request
+     also ran there without isolation.  */
+  p = find_or_add_suspect (a->state, c);
+  add_lost (p, lost, c->apart);
   p->strikes++;
   p->wall = MAX (p->wall, c->wall);
   p->convicted
@@ -146,8 +156,8 @@
 {
   if (!g_tree_remove (a->state->suspects, &fingerprint))
     {
-      pu_apply_answer (a, PU_OUTCOME_REFUSED,
-                       "No suspect of that fingerprint.");
+      pu_apply_set_outcome (a, PU_OUTCOME_REFUSED,
+                            "No suspect has this fingerprint.");
       return;
     }
   a->state->changes++;
--- a/libplantainusher/state/image.c
+++ b/libplantainusher/state/image.c
@@ -5,15 +5,18 @@
 #include "state/tables.h"
 
 /*
- * The image of the state and the bytes of commands and replies.
+ * Encodes and decodes snapshots of the state (pu_state_image), commands and
+ * replies.
  *
- * An image is encoded from arrays of shallow copies of the records: only the
- * arrays are freed after it, the records stay in the tables.
+ * A snapshot is encoded from arrays of shallow copies of the records.  Only
+ * the arrays are freed afterwards; what the records point to belongs to the
+ * tables.
  */
 
-/* The table's records, each of SIZE bytes, one after another.  */
+/* Returns an array of shallow copies of TREE's records, each of SIZE bytes,
+   and sets LEN to their number.  To be freed with g_free.  */
 static void *
-gather (GTree *tree, size_t size, u_int *len)
+copy_records (GTree *tree, size_t size, u_int *len)
 {
   char *array = g_malloc0 (size * MAX (g_tree_nnodes (tree), 1));
   u_int i = 0;
@@ -26,7 +29,7 @@
 }
 
 static void
-gather_history (const pu_state_t *s, pu_state_image *m)
+copy_history (const pu_state_t *s, pu_state_image *m)
 {
   guint n = s->documents->length;
   u_int i = 0;
@@ -48,21 +51,21 @@
   GBytes *bytes;
 
   m.position = s->position;
-  m.view = s->view;
+  m.view = s->membership_version;
   m.document = d != NULL ? *d : no_document;
-  m.members.members_val
-      = gather (s->members, sizeof (pu_member_record), &m.members.members_len);
-  m.backends.backends_val = gather (s->backends, sizeof (pu_backend_record),
-                                    &m.backends.backends_len);
-  m.suspects.suspects_val = gather (s->suspects, sizeof (pu_suspect_record),
-                                    &m.suspects.suspects_len);
+  m.members.members_val = copy_records (s->members, sizeof (pu_member_record),
+                                        &m.members.members_len);
+  m.backends.backends_val = copy_records (
+      s->backends, sizeof (pu_backend_record), &m.backends.backends_len);
+  m.suspects.suspects_val = copy_records (
+      s->suspects, sizeof (pu_suspect_record), &m.suspects.suspects_len);
   if (!public_only)
     {
-      gather_history (s, &m);
-      m.orders.orders_val
-          = gather (s->orders, sizeof (pu_order_record), &m.orders.orders_len);
-      m.claims.claims_val
-          = gather (s->claims, sizeof (pu_claim_record), &m.claims.claims_len);
+      copy_history (s, &m);
+      m.orders.orders_val = copy_records (s->orders, sizeof (pu_order_record),
+                                          &m.orders.orders_len);
+      m.claims.claims_val = copy_records (s->claims, sizeof (pu_claim_record),
+                                          &m.claims.claims_len);
     }
   bytes = pu_codec_encode ((xdrproc_t)xdr_pu_state_image, &m);
   g_free (m.history.history_val);
@@ -77,9 +80,11 @@
 #define CLONE(type, record)                                                   \
   pu_codec_clone ((xdrproc_t)xdr_##type, record, sizeof (type))
 
-/* The history comes newest first and carries no text but for the newest.  */
+/* Adds the documents of M, the oldest first.  The history is ordered newest
+   first and its first element is the document in force, which is added from
+   M->document.  */
 static void
-take_documents (pu_state_t *s, const pu_state_image *m)
+load_documents (pu_state_t *s, const pu_state_image *m)
 {
   for (u_int i = m->history.history_len; i > 1; i--)
     {
@@ -91,11 +96,11 @@
 }
 
 static void
-take_image (pu_state_t *s, const pu_state_image *m)
+load_snapshot (pu_state_t *s, const pu_state_image *m)
 {
   s->position = m->position;
-  s->view = m->view;
-  take_documents (s, m);
+  s->membership_version = m->view;
+  load_documents (s, m);
   for (u_int i = 0; i < m->members.members_len; i++)
     {
       pu_tables_put_member (
@@ -124,8 +129,9 @@
     }
 }
 
+/* Returns the latest wall time of a claim in M, in ms.  */
 static uint64_t
-latest_claim (const pu_state_image *m)
+find_latest_claim_wall (const pu_state_image *m)
 {
   uint64_t wall = 0;
 
@@ -144,10 +150,10 @@
     return false;
   pu_tables_clear (s);
   pu_tables_init (s);
-  take_image (s, &m);
-  s->claim_wall = latest_claim (&m);
+  load_snapshot (s, &m);
+  s->latest_claim_wall = find_latest_claim_wall (&m);
   s->changes++;
-  s->whole = s->changes;
+  s->last_unlisted_change = s->changes;
   xdr_free ((xdrproc_t)xdr_pu_state_image, (char *)&m);
   return true;
 }
--- a/libplantainusher/state/memory.c
+++ b/libplantainusher/state/memory.c
@@ -5,36 +5,36 @@
 
 #include "placement/ledger.h"
 
-/* Names with small handles, both ways.  */
+/* Maps names to integer handles and back.  */
 typedef struct
 {
   GHashTable *handles; /* name -> handle + 1 */
   GPtrArray *names;    /* by handle */
-} names_t;
+} name_map_t;
 
 struct pu_memory
 {
   pu_ledger_t *ledger;
-  names_t backends;
-  names_t copies; /* "model\nversion" */
+  name_map_t backends;
+  name_map_t copies; /* "model\nversion" */
 };
 
 static void
-names_init (names_t *n)
+name_map_init (name_map_t *n)
 {
   n->names = g_ptr_array_new_with_free_func (g_free);
   n->handles = g_hash_table_new (g_str_hash, g_str_equal);
 }
 
 static void
-names_clear (names_t *n)
+name_map_clear (name_map_t *n)
 {
   g_hash_table_destroy (n->handles);
   g_ptr_array_free (n->names, TRUE);
 }
 
 static bool
-names_find (const names_t *n, const char *name, guint32 *handle)
+name_map_find (const name_map_t *n, const char *name, guint32 *handle)
 {
   guint found = GPOINTER_TO_UINT (g_hash_table_lookup (n->handles, name));
 
@@ -42,13 +42,14 @@
   return found != 0;
 }
 
+/* Returns the handle of NAME; assigns the next one to a new name.  */
 static guint32
-names_handle (names_t *n, const char *name)
+name_map_intern (name_map_t *n, const char *name)
 {
   char *kept;
   guint32 handle;
 
-  if (names_find (n, name, &handle))
+  if (name_map_find (n, name, &handle))
     return handle;
   kept = g_strdup (name);
   g_ptr_array_add (n->names, kept);
@@ -60,7 +61,7 @@
 copy_handle (pu_memory_t *m, const char *model, const char *version)
 {
   char *name = g_strconcat (model, "\n", version, NULL);
-  guint32 handle = names_handle (&m->copies, name);
+  guint32 handle = name_map_intern (&m->copies, name);
 
   g_free (name);
   return handle;
@@ -72,8 +73,8 @@
   pu_memory_t *m = g_new0 (pu_memory_t, 1);
 
   m->ledger = pu_ledger_new (NULL);
-  names_init (&m->backends);
-  names_init (&m->copies);
+  name_map_init (&m->backends);
+  name_map_init (&m->copies);
   return m;
 }
 
@@ -83,14 +84,15 @@
   if (m == NULL)
     return;
   pu_ledger_free (m->ledger);
-  names_clear (&m->backends);
-  names_clear (&m->copies);
+  name_map_clear (&m->backends);
+  name_map_clear (&m->copies);
   g_free (m);
 }
 
-/* The report that B makes.  Its list of copies is new: free it.  */
+/* Converts B to a report for the ledger.  The caller frees its list of copies
+   with g_free.  */
 static pu_ledger_report_t
-report_of (pu_memory_t *m, const pu_backend_record *b)
+make_report (pu_memory_t *m, const pu_backend_record *b)
 {
   u_int n = b->copies.copies_len;
   pu_ledger_copy_t *held = g_new0 (pu_ledger_copy_t, MAX (n, 1));
@@ -104,7 +106,7 @@
       held[i].memory_mb = c->memory_mb;
       held[i].phase = (pu_ledger_phase_t)c->phase;
     }
-  r.backend = names_handle (&m->backends, b->name);
+  r.backend = name_map_intern (&m->backends, b->name);
   r.incarnation = b->incarnation;
   r.seq = b->seq;
   r.token = b->token;
@@ -125,9 +127,9 @@
   free (b->copies.copies_val);
 }
 
-/* Makes C the record of H, whose name is "model\nversion".  */
+/* Sets C to the record of H, the name of whose handle is "model\nversion".  */
 static void
-fill_copy (const pu_memory_t *m, pu_copy_record *c, const pu_ledger_copy_t *h)
+set_copy (const pu_memory_t *m, pu_copy_record *c, const pu_ledger_copy_t *h)
 {
   const char *name = g_ptr_array_index (m->copies.names, h->copy);
   const char *line = strchr (name, '\n');
@@ -138,9 +140,10 @@
   c->phase = (pu_copy_phase)h->phase;
 }
 
-/* Writes what the ledger believes of B's backend server into B.  */
+/* Replaces the copies and the token in B by those that the ledger has for
+   BACKEND.  */
 static void
-believe (const pu_memory_t *m, guint32 backend, pu_backend_record *b)
+copy_from_ledger (const pu_memory_t *m, guint32 backend, pu_backend_record *b)
 {
   pu_ledger_report_t r;
 
@@ -151,50 +154,51 @@
   b->copies.copies_len = r.n_held;
   b->copies.copies_val = calloc (MAX (r.n_held, 1), sizeof (pu_copy_record));
   for (guint i = 0; i < r.n_held; i++)
-    fill_copy (m, &b->copies.copies_val[i], &r.held[i]);
+    set_copy (m, &b->copies.copies_val[i], &r.held[i]);
 }
 
 bool
 pu_memory_backend_up (pu_memory_t *m, pu_backend_record *b, GArray *closed)
 {
-  pu_ledger_report_t r = report_of (m, b);
-  pu_ledger_report_result_t verdict
+  pu_ledger_report_t r = make_report (m, b);
+  pu_ledger_report_result_t result
       = pu_ledger_backend_up (m->ledger, &r, closed);
 
   g_free ((void *)r.held);
-  if (verdict == PU_LEDGER_MERGED)
-    believe (m, r.backend, b);
-  return verdict != PU_LEDGER_STALE;
+  if (result == PU_LEDGER_MERGED)
+    copy_from_ledger (m, r.backend, b);
+  return result != PU_LEDGER_STALE;
 }
 
 void
 pu_memory_backend_down (pu_memory_t *m, const pu_backend_record *b)
 {
-  pu_ledger_backend_down (m->ledger, names_handle (&m->backends, b->name),
+  pu_ledger_backend_down (m->ledger, name_map_intern (&m->backends, b->name),
                           b->incarnation);
 }
 
 void
 pu_memory_backend_leaving (pu_memory_t *m, const pu_backend_record *b)
 {
-  pu_ledger_backend_leaving (m->ledger, names_handle (&m->backends, b->name),
-                             b->incarnation);
+  pu_ledger_backend_leaving (
+      m->ledger, name_map_intern (&m->backends, b->name), b->incarnation);
 }
 
 void
-pu_memory_forget (pu_memory_t *m, const char *backend)
+pu_memory_remove_backend (pu_memory_t *m, const char *backend)
 {
-  pu_ledger_remove_backend (m->ledger, names_handle (&m->backends, backend));
+  pu_ledger_remove_backend (m->ledger,
+                            name_map_intern (&m->backends, backend));
 }
 
 static pu_ledger_order_t
-order_of (pu_memory_t *m, const pu_order_record *o)
+make_order (pu_memory_t *m, const pu_order_record *o)
 {
   pu_ledger_order_t n = { 0 };
 
   n.token = o->token;
   n.kind = (pu_ledger_kind_t)o->kind;
-  n.backend = names_handle (&m->backends, o->backend);
+  n.backend = name_map_intern (&m->backends, o->backend);
   n.incarnation = o->incarnation;
   n.copy = copy_handle (m, o->model, o->model_version);
   n.memory_mb = o->memory_mb;
@@ -204,7 +208,7 @@
 bool
 pu_memory_reserve (pu_memory_t *m, const pu_order_record *o, pu_error_t *e)
 {
-  pu_ledger_order_t n = order_of (m, o);
+  pu_ledger_order_t n = make_order (m, o);
 
   return pu_ledger_reserve (m->ledger, &n, e);
 }
@@ -218,7 +222,7 @@
 void
 pu_memory_restore_backend (pu_memory_t *m, const pu_backend_record *b)
 {
-  pu_ledger_report_t r = report_of (m, b);
+  pu_ledger_report_t r = make_report (m, b);
 
   pu_ledger_restore_backend (m->ledger, &r, b->down);
   g_free ((void *)r.held);
@@ -227,7 +231,7 @@
 void
 pu_memory_restore_order (pu_memory_t *m, const pu_order_record *o)
 {
-  pu_ledger_order_t n = order_of (m, o);
+  pu_ledger_order_t n = make_order (m, o);
 
   pu_ledger_restore_order (m->ledger, &n);
 }
@@ -239,7 +243,7 @@
   bool found = false;
   guint32 handle;
 
-  if (names_find (&m->backends, backend, &handle))
+  if (name_map_find (&m->backends, backend, &handle))
     {
       for (guint i = 0; i < orders->len; i++)
         {
@@ -253,11 +257,11 @@
 }
 
 guint64
-pu_memory_committed (const pu_memory_t *m, const char *backend)
+pu_memory_committed_mb (const pu_memory_t *m, const char *backend)
 {
   guint32 handle;
 
-  if (!names_find (&m->backends, backend, &handle))
+  if (!name_map_find (&m->backends, backend, &handle))
     return 0;
   return pu_ledger_committed_mb (m->ledger, handle);
 }
--- a/libplantainusher/state/state.c
+++ b/libplantainusher/state/state.c
@@ -17,7 +17,8 @@
   o->convict_strikes = DEFAULT_CONVICT_STRIKES;
   o->test_breaks
       = pu_break_bit (PU_BREAK_BASE_IGNORED, PU_STATE_BREAK_BASE_VERSION)
-        | pu_break_bit (PU_BREAK_CHANGE_TWICE, PU_STATE_BREAK_CHANGE_TWICE);
+        | pu_break_bit (PU_BREAK_CHANGE_TWICE,
+                        PU_STATE_BREAK_NO_CHANGE_ID_CHECK);
 }
 
 pu_state_t *
@@ -48,7 +49,7 @@
 uint64_t
 pu_state_view (const pu_state_t *s)
 {
-  return s->view;
+  return s->membership_version;
 }
 
 uint64_t
@@ -73,7 +74,7 @@
 const pu_doc_record *
 pu_state_document_of_change (const pu_state_t *s, const char *change_id)
 {
-  return g_hash_table_lookup (s->change_ids, change_id);
+  return g_hash_table_lookup (s->documents_by_change, change_id);
 }
 
 void
@@ -97,12 +98,12 @@
   const pu_state_t *state;
   pu_backend_fn *fn;
   void *data;
-} changed_t;
+} changed_visitor_t;
 
 static void
-changed_call (const char *name, void *data)
+visit_changed (const char *name, void *data)
 {
-  const changed_t *c = data;
+  const changed_visitor_t *c = data;
 
   c->fn (g_tree_lookup (c->state->backends, name), c->data);
 }
@@ -111,11 +112,11 @@
 pu_state_each_changed_backend (const pu_state_t *s, uint64_t since,
                                pu_backend_fn *fn, void *data)
 {
-  changed_t c = { s, fn, data };
+  changed_visitor_t c = { s, fn, data };
 
-  if (since < s->whole)
+  if (since < s->last_unlisted_change)
     return false;
-  pu_recent_each (s->recent, since, changed_call, &c);
+  pu_recent_each (s->recent_backends, since, visit_changed, &c);
   return true;
 }
 
@@ -189,5 +190,5 @@
 uint64_t
 pu_state_committed_mb (const pu_state_t *s, const char *backend)
 {
-  return pu_memory_committed (s->memory, backend);
+  return pu_memory_committed_mb (s->memory, backend);
 }
--- a/libplantainusher/state/state.h
+++ b/libplantainusher/state/state.h
@@ -11,88 +11,97 @@
 G_BEGIN_DECLS
 
 /*
- * state - what the replicated log computes: the document in force and its
+ * state - the replicated state machine: the document in force and its
  * history, members, backend servers, reservations, claims and suspects.
  *
- * Deterministic: the same commands in the same order give the same state and
- * the same replies on every voter.  Entries keep a public copy, fed by public
- * commands alone.  Nothing here reads a clock; times come in commands.
+ * It is deterministic: the same commands in the same order give the same state
+ * and the same replies on every voter.  Each daemon keeps a public copy, to
+ * which only the public commands are applied.  Nothing here reads a clock;
+ * commands carry the times.
  */
 
 typedef struct pu_state pu_state_t;
 
-/* The incarnation of a backend server whose reports tell none.  */
+/* The incarnation of a backend server whose reports give none.  */
 #define PU_INCARNATION_UNTOLD 1
 
-/* Deliberate faults for the tests that show the checks can fail.  */
+/* Faults that tests inject to show that their checks can fail.  */
 typedef enum
 {
-  PU_STATE_BREAK_REGRANT_UNKNOWN = 1, /* claim again what a dead owner left */
-  PU_STATE_BREAK_LATE_COPY = 2,       /* a late copy opens a closed claim */
-  PU_STATE_BREAK_BASE_VERSION = 4,    /* accept any base version */
-  PU_STATE_BREAK_CHANGE_TWICE = 8,    /* accept a change id again */
-  PU_STATE_BREAK_DELTA_BASE = 16,     /* take a delta to any base */
-  PU_STATE_BREAK_RANK = 32            /* a lower rank takes force too */
+  PU_STATE_BREAK_REGRANT_UNKNOWN = 1,    /* grant a claim of unknown outcome */
+  PU_STATE_BREAK_LATE_COPY = 2,          /* a late duplicate reopens a claim */
+  PU_STATE_BREAK_BASE_VERSION = 4,       /* accept any base version */
+  PU_STATE_BREAK_NO_CHANGE_ID_CHECK = 8, /* accept a change id again */
+  PU_STATE_BREAK_DELTA_BASE = 16,        /* apply a delta to any record */
+  PU_STATE_BREAK_RANK = 32               /* accept a rank that is not higher */
 } pu_state_break_t;
 
 typedef struct
 {
-  uint32_t history_max;       /* documents remembered in the history */
-  uint64_t claim_window_ms;   /* a claim's result is kept that long */
-  uint64_t suspect_window_ms; /* a single strike is forgotten after that */
-  uint32_t convict_strikes;   /* backend servers lost until conviction */
+  uint32_t history_max;       /* documents kept in the history */
+  uint64_t claim_window_ms;   /* retention of a claim that sets none */
+  uint64_t suspect_window_ms; /* age of the last strike after which the next
+                                 one starts a new count; a conviction stays */
+  uint32_t convict_strikes;   /* strikes that convict a suspect */
   uint32_t test_breaks;       /* pu_state_break_t; 0 outside tests */
 } pu_state_options_t;
 
-/* pu_state_options_init - the defaults: 1000 documents in the history, one
-   hour for claims, ten minutes for strikes, conviction at two.  All voters
-   must run with the same values.  */
+/* pu_state_options_init - sets the defaults: 10000 documents in the history,
+   claims kept for one hour, strikes counted for ten minutes, conviction at two
+   strikes.  All voters must use the same values.  */
 void pu_state_options_init (pu_state_options_t *o);
 
-/* pu_state_new - an empty state at position 0.  Free with pu_state_free.  */
+/* pu_state_new - returns an empty state at position 0.  To be freed with
+   pu_state_free.  */
 pu_state_t *pu_state_new (const pu_state_options_t *o);
 void pu_state_free (pu_state_t *s);
 
-/* pu_state_apply - applies C, which stands at POSITION of the log.  A position
-   that is not above the last applied one changes nothing and returns false:
-   the state never goes backwards.  R, when not NULL, is filled with the
-   answer; the caller clears it with pu_reply_clear.  */
+/* pu_state_apply - applies C, the command at POSITION of the log.  When
+   POSITION is not above the last applied one, nothing changes and the result
+   is false, so that the state never goes backwards.  R, when not NULL, is set
+   to the reply; the caller clears it with pu_reply_clear.  */
 bool pu_state_apply (pu_state_t *s, uint64_t position, const pu_command *c,
                      pu_reply *r);
 
-/* pu_state_skip - moves the position to POSITION when that is higher, for
-   entries of the log that do not concern this copy.  */
+/* pu_state_skip - raises the position to POSITION without applying a command,
+   for log entries that are not applied to this copy.  A lower POSITION has no
+   effect.  */
 void pu_state_skip (pu_state_t *s, uint64_t position);
 
-/* pu_state_encode - the image of the state as XDR bytes.  PUBLIC_ONLY leaves
-   out the history, the claims and the orders.  */
+/* pu_state_encode - returns a snapshot of the state (pu_state_image) as XDR
+   bytes.  PUBLIC_ONLY leaves out the history, the claims and the orders.  */
 GBytes *pu_state_encode (const pu_state_t *s, bool public_only);
 
-/* pu_state_decode - replaces S by the image in DATA.  Returns false and
-   leaves S as it was when the bytes are no image (PU_ERROR_CORRUPT).  */
+/* pu_state_decode - replaces the content of S by the snapshot in DATA.
+   Returns false and leaves S unchanged when DATA is not a snapshot
+   (PU_ERROR_CORRUPT).  */
 bool pu_state_decode (pu_state_t *s, const void *data, size_t len,
                       pu_error_t *e);
 
+/* pu_state_position - returns the last applied position of the log.  */
 uint64_t pu_state_position (const pu_state_t *s);
 
-/* pu_state_view - counts the changes of members; equal views have equal
-   members.  */
+/* pu_state_view - returns the number of changes of members so far.  Copies
+   with the same number have the same members.  */
 uint64_t pu_state_view (const pu_state_t *s);
 
-/* pu_state_changes - counts the changes of documents, members, backend
-   servers and suspects in this copy, for a reader that caches.  */
+/* pu_state_changes - returns how often documents, members, backend servers or
+   suspects have changed in this copy.  A reader may cache what it read until
+   the number rises.  The numbers of different copies are unrelated.  */
 uint64_t pu_state_changes (const pu_state_t *s);
 
-/* pu_state_document - the document in force, or NULL before the first.  */
+/* pu_state_document - returns the document in force, or NULL before the
+   first.  */
 const pu_doc_record *pu_state_document (const pu_state_t *s);
 
-/* pu_state_document_of_change - the document that CHANGE_ID made, or NULL when
-   the history has none.  */
+/* pu_state_document_of_change - returns the document that the change CHANGE_ID
+   created, or NULL when it is not in the history.  */
 const pu_doc_record *pu_state_document_of_change (const pu_state_t *s,
                                                   const char *change_id);
 
-/* Iteration: call FN for each record, in the order of names.  Backend servers
-   that are down come too: look at their flag.  */
+/* The pu_state_each_ functions call FN with DATA for each record, ordered by
+   its key. Backend servers that are down are included, with the flag `down`
+   set.  */
 typedef void pu_member_fn (const pu_member_record *m, void *data);
 typedef void pu_backend_fn (const pu_backend_record *b, void *data);
 typedef void pu_order_fn (const pu_order_record *o, void *data);
@@ -102,24 +111,24 @@
 void pu_state_each_member (const pu_state_t *s, pu_member_fn *fn, void *data);
 void pu_state_each_backend (const pu_state_t *s, pu_backend_fn *fn,
                             void *data);
-/* pu_state_each_changed_backend - calls FN for those that changed after
-   pu_state_changes was SINCE, in no order that matters.  Returns false, and
-   calls nothing, where this copy can't tell: all may have changed, or some be
-   gone.  */
+/* pu_state_each_changed_backend - calls FN for each backend server that has
+   changed since pu_state_changes returned SINCE, in no specified order.
+   Returns false, without a call, when this copy cannot name them: since then a
+   snapshot was loaded, or a backend server was removed.  */
 bool pu_state_each_changed_backend (const pu_state_t *s, uint64_t since,
                                     pu_backend_fn *fn, void *data);
-/* Orders come by token, the oldest first.  */
+/* Orders are visited by token, the oldest first.  */
 void pu_state_each_order (const pu_state_t *s, pu_order_fn *fn, void *data);
 void pu_state_each_claim (const pu_state_t *s, pu_claim_fn *fn, void *data);
 void pu_state_each_suspect (const pu_state_t *s, pu_suspect_fn *fn,
                             void *data);
-/* Documents come newest first; only the newest carries its text.  */
+/* Documents are visited newest first; only the newest has its text.  */
 void pu_state_each_document (const pu_state_t *s, pu_doc_fn *fn, void *data);
 
-/* pu_state_claims - how many claims are kept.  */
+/* pu_state_claims - returns the number of claims in the table.  */
 uint32_t pu_state_claims (const pu_state_t *s);
 
-/* Lookups; NULL when there is none.  */
+/* Lookups; NULL when there is no such record.  */
 const pu_member_record *pu_state_member (const pu_state_t *s,
                                          const char *name);
 const pu_backend_record *pu_state_backend (const pu_state_t *s,
@@ -130,40 +139,51 @@
                                            uint64_t fingerprint);
 const pu_order_record *pu_state_order (const pu_state_t *s, uint64_t token);
 
-/* pu_state_committed_mb - memory in MB on each accelerator of BACKEND that is
-   loaded or reserved by orders that may still take effect.  */
+/* pu_state_committed_mb - returns the memory, in MB on each accelerator of
+   BACKEND, that is in use or reserved by orders that may still take effect; 0
+   when BACKEND is unknown.  */
 uint64_t pu_state_committed_mb (const pu_state_t *s, const char *backend);
 
-/* pu_state_shrink_submit - makes C a delta against the document in force when
-   C is based on it and that is shorter.  C's text is replaced (by malloc and
-   free).  Applied to the same document, the delta gives the same text.  */
+/* pu_state_shrink_submit - turns C into a delta against the document in force
+   when C is based on it; else C stays unchanged.  C's text, from malloc, is
+   shortened in place.  Applied to the same document, the delta gives the same
+   text.  */
 void pu_state_shrink_submit (const pu_state_t *s, pu_submit *c);
 
-/* pu_state_apply_delta - as pu_state_apply, for a report (BACKEND_UP); *DELTA
-   becomes the same change as a BACKEND_DELTA for public copies, or NULL when
-   there is none or it would be longer.  *CHANGED says whether the report
-   changed the state: else public copies need not see it.  */
+/* pu_state_apply_delta - as pu_state_apply, for a report (BACKEND_UP).  *DELTA
+   is set to the encoded BACKEND_DELTA that makes the same change in public
+   copies, or to NULL when the report changed nothing or a delta cannot express
+   the change.  *CHANGED is set to whether the report changed the state; if
+   not, public copies do not need the report.  */
 bool pu_state_apply_delta (pu_state_t *s, uint64_t position,
                            const pu_command *c, pu_reply *r, GBytes **delta,
                            bool *changed);
 
-/* pu_command_encode, pu_command_decode - XDR bytes of a command.  A decoded
-   command is freed with pu_command_clear.  */
+/* pu_command_encode, pu_command_decode - convert a command to XDR bytes and
+   back.  The caller clears a decoded command with pu_command_clear.  Errors:
+   PU_ERROR_CORRUPT.  */
 GBytes *pu_command_encode (const pu_command *c);
 bool pu_command_decode (pu_command *c, const void *data, size_t len,
                         pu_error_t *e);
 void pu_command_clear (pu_command *c);
 
-/* pu_command_is_public - whether the command goes to every daemon.  */
+/* pu_command_is_public - returns whether C is sent to the public copies, of
+   which every daemon has one.  */
 bool pu_command_is_public (const pu_command *c);
 
-/* pu_command_name - such as "submit", for logs and dumps.  */
+/* pu_command_name - returns the name of TYPE for logs and dumps, such as
+   "submit"; "unknown" for other values.  */
 const char *pu_command_name (pu_command_type type);
 
+/* pu_reply_encode, pu_reply_decode - as for commands.  The caller clears a
+   decoded reply with pu_reply_clear.  */
 GBytes *pu_reply_encode (const pu_reply *r);
 bool pu_reply_decode (pu_reply *r, const void *data, size_t len,
                       pu_error_t *e);
 void pu_reply_clear (pu_reply *r);
+
+/* pu_outcome_name - returns the name of OUTCOME, such as "done"; "unknown" for
+   other values.  */
 const char *pu_outcome_name (pu_outcome outcome);
 
 G_END_DECLS
--- a/libplantainusher/state/tables.c
+++ b/libplantainusher/state/tables.c
@@ -11,7 +11,7 @@
 }
 
 static gint
-compare_numbers (gconstpointer a, gconstpointer b, gpointer data)
+compare_uint64 (gconstpointer a, gconstpointer b, gpointer data)
 {
   uint64_t x = *(const uint64_t *)a;
   uint64_t y = *(const uint64_t *)b;
@@ -20,8 +20,9 @@
   return (x > y) - (x < y);
 }
 
+/* Orders claims by the end of their window, then by position.  */
 static gint
-compare_ends (gconstpointer a, gconstpointer b, gpointer data)
+compare_expiry (gconstpointer a, gconstpointer b, gpointer data)
 {
   const pu_claim_record *x = a;
   const pu_claim_record *y = b;
@@ -30,7 +31,7 @@
 
   if (x_end != y_end)
     return x_end < y_end ? -1 : 1;
-  return compare_numbers (&x->position, &y->position, data);
+  return compare_uint64 (&x->position, &y->position, data);
 }
 
 static void
@@ -73,38 +74,38 @@
 pu_tables_init (pu_state_t *s)
 {
   s->documents = g_queue_new ();
-  s->change_ids = g_hash_table_new (g_str_hash, g_str_equal);
+  s->documents_by_change = g_hash_table_new (g_str_hash, g_str_equal);
   s->members = g_tree_new_full (compare_names, NULL, NULL, free_member);
   s->backends = g_tree_new_full (compare_names, NULL, NULL, free_backend);
-  s->recent = pu_recent_new ();
-  s->orders = g_tree_new_full (compare_numbers, NULL, NULL, free_order);
+  s->recent_backends = pu_recent_new ();
+  s->orders = g_tree_new_full (compare_uint64, NULL, NULL, free_order);
   s->claims = g_tree_new_full (compare_names, NULL, g_free, free_claim);
-  s->open_claims = g_tree_new_full (compare_numbers, NULL, NULL, NULL);
-  s->claim_ages = g_tree_new_full (compare_ends, NULL, NULL, NULL);
+  s->open_claims = g_tree_new_full (compare_uint64, NULL, NULL, NULL);
+  s->claims_by_expiry = g_tree_new_full (compare_expiry, NULL, NULL, NULL);
   s->memory = pu_memory_new ();
-  s->suspects = g_tree_new_full (compare_numbers, NULL, NULL, free_suspect);
+  s->suspects = g_tree_new_full (compare_uint64, NULL, NULL, free_suspect);
 }
 
 void
 pu_tables_clear (pu_state_t *s)
 {
   pu_memory_free (s->memory);
-  g_hash_table_destroy (s->change_ids);
+  g_hash_table_destroy (s->documents_by_change);
   g_queue_free_full (s->documents, free_document);
   g_tree_destroy (s->members);
   g_tree_destroy (s->backends);
-  pu_recent_free (s->recent);
+  pu_recent_free (s->recent_backends);
   g_tree_destroy (s->orders);
   g_tree_destroy (s->open_claims);
-  g_tree_destroy (s->claim_ages);
+  g_tree_destroy (s->claims_by_expiry);
   g_tree_destroy (s->claims);
   g_tree_destroy (s->suspects);
 }
 
-/* The text of a document that is no longer the newest is given back: the
-   history keeps who and when.  */
+/* Frees the text of D, which is no longer the newest document.  The history
+   keeps only who changed the document and when.  */
 static void
-drop_text (pu_doc_record *d)
+clear_text (pu_doc_record *d)
 {
   free (d->text);
   d->text = strdup ("");
@@ -117,8 +118,8 @@
     {
       pu_doc_record *old = g_queue_pop_tail (s->documents);
 
-      if (g_hash_table_lookup (s->change_ids, old->change_id) == old)
-        g_hash_table_remove (s->change_ids, old->change_id);
+      if (g_hash_table_lookup (s->documents_by_change, old->change_id) == old)
+        g_hash_table_remove (s->documents_by_change, old->change_id);
       free_document (old);
     }
 }
@@ -129,9 +130,9 @@
   pu_doc_record *last = g_queue_peek_head (s->documents);
 
   if (last != NULL)
-    drop_text (last);
+    clear_text (last);
   g_queue_push_head (s->documents, d);
-  g_hash_table_replace (s->change_ids, d->change_id, d);
+  g_hash_table_replace (s->documents_by_change, d->change_id, d);
   trim_history (s);
 }
 
@@ -142,23 +143,23 @@
 }
 
 void
-pu_tables_note_backend (pu_state_t *s, const char *name)
+pu_tables_mark_backend_changed (pu_state_t *s, const char *name)
 {
-  pu_recent_note (s->recent, name, s->changes + 1);
+  pu_recent_note (s->recent_backends, name, s->changes + 1);
 }
 
 void
 pu_tables_remove_backend (pu_state_t *s, const char *name)
 {
-  s->whole = s->changes + 1;
-  pu_recent_drop (s->recent, name);
+  s->last_unlisted_change = s->changes + 1;
+  pu_recent_drop (s->recent_backends, name);
   g_tree_remove (s->backends, name);
 }
 
 void
 pu_tables_put_backend (pu_state_t *s, pu_backend_record *b)
 {
-  pu_tables_note_backend (s, b->name);
+  pu_tables_mark_backend_changed (s, b->name);
   g_tree_replace (s->backends, b->name, b);
 }
 
@@ -186,7 +187,7 @@
   char *key = claim_key (c->service, c->key);
 
   g_tree_remove (s->open_claims, &c->position);
-  g_tree_remove (s->claim_ages, c);
+  g_tree_remove (s->claims_by_expiry, c);
   g_tree_remove (s->claims, key);
   g_free (key);
 }
@@ -200,13 +201,14 @@
   if (old != NULL)
     pu_tables_remove_claim (s, old);
   g_tree_replace (s->claims, key, c);
-  g_tree_replace (s->claim_ages, c, c);
+  g_tree_replace (s->claims_by_expiry, c, c);
   if (c->phase == PU_CLAIM_OPEN)
     g_tree_replace (s->open_claims, &c->position, c);
 }
 
 void
-pu_tables_claim_phase (pu_state_t *s, pu_claim_record *c, pu_claim_phase phase)
+pu_tables_set_claim_phase (pu_state_t *s, pu_claim_record *c,
+                           pu_claim_phase phase)
 {
   c->phase = phase;
   if (phase == PU_CLAIM_OPEN)
