--- a/libplantainusher/state/state_msg.x
+++ b/libplantainusher/state/state_msg.x
@@ -1,7 +1,8 @@
 /*
- * The commands of the replicated log and the records they keep.
+ * The commands of the replicated log and the records of the state.
  *
- * Names are UTF-8, times are milliseconds: `wall` since 1970, others as said.
+ * Names are UTF-8.  Times are in milliseconds; `wall` is wall-clock time since
+ * 1970.
  */
 
 #ifdef RPC_XDR
@@ -24,23 +25,24 @@
 struct pu_doc_record
 {
   unsigned hyper doc_version; /* 1 is the first */
-  unsigned hyper position;   /* log position that accepted it */
+  unsigned hyper position;   /* log position of the command */
   unsigned hyper wall;
   unsigned hyper hash;       /* of the text, by XXH3 */
   pu_name change_id;
   pu_name author;
-  unsigned hyper rank;       /* as submitted; 0: by base version */
-  string text<PU_DOCUMENT_MAX>; /* empty in the history, whole for the newest */
+  unsigned hyper rank;       /* of the last change that had one; 0: none */
+  string text<PU_DOCUMENT_MAX>; /* empty except in the newest */
 };
 
-/* An instance that runs a daemon of ours.  */
+/* An instance that runs a daemon.  */
 struct pu_member_record
 {
   pu_name name;
   unsigned hyper incarnation;
   pu_name region;
   pu_name zone;
-  pu_name caller_address;    /* host:port; empty when it is no entry */
+  pu_name caller_address;    /* for clients, host:port; empty when the
+                                member is not an entry */
   pu_name operator_address;
   pu_name peer_address;
   bool leaving;
@@ -54,7 +56,7 @@
   PU_COPY_UNLOADING = 3
 };
 
-/* One model or adapter at one version in a backend server's memory.  */
+/* A model or adapter at one version in a backend server's memory.  */
 struct pu_copy_record
 {
   pu_name model;
@@ -69,7 +71,7 @@
   PU_BACKEND_PLAIN = 1
 };
 
-/* A backend server that announced itself.  */
+/* A backend server that has announced itself.  */
 struct pu_backend_record
 {
   pu_name name;
@@ -83,9 +85,11 @@
   unsigned int memory_mb;    /* of each accelerator */
   bool fenced;               /* refuses an order with an old token */
   bool leaving;
-  bool down;                 /* its lease is over; kept for its memory */
-  unsigned hyper seq;        /* of the report; rises within an incarnation */
-  unsigned hyper token;      /* highest fencing token that it reported */
+  bool down;                 /* its lease has expired; the record is kept
+                                because its memory stays counted */
+  unsigned hyper seq;        /* sequence number of the report; increases within
+                                an incarnation */
+  unsigned hyper token;      /* highest fencing token that it has reported */
   pu_copy_record copies<PU_LIST_MAX>;
 };
 
@@ -98,7 +102,7 @@
 
 struct pu_order_record
 {
-  unsigned hyper token;      /* fencing token: the log position that made it */
+  unsigned hyper token;      /* fencing token: log position of RESERVE */
   pu_order_kind kind;
   pu_name backend;
   unsigned hyper incarnation; /* of the backend server */
@@ -106,7 +110,7 @@
   pu_name model_version;
   unsigned int memory_mb;
   unsigned hyper wall;       /* when it was reserved */
-  unsigned int life_ms;      /* it can take effect no later than this */
+  unsigned int life_ms;      /* lifetime; the order has no effect after it */
   pu_detail reason;
 };
 
@@ -114,9 +118,9 @@
 enum pu_claim_phase
 {
   PU_CLAIM_OPEN = 0,         /* claimed, outcome not recorded */
-  PU_CLAIM_RAN = 1,          /* ran; the result is kept */
-  PU_CLAIM_NOT_RUN = 2,      /* proved not to have run; may be claimed again */
-  PU_CLAIM_UNKNOWN = 3       /* its owner died */
+  PU_CLAIM_RAN = 1,          /* has run; the result is kept */
+  PU_CLAIM_NOT_RUN = 2,      /* known not to have run; may be claimed again */
+  PU_CLAIM_UNKNOWN = 3       /* its owner is gone; may have run */
 };
 
 struct pu_claim_record
@@ -124,20 +128,22 @@
   pu_name service;
   pu_name key;
   unsigned hyper fingerprint; /* of method, path and body */
-  pu_name owner;             /* the entry */
+  pu_name owner;             /* name of the entry */
   unsigned hyper owner_incarnation;
-  unsigned hyper attempt;    /* of the owner's, so that a resent command is known */
-  unsigned hyper position;   /* log position of the claim in force */
+  unsigned hyper attempt;    /* number of the owner's attempt; identifies a
+                                command that was sent again */
+  unsigned hyper position;   /* log position of the command that opened it */
   unsigned hyper wall;       /* when it was claimed */
   unsigned hyper window_ms;
   pu_claim_phase phase;
   unsigned int status;       /* HTTP status of the result */
   pu_name content_type;
   opaque result<PU_RESULT_MAX>;
-  pu_detail closed<PU_CLOSED_MAX>; /* earlier attempts that did not run */
+  pu_detail closed<PU_CLOSED_MAX>; /* earlier attempts that did not run, the
+                                newest first: OWNER@INCARNATION/ATTEMPT */
 };
 
-/* A request that was running on a backend server when it died.  */
+/* A request that was in flight on a backend server when the server died.  */
 struct pu_suspect_record
 {
   unsigned hyper fingerprint;
@@ -145,8 +151,8 @@
   unsigned int strikes;      /* backend servers lost while it ran */
   bool convicted;
   unsigned hyper wall;       /* of the last strike */
-  pu_detail lost<PU_LOST_MAX>; /* NAME@INCARNATION of each, the first few; with
-                                  a '!' behind it when it ran there apart */
+  pu_detail lost<PU_LOST_MAX>; /* the first of them, as NAME@INCARNATION; with
+                                  '!' appended when it ran there isolated */
 };
 
 enum pu_voter_action
@@ -171,46 +177,47 @@
   PU_COMMAND_CLAIM_DONE = 11,
   PU_COMMAND_STRIKE = 12,
   PU_COMMAND_LIFT = 13,
-  PU_COMMAND_BACKEND_DELTA = 14  /* from voters to public copies; never in
-                                    the log */
+  PU_COMMAND_BACKEND_DELTA = 14  /* sent by voters to public copies; never
+                                    in the log */
 };
 
-/* A change of the document.  With a rank, the highest rank wins whatever the
-   base version was; else the base version has to be the one in force.  As a
-   delta, the new text is the first PREFIX bytes
-   of the text at base_version, TEXT, and its last SUFFIX bytes.  */
+/* A change of the document.  With a rank, it is accepted when the rank is
+   above that of the document in force, whatever the base version is; without a
+   rank, when the base version is the one in force.  In a delta, the new text
+   is the first PREFIX bytes of the text at base_version, then TEXT, then the
+   last SUFFIX bytes of the text at base_version.  */
 struct pu_submit
 {
-  unsigned hyper base_version; /* 0: there is no document yet */
+  unsigned hyper base_version; /* 0: before the first document */
   unsigned hyper wall;
   pu_name change_id;
   pu_name author;
   unsigned hyper rank;       /* chosen by the submitter; 0: none */
   bool delta;
   unsigned int prefix;
-  unsigned int suffix;       /* highest bit: TEXT is hunks, see delta.h */
+  unsigned int suffix;       /* highest bit set: TEXT has hunks, see delta.h */
   unsigned hyper hash;       /* of the new text, by XXH3; deltas only */
   string text<PU_DOCUMENT_MAX>;
 };
 
-/* A copy of the record before that changed.  */
+/* A copy that changed, in a list of copies.  */
 struct pu_copy_change
 {
-  unsigned int number;       /* in the list before */
+  unsigned int number;       /* index in the old record's list */
   unsigned int memory_mb;
   pu_copy_phase phase;
 };
 
-/* What a report changed in the record of a backend server.  */
+/* The changes of a report to the record of a backend server.  */
 struct pu_backend_delta
 {
   pu_name name;
-  unsigned hyper base;       /* hash of the record before, by XXH3 */
+  unsigned hyper base;       /* hash of the old record, by XXH3 */
   unsigned hyper seq;
   unsigned hyper token;
   pu_copy_change changed<PU_LIST_MAX>;
-  unsigned int gone<PU_LIST_MAX>; /* numbers in the list before, rising */
-  pu_copy_record added<PU_LIST_MAX>; /* behind those that stay */
+  unsigned int gone<PU_LIST_MAX>; /* indexes in the old list, ascending */
+  pu_copy_record added<PU_LIST_MAX>; /* appended to the remaining ones */
 };
 
 struct pu_down
@@ -222,7 +229,8 @@
 struct pu_release
 {
   unsigned hyper token;
-  pu_detail proof;           /* why the memory is known to be free or counted */
+  pu_detail proof;           /* why the memory is known to be free or counted
+                                otherwise */
 };
 
 struct pu_claim_request
@@ -232,16 +240,16 @@
   unsigned hyper fingerprint;
   pu_name owner;
   unsigned hyper owner_incarnation;
-  unsigned hyper attempt;    /* unique within the owner's incarnation */
+  unsigned hyper attempt;    /* unique in the owner's incarnation */
   unsigned hyper wall;
-  unsigned hyper window_ms;  /* the result is kept that long; 0: the default */
+  unsigned hyper window_ms;  /* retention of the result; 0: the default */
 };
 
 struct pu_claim_done
 {
   pu_name service;
   pu_name key;
-  unsigned hyper position;   /* log position of the claim that it closes */
+  unsigned hyper position;   /* log position of the claim to close */
   pu_claim_phase phase;
   unsigned int status;
   pu_name content_type;
@@ -250,7 +258,7 @@
 
 struct pu_strike
 {
-  bool apart;                /* it was known as a suspect when it was sent */
+  bool apart;                /* the request ran isolated, as a known suspect */
   unsigned hyper fingerprint;
   pu_name model;
   pu_name backend;
@@ -292,13 +300,13 @@
   pu_backend_delta backend_delta;
 };
 
-/* What applying a command answered; the same on every voter.  */
+/* The result of a command; the same on every voter.  */
 enum pu_outcome
 {
   PU_OUTCOME_DONE = 0,
-  PU_OUTCOME_SEEN = 1,       /* the same change id or claim came before */
-  PU_OUTCOME_CONFLICT = 2,   /* stale version, other fingerprint, no memory */
-  PU_OUTCOME_REFUSED = 3,    /* not known, too old, an old incarnation */
+  PU_OUTCOME_SEEN = 1,       /* a duplicate, or nothing to change */
+  PU_OUTCOME_CONFLICT = 2,   /* stale version, other content, no memory */
+  PU_OUTCOME_REFUSED = 3,    /* unknown, stale, or of an old incarnation */
   PU_OUTCOME_BUSY = 4        /* claimed and still running */
 };
 
@@ -306,17 +314,18 @@
 {
   pu_outcome outcome;
   unsigned hyper doc_version; /* of the document in force */
-  unsigned hyper position;   /* log position of the command (or of the first) */
+  unsigned hyper position;   /* log position of the command, or of the one
+                                that it duplicates */
   pu_detail detail;
-  pu_claim_record *claim;    /* the claim that was there before */
+  pu_claim_record *claim;    /* the claim that exists for the key */
 };
 
-/* The whole state at a log position.  The history, the claims and the orders
-   stay empty in the copy that goes to entries.  */
+/* A snapshot of the state at a log position.  The history, the claims and the
+   orders are empty in a snapshot for public copies.  */
 struct pu_state_image
 {
   unsigned hyper position;
-  unsigned hyper view;       /* counts changes of members */
+  unsigned hyper view;       /* number of changes of members */
   pu_doc_record document;
   pu_doc_record history<PU_TABLE_MAX>;
   pu_member_record members<PU_LIST_MAX>;
