--- a/libplantainusher/log/log_msg.x
+++ b/libplantainusher/log/log_msg.x
@@ -1,8 +1,9 @@
 /*
- * Messages between the voters of one log, and the records of the journal.
+ * Messages between the members of one replicated log, and the records of the
+ * journal.
  *
- * Positions (`index`) start at 1; times are the sender's own clock and mean
- * nothing to anybody else.
+ * Indexes start at 1.  Times are of the sender's clock; receivers return them
+ * and don't interpret them.
  */
 
 const PU_LOG_NAME_MAX = 128;
@@ -12,7 +13,7 @@
 const PU_LOG_ENTRIES_MAX = 4096;
 const PU_LOG_CHUNK_MAX = 262144;
 
-/* One identity of a voter: a new disk is a new identity.  */
+/* One identity of a voter.  A voter gets a new identity with a new disk.  */
 struct pu_log_peer
 {
   unsigned hyper id;
@@ -22,10 +23,10 @@
 
 enum pu_log_role
 {
-  PU_LOG_LEARNER = 0, /* copies the log, does not count */
-  PU_LOG_CHOSEN = 1,  /* a learner that an operator wants as a voter */
-  PU_LOG_VOTER = 2,   /* counts */
-  PU_LOG_LEAVING = 3  /* counts until it is removed */
+  PU_LOG_LEARNER = 0, /* replicates the log, is not in the quorum */
+  PU_LOG_CHOSEN = 1,  /* a learner that an operator chose as a voter */
+  PU_LOG_VOTER = 2,   /* is in the quorum */
+  PU_LOG_LEAVING = 3  /* a voter to be removed, in the quorum until then */
 };
 
 struct pu_log_member
@@ -34,11 +35,12 @@
   pu_log_role role;
 };
 
-/* Who votes; in force as soon as it stands in the log.  */
+/* The members of the log.  A configuration is in force as soon as it is
+   appended, before it is committed.  */
 struct pu_log_config
 {
-  unsigned hyper cluster; /* random, made when the log is started */
-  unsigned int target;    /* voters wanted */
+  unsigned hyper cluster; /* random, chosen when the log is bootstrapped */
+  unsigned int target;    /* target number of voters */
   pu_log_member members<PU_LOG_MEMBERS_MAX>;
 };
 
@@ -71,28 +73,30 @@
   PU_LOG_REJOIN = 9
 };
 
-/* From an identity that hears no leader: who leads, may I join?  */
+/* Sent by an identity that hears from no leader: asks for the leader and, if
+   its log is empty, to be added as a learner.  */
 struct pu_log_hello
 {
-  bool fresh; /* its log is empty */
-  bool first; /* and its folder never held one: it may start one */
+  bool fresh; /* the sender's log is empty */
+  bool first; /* and its folder never held one: it may bootstrap the log */
 };
 
 struct pu_log_welcome
 {
   bool first; /* as in pu_log_hello */
-  pu_log_peer leader; /* id 0 when not known */
+  pu_log_peer leader; /* id 0: not known */
 };
 
 struct pu_log_vote
 {
-  bool pre;      /* would you vote for me? changes nothing */
-  bool transfer; /* the leader itself asked for this election */
+  bool pre;      /* a pre-vote: the receiver's state does not change */
+  bool transfer; /* the leader requested this election (leadership transfer) */
   unsigned hyper last_index;
   unsigned hyper last_term;
 };
 
-/* The position an identity is known to have synced, all of it committed.  */
+/* The durable floor of an identity: all entries up to index are committed and
+   it is known to have synced them.  */
 struct pu_log_floor
 {
   unsigned hyper id;
@@ -109,31 +113,31 @@
 
 struct pu_log_append
 {
-  unsigned hyper seq;     /* rises with each message to this peer */
-  unsigned hyper sent;    /* the leader's clock */
+  unsigned hyper seq;     /* increases with each message to this peer */
+  unsigned hyper sent;    /* send time */
   unsigned hyper prev_index;
   unsigned hyper prev_term;
   unsigned hyper commit;
   pu_log_entry entries<PU_LOG_ENTRIES_MAX>;
   pu_log_floor floors<PU_LOG_MEMBERS_MAX>;
-  pu_log_peer seeder;     /* fetch a snapshot there; id 0: no need */
+  pu_log_peer seeder;     /* where to fetch a snapshot; id 0: none is needed */
 };
 
 struct pu_log_append_reply
 {
   unsigned hyper seq;     /* of the message answered */
-  unsigned hyper sent;
+  unsigned hyper sent;    /* of the message answered */
   bool ok;
-  unsigned hyper match;   /* ok: the same as the leader's and synced */
-  unsigned hyper last;    /* not ok: the end of this log */
-  unsigned hyper synced;  /* the end of this log that is synced */
-  unsigned hyper snapshot; /* newest snapshot held */
-  unsigned hyper fetched; /* bytes fetched of a snapshot */
+  unsigned hyper match;   /* if ok: synced and equal to the leader's log */
+  unsigned hyper last;    /* if not ok: the highest index that may match */
+  unsigned hyper synced;  /* last durable index */
+  unsigned hyper snapshot; /* index of the newest snapshot */
+  unsigned hyper fetched; /* bytes of a snapshot fetched so far */
 };
 
 struct pu_log_fetch
 {
-  unsigned hyper index;  /* 0: the newest */
+  unsigned hyper index;  /* 0: the newest snapshot */
   unsigned hyper offset;
 };
 
@@ -178,35 +182,35 @@
   unsigned int group;
   unsigned hyper cluster; /* 0: the sender's log is empty */
   unsigned hyper term;
-  unsigned hyper to;      /* 0: whoever lives at that address */
+  unsigned hyper to;      /* 0: any identity at that address */
   pu_log_peer from;
   pu_log_body body;
 };
 
-/* What one group sync puts into a segment.  */
+/* The entries that one group sync writes to a segment.  */
 struct pu_log_batch
 {
-  unsigned hyper commit; /* committed when it was written; a hint */
+  unsigned hyper commit; /* commit index when it was written; a hint */
   pu_log_entry entries<>;
 };
 
-/* The voter's own record; never goes back.  */
+/* The voter's metadata.  It never reverts to an earlier state.  */
 struct pu_log_meta
 {
-  unsigned hyper saves;   /* rises with each save */
+  unsigned hyper saves;   /* increases with each save */
   unsigned hyper id;
   unsigned hyper cluster;
   unsigned hyper term;
   unsigned hyper vote;     /* 0: none in this term */
-  unsigned hyper floor;    /* the log is known to reach this far */
-  unsigned hyper segment;  /* the newest segment of the log */
+  unsigned hyper floor;    /* entries up to here were durable and committed */
+  unsigned hyper segment;  /* number of the newest segment */
 };
 
 struct pu_log_snapshot
 {
   unsigned hyper index;
   unsigned hyper term;
-  unsigned hyper first_batch; /* batches before it are void */
+  unsigned hyper first_batch; /* batches before this number are void */
   pu_log_config config;
   opaque data<>;
 };
--- a/libplantainusher/log/replica.c
+++ b/libplantainusher/log/replica.c
@@ -12,9 +12,9 @@
   SNAPSHOT_BYTES = 16 * 1048576,
   KEEP_ENTRIES = 1024,
   BATCH_BYTES = 1048576,
-  WINDOW = 8,
-  PENDING_ENTRIES = 8192,
-  PENDING_BYTES = 64 * 1048576,
+  WINDOW_MESSAGES = 8,
+  UNCOMMITTED_ENTRIES = 8192,
+  UNCOMMITTED_BYTES = 64 * 1048576,
 };
 
 void
@@ -30,9 +30,9 @@
   o->snapshot_bytes = SNAPSHOT_BYTES;
   o->keep_entries = KEEP_ENTRIES;
   o->batch_bytes = BATCH_BYTES;
-  o->window = WINDOW;
-  o->pending_entries = PENDING_ENTRIES;
-  o->pending_bytes = PENDING_BYTES;
+  o->window = WINDOW_MESSAGES;
+  o->pending_entries = UNCOMMITTED_ENTRIES;
+  o->pending_bytes = UNCOMMITTED_BYTES;
 }
 
 void
@@ -84,7 +84,7 @@
 }
 
 static void
-free_held (pu_held_t *h)
+free_deferred_send (pu_deferred_send_t *h)
 {
   pu_log_peer_clear (&h->to);
   g_clear_pointer (&h->msg, g_bytes_unref);
@@ -101,38 +101,38 @@
   return a;
 }
 
-/* Sends the held messages whose writes are durable.  */
+/* Sends the deferred messages whose writes are durable.  */
 static void
-release_held (pu_replica_t *r)
+send_deferred (pu_replica_t *r)
 {
-  pu_held_t *h;
+  pu_deferred_send_t *h;
 
-  while ((h = g_queue_peek_head (&r->held)) != NULL && h->after <= r->synced)
+  while ((h = g_queue_peek_head (&r->deferred_sends)) != NULL
+         && h->after_ticket <= r->synced_ticket)
     {
       pu_action_t *a = pu_r_action (r, PU_ACTION_SEND);
 
       a->send.to = h->to;
       a->send.msg = h->msg;
-      g_free (g_queue_pop_head (&r->held));
+      g_free (g_queue_pop_head (&r->deferred_sends));
     }
 }
 
 bool
-pu_r_drop_held (pu_replica_t *r)
+pu_r_drop_deferred_sends (pu_replica_t *r)
 {
-  bool any = r->held.length > 0;
+  bool any = r->deferred_sends.length > 0;
 
-  g_queue_clear_full (&r->held, (GDestroyNotify)free_held);
+  g_queue_clear_full (&r->deferred_sends, (GDestroyNotify)free_deferred_send);
   return any;
 }
 
-/* Sends BODY to TO as soon as the term and the vote that it speaks for are
-   durable.  */
+/* Sends BODY to TO as soon as the current term and vote are durable.  */
 void
 pu_r_send (pu_replica_t *r, const pu_log_peer *to, pu_log_body *body)
 {
   pu_log_msg m = { 0 };
-  pu_held_t *h;
+  pu_deferred_send_t *h;
   GBytes *bytes;
 
   if (r->silent)
@@ -147,14 +147,14 @@
   bytes = pu_log_msg_encode (&m);
   if (bytes == NULL)
     return;
-  h = g_new0 (pu_held_t, 1);
-  h->after = r->meta_ticket;
+  h = g_new0 (pu_deferred_send_t, 1);
+  h->after_ticket = r->meta_ticket;
   if (r->o.breaks & PU_BREAK_VOTE_BEFORE_SYNC)
-    h->after = 0;
+    h->after_ticket = 0;
   h->msg = bytes;
   pu_log_peer_copy (&h->to, to);
-  g_queue_push_tail (&r->held, h);
-  release_held (r);
+  g_queue_push_tail (&r->deferred_sends, h);
+  send_deferred (r);
 }
 
 void
@@ -162,10 +162,11 @@
 {
   pu_action_t *a;
 
-  /* The journal keeps the order: entries written so far come first.  */
+  /* The journal keeps the order of writes; the entries appended so far must
+     come before the metadata.  */
   pu_r_flush_writes (r);
   a = pu_r_action (r, PU_ACTION_META);
-  a->ticket = ++r->ticket;
+  a->ticket = ++r->last_ticket;
   a->meta.meta.id = r->self.id;
   a->meta.meta.cluster = r->cluster;
   a->meta.meta.term = r->term;
@@ -181,11 +182,11 @@
   uint32_t extra
       = (uint32_t)g_rand_int_range (r->rand, 0, (gint32)r->o.election_ms);
 
-  r->timeout_at = now + r->o.election_ms + extra;
+  r->election_deadline = now + r->o.election_ms + extra;
 }
 
 static void
-announce_role (pu_replica_t *r, bool leader)
+push_role_action (pu_replica_t *r, bool leader)
 {
   pu_action_t *a = pu_r_action (r, PU_ACTION_ROLE);
 
@@ -205,7 +206,7 @@
     pu_log_peer_copy (&r->leader, leader);
   r->transfer_until = 0;
   if (led)
-    announce_role (r, false);
+    push_role_action (r, false);
   if (term > r->term)
     {
       r->term = term;
@@ -219,20 +220,20 @@
 }
 
 static void
-fall_silent (pu_replica_t *r)
+stop_participating (pu_replica_t *r)
 {
   if (r->role == PU_ROLE_LEADER)
-    announce_role (r, false);
+    push_role_action (r, false);
   r->role = PU_ROLE_FOLLOWER;
   pu_log_peer_clear (&r->leader);
-  pu_r_drop_held (r);
+  pu_r_drop_deferred_sends (r);
   r->silent = true;
 }
 
 void
-pu_r_rejoin (pu_replica_t *r)
+pu_r_retire_identity (pu_replica_t *r)
 {
-  fall_silent (r);
+  stop_participating (r);
   pu_r_action (r, PU_ACTION_REJOIN);
 }
 
@@ -242,12 +243,12 @@
   if (r->failed)
     return;
   r->failed = true;
-  fall_silent (r);
+  stop_participating (r);
 }
 
 /* Construction.  */
 
-/* An initial voter without a name is known by its address.  */
+/* An initial voter without a name is identified by its address.  */
 static bool
 is_self (const pu_replica_options_t *o, const pu_log_peer *initial)
 {
@@ -286,7 +287,7 @@
   r->base = d->snapshot.index;
   r->base_term = d->snapshot.term;
   pu_r_push_config (r, r->base, &d->snapshot.config);
-  r->written = G_MAXUINT64; /* nothing of this is to be written again */
+  r->written = G_MAXUINT64; /* these entries are on the disk */
   for (guint i = 0; i < d->entries->len; i++)
     pu_r_append (r, pu_record_ref (g_ptr_array_index (d->entries, i)));
   r->written = pu_r_last (r);
@@ -315,17 +316,17 @@
   r->seeds = g_array_new (FALSE, TRUE, sizeof (pu_seed_t));
   copy_seeds (r, o);
   r->rand = g_rand_new_with_seed ((guint32)(o->seed ^ (o->seed >> 32)));
-  r->granted
+  r->votes_granted
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, NULL);
   r->floors
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
   r->entries
       = g_ptr_array_new_with_free_func ((GDestroyNotify)pu_record_unref);
-  r->configs = g_array_new (FALSE, TRUE, sizeof (pu_config_at_t));
+  r->configs = g_array_new (FALSE, TRUE, sizeof (pu_config_entry_t));
   r->progress = g_array_new (FALSE, TRUE, sizeof (pu_progress_t));
-  g_queue_init (&r->writes);
+  g_queue_init (&r->pending_writes);
   g_queue_init (&r->actions);
-  g_queue_init (&r->held);
+  g_queue_init (&r->deferred_sends);
   load_disk (r, disk);
   r->heard_at = now;
   pu_r_reset_timeout (r, now);
@@ -340,7 +341,7 @@
   for (guint i = 0; i < r->configs->len; i++)
     {
       pu_log_config_clear (
-          &g_array_index (r->configs, pu_config_at_t, i).config);
+          &g_array_index (r->configs, pu_config_entry_t, i).config);
     }
   for (guint i = 0; i < r->progress->len; i++)
     g_queue_clear (&g_array_index (r->progress, pu_progress_t, i).on_way);
@@ -357,14 +358,14 @@
     return;
   pu_r_fetch_stop (r);
   free_arrays (r);
-  g_queue_clear_full (&r->writes, g_free);
+  g_queue_clear_full (&r->pending_writes, g_free);
   g_queue_clear_full (&r->actions, (GDestroyNotify)free_action);
-  g_queue_clear_full (&r->held, (GDestroyNotify)free_held);
-  g_hash_table_unref (r->granted);
+  g_queue_clear_full (&r->deferred_sends, (GDestroyNotify)free_deferred_send);
+  g_hash_table_unref (r->votes_granted);
   g_hash_table_unref (r->floors);
   g_rand_free (r->rand);
   pu_snapshot_clear (&r->snapshot);
-  pu_snapshot_clear (&r->taken);
+  pu_snapshot_clear (&r->unsaved_snapshot);
   pu_log_peer_clear (&r->leader);
   pu_log_peer_clear (&r->self);
   g_free (r);
@@ -387,13 +388,14 @@
   pu_r_fetch_tick (r, now);
   if (!pu_r_may_campaign (r))
     return;
-  if (now >= r->timeout_at || pu_log_config_voters (pu_r_config (r)) == 1)
+  if (now >= r->election_deadline
+      || pu_log_config_voters (pu_r_config (r)) == 1)
     {
       pu_r_campaign (r, now, true, false);
     }
   else
     {
-      pu_r_ask_again (r, now);
+      pu_r_repeat_vote_requests (r, now);
     }
 }
 
@@ -405,18 +407,19 @@
     pu_r_campaign (r, now, false, true);
 }
 
-/* Only a leader that still leads says so, of an identity that is gone from the
-   committed configuration or has lost what it had synced.  */
+/* A leader sends this, while it holds the lease, to an identity that is not in
+   the committed configuration, and to one that has lost entries it had
+   synced.  */
 static void
 on_rejoin (pu_replica_t *r, const pu_log_msg *m)
 {
   if (m->to == r->self.id && m->term >= r->term && m->cluster == r->cluster
       && r->role != PU_ROLE_LEADER && r->cluster != 0)
-    pu_r_rejoin (r);
+    pu_r_retire_identity (r);
 }
 
 static bool
-for_us (const pu_replica_t *r, const pu_log_msg *m)
+accepts_message (const pu_replica_t *r, const pu_log_msg *m)
 {
   if (r->silent || m->group != r->o.group || m->from.id == r->self.id
       || m->from.id == 0)
@@ -426,10 +429,10 @@
   return m->to == r->self.id || (m->to == 0 && m->body.kind == PU_LOG_HELLO);
 }
 
-/* Whether a higher term in M is to be taken over at once.  Requests for votes
-   decide that themselves.  */
+/* Returns whether a higher term in M is adopted before M is handled.  The
+   handler of vote requests decides on their term itself.  */
 static bool
-raises_term (const pu_replica_t *r, const pu_log_msg *m)
+adopts_term (const pu_replica_t *r, const pu_log_msg *m)
 {
   if (m->term <= r->term)
     return false;
@@ -449,9 +452,9 @@
 void
 pu_replica_receive (pu_replica_t *r, uint64_t now, const pu_log_msg *m)
 {
-  if (!for_us (r, m))
+  if (!accepts_message (r, m))
     return;
-  if (raises_term (r, m))
+  if (adopts_term (r, m))
     pu_r_follow (r, now, m->term, NULL);
   switch (m->body.kind)
     {
@@ -492,17 +495,18 @@
 pu_replica_synced (pu_replica_t *r, uint64_t now, uint64_t ticket)
 {
   uint64_t durable = r->durable;
-  pu_write_t *w;
+  pu_pending_write_t *w;
 
-  if (r->silent || ticket <= r->synced)
+  if (r->silent || ticket <= r->synced_ticket)
     return;
-  r->synced = ticket;
-  while ((w = g_queue_peek_head (&r->writes)) != NULL && w->ticket <= ticket)
+  r->synced_ticket = ticket;
+  while ((w = g_queue_peek_head (&r->pending_writes)) != NULL
+         && w->ticket <= ticket)
     {
-      r->durable = MAX (r->durable, w->last);
-      g_free (g_queue_pop_head (&r->writes));
+      r->durable = MAX (r->durable, w->last_index);
+      g_free (g_queue_pop_head (&r->pending_writes));
     }
-  release_held (r);
+  send_deferred (r);
   if (r->role == PU_ROLE_CANDIDATE)
     pu_r_count_votes (r, now);
   if (r->durable == durable)
@@ -537,7 +541,7 @@
   return true;
 }
 
-/* What can be asked.  */
+/* Queries.  */
 
 bool
 pu_replica_is_leader (const pu_replica_t *r)
--- a/libplantainusher/log/replica.h
+++ b/libplantainusher/log/replica.h
@@ -12,83 +12,93 @@
 G_BEGIN_DECLS
 
 /*
- * replica - the decisions of one voter of a replicated log; no I/O, no clock.
+ * replica - the protocol logic (Raft) of one member of a replicated log,
+ * without I/O and without a clock of its own.
  *
- * Elections with pre-vote and check-quorum, replication with pipelining, a
- * leader's lease, changes of voters one at a time, snapshot transfer.
+ * Implements elections with pre-vote and check-quorum, pipelined replication,
+ * leader leases, single-server membership changes and snapshot transfer.
  *
- * The caller puts in time, messages, proposals and what the disk has synced;
- * it takes out actions with pu_replica_next and carries them out in order.
- * Writes carry a ticket: the caller reports the highest ticket below which
- * everything is durable with pu_replica_synced.  Nothing that depends on a
- * write leaves the replica before that.
+ * The caller supplies the time, received messages, proposals and reports of
+ * durable writes.  It takes actions with pu_replica_next and executes them in
+ * order.  Writes carry a ticket; the caller calls pu_replica_synced with the
+ * highest ticket up to which all writes are durable.  A message that depends
+ * on a write is not sent before that write is durable.
  *
- * `now` is in milliseconds and monotonic.  It must be read from the clock for
- * the call, not taken from a cached loop time: the lease rests on it.
+ * `now` is a monotonic time in milliseconds.  It must be read from the clock
+ * for each call, not taken from a cached loop time, because the lease depends
+ * on it.
  */
 
 typedef struct pu_replica pu_replica_t;
 
-/* Rules broken on purpose; for tests alone.  */
+/* Deliberate faults, for tests only: each disables one safety rule.  */
 typedef enum
 {
-  PU_BREAK_ACK_BEFORE_SYNC = 1,  /* acknowledge what is not synced */
-  PU_BREAK_VOTE_BEFORE_SYNC = 2, /* grant a vote that is not durable */
+  PU_BREAK_ACK_BEFORE_SYNC = 1,  /* acknowledge unsynced entries */
+  PU_BREAK_VOTE_BEFORE_SYNC = 2, /* send a vote that is not durable */
   PU_BREAK_VOTE_IN_LEASE = 4,    /* vote while a leader may hold a lease */
-  PU_BREAK_COMMIT_OLD_TERM = 8,  /* count copies of an earlier term */
-  PU_BREAK_NO_FLOORS = 16,       /* forget what identities had synced */
+  PU_BREAK_COMMIT_OLD_TERM = 8,  /* commit entries of earlier terms by
+                                    counting copies */
+  PU_BREAK_NO_FLOORS = 16,       /* ignore durable floors */
 } pu_replica_break_t;
 
 typedef struct
 {
-  uint32_t group;             /* number of this log; in each message */
-  pu_log_peer self;           /* this voter's identity, name and address */
-  const pu_log_peer *initial; /* voters that start the log, self among them;
-                                 ids are ignored; one without a name is known
-                                 by its address; also where to ask for a
-                                 leader */
+  uint32_t group;             /* number of this log, sent in each message */
+  pu_log_peer self;           /* name and address of this voter; the id is
+                                 taken from the disk */
+  const pu_log_peer *initial; /* voters that bootstrap the log, including
+                                 self; ids are ignored; a voter without a name
+                                 is identified by its address; these are also
+                                 asked for the leader */
   size_t n_initial;
-  bool rejoined;             /* the folder has held a log before: never
-                                start one */
-  uint64_t seed;             /* of the random election timeouts */
-  uint32_t election_ms;      /* 1000: least election timeout; twice that is
-                                the most */
-  uint32_t heartbeat_ms;     /* 250 */
-  uint32_t drift_permille;   /* 10: each clock's rate is this near to true */
-  uint32_t replace_after_ms; /* 60000: a voter silent that long gives its
-                                place to a learner, if there is one */
-  uint32_t voters_wanted;    /* 0: learners become voters so far as operators
-                                want more of them, else until there are so
-                                many, an odd number at a time */
-  uint32_t snapshot_entries; /* 4096: entries until a snapshot */
-  uint64_t snapshot_bytes;   /* 16 MiB: bytes until a snapshot */
-  bool snapshot_together;    /* all voters at the same point: a benchmark's
-                                baseline */
-  uint32_t keep_entries;     /* 1024: kept behind a snapshot for others */
-  uint32_t batch_bytes;      /* 1 MiB: entries in one message; one larger
-                                entry goes alone */
-  uint32_t window;           /* 8: messages on the way to one voter */
-  uint32_t pending_entries;  /* 8192: proposed and not committed */
-  uint64_t pending_bytes;    /* 64 MiB */
-  unsigned breaks;           /* pu_replica_break_t; tests alone */
+  bool rejoined;             /* the folder has held a log before: this voter
+                                does not bootstrap one */
+  uint64_t seed;             /* for the random election timeouts */
+  uint32_t election_ms;      /* default 1000: minimum election timeout; the
+                                maximum is twice this */
+  uint32_t heartbeat_ms;     /* default 250: heartbeat interval */
+  uint32_t drift_permille;   /* default 10: maximum rate error of a clock */
+  uint32_t replace_after_ms; /* default 60000: a voter that has been silent
+                                longer is replaced by a caught-up learner, if
+                                there is one */
+  uint32_t voters_wanted;    /* 0: only operators raise the number of voters;
+                                else the leader raises it up to this number
+                                while learners are caught up, keeping it
+                                odd */
+  uint32_t snapshot_entries; /* default 4096: entries between snapshots */
+  uint64_t snapshot_bytes;   /* default 16 MiB: bytes between snapshots */
+  bool snapshot_together;    /* all members take snapshots at the same index,
+                                not staggered; the baseline of a benchmark */
+  uint32_t keep_entries;     /* default 1024: entries kept before a snapshot,
+                                for members that lag */
+  uint32_t batch_bytes;      /* default 1 MiB: entries in one message; a larger
+                                entry is sent alone */
+  uint32_t window;           /* default 8: in-flight messages with entries to
+                                one member */
+  uint32_t pending_entries;  /* default 8192: maximum of proposed entries that
+                                are not committed */
+  uint64_t pending_bytes;    /* default 64 MiB: the same in bytes */
+  unsigned breaks;           /* pu_replica_break_t flags; tests only */
 } pu_replica_options_t;
 
-/* A snapshot of the state machine, and what the log needs beside it.  */
+/* A snapshot of the state machine with its position and configuration.  */
 typedef struct
 {
-  uint64_t index; /* the last entry it covers; 0 is none */
+  uint64_t index; /* last entry included; 0: no snapshot */
   uint64_t term;
   pu_log_config config;
   GBytes *data;
 } pu_snapshot_t;
 
-/* What the disk holds when a voter starts.  */
+/* The durable state from which a voter starts.  */
 typedef struct
 {
   pu_log_meta meta;
   pu_snapshot_t snapshot;
-  GPtrArray *entries; /* pu_record_t, after the snapshot, without gaps */
-  uint64_t commit;    /* known to be committed; at least the snapshot */
+  GPtrArray *entries; /* of pu_record_t; contiguous, from the entry after
+                         the snapshot */
+  uint64_t commit;    /* known commit index; at least the snapshot's */
 } pu_disk_image_t;
 
 void pu_disk_image_init (pu_disk_image_t *d);
@@ -96,23 +106,28 @@
 
 typedef enum
 {
-  PU_ACTION_SEND,   /* send.to, send.msg */
-  PU_ACTION_WRITE,  /* write.entries: an index already in the journal
-                       replaces it and drops all after it */
-  PU_ACTION_META,   /* meta.meta */
-  PU_ACTION_SAVE,   /* save.snapshot; when save.installed, first restore the
-                       state machine from it and void the journal's entries.
-                       Answer with pu_replica_saved */
-  PU_ACTION_TAKE,   /* take an image at take.index, pu_replica_snapshot */
-  PU_ACTION_APPLY,  /* apply.first to apply.last are committed */
-  PU_ACTION_ROLE,   /* role.leader, role.term */
-  PU_ACTION_REJOIN, /* this identity is spent: start anew with a new one */
+  PU_ACTION_SEND,   /* send send.msg to send.to */
+  PU_ACTION_WRITE,  /* write write.entries to the journal; an entry whose index
+                       is already there replaces it and truncates the entries
+                       after it */
+  PU_ACTION_META,   /* write meta.meta to the journal */
+  PU_ACTION_SAVE,   /* save save.snapshot; if save.installed, restore the state
+                       machine from it first and discard the journal's
+                       entries.  Report it with pu_replica_saved */
+  PU_ACTION_TAKE,   /* take a snapshot of the state machine at take.index and
+                       pass it to pu_replica_snapshot */
+  PU_ACTION_APPLY,  /* apply the committed entries from apply.first to
+                       apply.last */
+  PU_ACTION_ROLE,   /* this voter became leader (role.leader) or stopped
+                       leading, in role.term */
+  PU_ACTION_REJOIN, /* this identity is retired: restart the replica with a
+                       new identity */
 } pu_action_kind_t;
 
 typedef struct
 {
   pu_action_kind_t kind;
-  uint64_t ticket; /* of WRITE and META */
+  uint64_t ticket; /* of PU_ACTION_WRITE and PU_ACTION_META */
   union
   {
     struct
@@ -122,12 +137,13 @@
     } send;
     struct
     {
-      GPtrArray *entries; /* pu_record_t */
+      GPtrArray *entries; /* of pu_record_t */
       uint64_t commit;
     } write;
     struct
     {
-      pu_log_meta meta; /* the rest is the journal's */
+      pu_log_meta meta; /* id, cluster, term and vote; the journal fills in
+                           the rest */
     } meta;
     struct
     {
@@ -151,82 +167,92 @@
   };
 } pu_action_t;
 
-/* pu_action_clear - frees what A owns.  */
+/* pu_action_clear - frees the contents of A.  */
 void pu_action_clear (pu_action_t *a);
 
+/* pu_replica_options_init - sets the defaults.  */
 void pu_replica_options_init (pu_replica_options_t *o);
 
-/* pu_replica_new - a voter as DISK has it (copied by reference).  Its own
-   identity is DISK->meta.id, which must be durable already.  NOW is the time
-   of its start: it votes for nobody until an election timeout later.  */
+/* pu_replica_new - creates a replica from the durable state DISK; entries and
+   snapshot data are shared by reference.  Its identity is DISK->meta.id, which
+   must be durable already.  NOW is the start time: the replica grants no vote
+   until O->election_ms later.  */
 pu_replica_t *pu_replica_new (const pu_replica_options_t *o,
                               const pu_disk_image_t *disk, uint64_t now);
 void pu_replica_free (pu_replica_t *r);
 
-/* pu_replica_tick - lets time pass; call it at least every heartbeat_ms / 5.
+/* pu_replica_tick - runs the timers; call it at least every heartbeat_ms / 5.
  */
 void pu_replica_tick (pu_replica_t *r, uint64_t now);
 
-/* pu_replica_receive - takes a message.  Anything may be in it: what makes no
-   sense is dropped.  */
+/* pu_replica_receive - handles a message.  Its contents are not trusted;
+   invalid messages are dropped.  */
 void pu_replica_receive (pu_replica_t *r, uint64_t now, const pu_log_msg *m);
 
-/* pu_replica_propose - appends a data entry to the leader's log.  INDEX gets
-   its position; it is committed only when an APPLY covers that position while
-   pu_replica_term_at still gives the same term.  Errors: PU_ERROR_UNAVAILABLE,
+/* pu_replica_propose - appends a data entry to the leader's log and stores its
+   index in INDEX.  The proposal is committed only when a PU_ACTION_APPLY
+   covers that index and the entry there (pu_replica_entry) has the term in
+   which it was proposed.  Errors: PU_ERROR_UNAVAILABLE (not the leader,
+   leadership transfer in progress, too many uncommitted entries),
    PU_ERROR_TOO_LARGE.  */
 bool pu_replica_propose (pu_replica_t *r, uint64_t now, const void *bytes,
                          size_t len, uint64_t *index, pu_error_t *e);
 
-/* pu_replica_synced - all writes up to TICKET are durable.  */
+/* pu_replica_synced - reports that all writes up to TICKET are durable.  */
 void pu_replica_synced (pu_replica_t *r, uint64_t now, uint64_t ticket);
 
-/* pu_replica_saved - the snapshot at INDEX is durable.  */
+/* pu_replica_saved - reports that the snapshot at INDEX is durable.  */
 void pu_replica_saved (pu_replica_t *r, uint64_t now, uint64_t index);
 
-/* pu_replica_snapshot - answers TAKE: DATA is the image at INDEX, or NULL when
-   there is none now.  */
+/* pu_replica_snapshot - supplies the snapshot that PU_ACTION_TAKE requested:
+   DATA is the state machine at INDEX, or NULL if none is available now.  */
 void pu_replica_snapshot (pu_replica_t *r, uint64_t index, GBytes *data);
 
-/* pu_replica_fail - the disk failed: falls silent for good.  */
+/* pu_replica_fail - reports that the disk failed: the replica permanently
+   stops taking part.  */
 void pu_replica_fail (pu_replica_t *r);
 
-/* pu_replica_next - takes the next action; false when there is none.  Clear it
-   with pu_action_clear.  Draining at the end of a loop iteration puts all
-   proposals of that iteration into one write and one message a voter.  */
+/* pu_replica_next - stores the next action in A and returns true, or returns
+   false if there is none.  Free it with pu_action_clear.  Calling this only at
+   the end of a loop iteration combines all proposals of that iteration into
+   one write and one message to each voter.  */
 bool pu_replica_next (pu_replica_t *r, uint64_t now, pu_action_t *a);
 
-/* pu_replica_holds_lease - see pu_group_holds_lease.  */
+/* pu_replica_holds_lease - returns whether this voter is the leader and no
+   other voter can be elected; see pu_group_holds_lease.  */
 bool pu_replica_holds_lease (const pu_replica_t *r, uint64_t now);
 
-/* pu_replica_transfer - hands the lead to the voter that is furthest, once it
-   has the whole log.  No proposals are taken meanwhile.  */
+/* pu_replica_transfer - transfers leadership to the reachable voter with the
+   highest match index as soon as it has the whole log.  Proposals are refused
+   meanwhile.  */
 void pu_replica_transfer (pu_replica_t *r, uint64_t now);
 
 typedef enum
 {
-  PU_VOTERS_ADD,     /* one voter more: NAME, now a learner */
-  PU_VOTERS_REMOVE,  /* one voter less: NAME */
-  PU_VOTERS_REPLACE, /* WITH, now a learner, takes the place of NAME */
+  PU_VOTERS_ADD,     /* the learner NAME becomes an additional voter */
+  PU_VOTERS_REMOVE,  /* the voter NAME is removed */
+  PU_VOTERS_REPLACE, /* the learner WITH replaces the voter NAME */
 } pu_voters_change_t;
 
-/* pu_replica_change_voters - see pu_group_voters_add.  */
+/* pu_replica_change_voters - appends an operator's change of voters to the
+   leader's log; see pu_group_voters_add for the errors.  */
 bool pu_replica_change_voters (pu_replica_t *r, uint64_t now,
                                pu_voters_change_t change, const char *name,
                                const char *with, pu_error_t *e);
 
-/* pu_replica_meet - a voter may stand at ADDRESS.  A replica that did not
-   start the log greets it, like the initial ones, while it has no log.  */
+/* pu_replica_meet - adds ADDRESS to the addresses to which a replica that has
+   no log or no leader sends hello messages.  Ignored on an initial voter,
+   which bootstraps with exactly the initial voters.  */
 void pu_replica_meet (pu_replica_t *r, const char *address);
 
 bool pu_replica_is_leader (const pu_replica_t *r);
 bool pu_replica_failed (const pu_replica_t *r);
 uint64_t pu_replica_term (const pu_replica_t *r);
-uint64_t pu_replica_first (const pu_replica_t *r); /* first entry held */
-uint64_t pu_replica_last (const pu_replica_t *r);  /* last entry held */
+uint64_t pu_replica_first (const pu_replica_t *r); /* first entry in memory */
+uint64_t pu_replica_last (const pu_replica_t *r);  /* last entry in memory */
 uint64_t pu_replica_commit (const pu_replica_t *r);
-/* pu_replica_behind_ms - for how long what a leader has committed has been
-   beyond what is known here to be committed.  */
+/* pu_replica_behind_ms - returns for how long the commit index here has been
+   lower than the highest one that a leader reported; 0 if it is not.  */
 uint64_t pu_replica_behind_ms (const pu_replica_t *r, uint64_t now);
 uint64_t pu_replica_durable (const pu_replica_t *r);
 uint64_t pu_replica_snapshot_index (const pu_replica_t *r);
@@ -234,14 +260,18 @@
 const pu_log_peer *pu_replica_leader (const pu_replica_t *r); /* or NULL */
 const pu_log_config *pu_replica_config (const pu_replica_t *r);
 
-/* pu_replica_config_index - where the configuration in force stands.  */
+/* pu_replica_config_index - returns the index of the configuration in
+   force.  */
 uint64_t pu_replica_config_index (const pu_replica_t *r);
 
-/* pu_replica_entry - the entry at INDEX, or NULL when it is not held.  */
+/* pu_replica_entry - returns the entry at INDEX, or NULL if it is not in
+   memory.  */
 const pu_record_t *pu_replica_entry (const pu_replica_t *r, uint64_t index);
 
-/* pu_replica_peer_state - on the leader: the position that ID has synced, and
-   for how long it has been silent.  False for others.  */
+/* pu_replica_peer_state - on the leader, stores the match index of member ID,
+   up to which its log is durable and equal to the leader's, in MATCH, and the
+   time since its last answer in SILENT_MS.  Returns false if this is not the
+   leader or ID is not another member.  */
 bool pu_replica_peer_state (const pu_replica_t *r, uint64_t id, uint64_t now,
                             uint64_t *match, uint64_t *silent_ms);
 
--- a/libplantainusher/log/replica_disk.h
+++ b/libplantainusher/log/replica_disk.h
@@ -1,7 +1,7 @@
 #ifndef PU_LOG_REPLICA_DISK_H
 #define PU_LOG_REPLICA_DISK_H
 
-/* replica_disk - a voter of replica_sim and what its disk holds.  */
+/* replica_disk - a simulated node of replica_sim and its simulated disk.  */
 
 #include <deque>
 #include <string>
@@ -61,18 +61,18 @@
 {
   pu_replica_t *r = nullptr;
   Disk disk;
-  std::deque<pu_action_t> pending; // WRITE, META, SAVE not synced yet
+  std::deque<pu_action_t> pending; // WRITE, META and SAVE not synced yet
   std::string name;
-  int rate = 0; // permille off the true time
-  uint64_t offset = 0;
+  int rate = 0;        // clock rate error, permille
+  uint64_t offset = 0; // of its clock, ms
   bool paused = false;
   bool stalled = false;
-  uint64_t chain = 0; // the state machine: a hash over all data
+  uint64_t chain = 0; // the state machine: a hash of all data entries
   uint64_t applied = 0;
-  std::vector<uint64_t> voters; // as last known
-  uint64_t config = 0;          // where that stands
-  bool rejoined = false;        // has been part of a log
-  bool surplus = false;         // more of them than wanted
+  std::vector<uint64_t> voters; // in the configuration of its log
+  uint64_t config = 0;          // index of that configuration
+  bool rejoined = false;        // has been a member of a log
+  bool surplus = false;         // more voters than the target
 };
 
 } // namespace sim
--- a/libplantainusher/log/replica_log.c
+++ b/libplantainusher/log/replica_log.c
@@ -56,12 +56,13 @@
   return pu_r_term_at (r, pu_r_last (r), &known);
 }
 
-/* Configurations.  The newest in the log is in force, committed or not.  */
+/* Configurations.  The newest one in the log is in force, whether or not it is
+   committed.  */
 
-static pu_config_at_t *
+static pu_config_entry_t *
 newest_config (const pu_replica_t *r)
 {
-  return &g_array_index (r->configs, pu_config_at_t, r->configs->len - 1);
+  return &g_array_index (r->configs, pu_config_entry_t, r->configs->len - 1);
 }
 
 const pu_log_config *
@@ -82,15 +83,15 @@
   guint i = r->configs->len;
 
   while (i > 1
-         && g_array_index (r->configs, pu_config_at_t, i - 1).index > index)
+         && g_array_index (r->configs, pu_config_entry_t, i - 1).index > index)
     i--;
-  return &g_array_index (r->configs, pu_config_at_t, i - 1).config;
+  return &g_array_index (r->configs, pu_config_entry_t, i - 1).config;
 }
 
 void
 pu_r_push_config (pu_replica_t *r, uint64_t index, const pu_log_config *c)
 {
-  pu_config_at_t at = { .index = index };
+  pu_config_entry_t at = { .index = index };
 
   pu_log_config_copy (&at.config, c);
   g_array_append_val (r->configs, at);
@@ -112,16 +113,16 @@
 drop_configs_before (pu_replica_t *r, uint64_t index)
 {
   while (r->configs->len > 1
-         && g_array_index (r->configs, pu_config_at_t, 1).index <= index)
+         && g_array_index (r->configs, pu_config_entry_t, 1).index <= index)
     {
       pu_log_config_clear (
-          &g_array_index (r->configs, pu_config_at_t, 0).config);
+          &g_array_index (r->configs, pu_config_entry_t, 0).config);
       g_array_remove_index (r->configs, 0);
     }
 }
 
 static void
-note_config (pu_replica_t *r, const pu_record_t *n)
+push_decoded_config (pu_replica_t *r, const pu_record_t *n)
 {
   pu_log_config c = { 0 };
 
@@ -138,20 +139,20 @@
   uint64_t cluster = r->cluster;
 
   g_ptr_array_add (r->entries, n);
-  r->bytes += sizeof *n + n->len;
-  note_config (r, n);
+  r->bytes_since_snapshot += sizeof *n + n->len;
+  push_decoded_config (r, n);
   if (r->cluster != cluster)
     pu_r_save_meta (r);
 }
 
 static void
-clamp_writes (pu_replica_t *r, uint64_t last)
+limit_pending_writes (pu_replica_t *r, uint64_t last)
 {
-  for (GList *l = r->writes.head; l != NULL; l = l->next)
+  for (GList *l = r->pending_writes.head; l != NULL; l = l->next)
     {
-      pu_write_t *w = l->data;
+      pu_pending_write_t *w = l->data;
 
-      w->last = MIN (w->last, last);
+      w->last_index = MIN (w->last_index, last);
     }
 }
 
@@ -162,29 +163,30 @@
 
   for (uint64_t i = first; i <= pu_r_last (r); i++)
     {
-      r->bytes -= MIN (r->bytes,
-                       sizeof (pu_record_t) + pu_replica_entry (r, i)->len);
+      r->bytes_since_snapshot
+          -= MIN (r->bytes_since_snapshot,
+                  sizeof (pu_record_t) + pu_replica_entry (r, i)->len);
     }
   g_ptr_array_set_size (r->entries, (gint)(keep - r->base));
   r->written = MIN (r->written, keep);
   r->durable = MIN (r->durable, keep);
   r->verified = MIN (r->verified, keep);
-  clamp_writes (r, keep);
+  limit_pending_writes (r, keep);
   drop_configs_from (r, first);
 }
 
-/* Hands all entries that the journal has not got to it, as one write.  */
+/* Passes all entries not written yet to the journal as one write.  */
 void
 pu_r_flush_writes (pu_replica_t *r)
 {
   uint64_t last = pu_r_last (r);
   pu_action_t *a;
-  pu_write_t *w;
+  pu_pending_write_t *w;
 
   if (r->silent || r->installing != 0 || r->written >= last)
     return;
   a = pu_r_action (r, PU_ACTION_WRITE);
-  a->ticket = ++r->ticket;
+  a->ticket = ++r->last_ticket;
   a->write.commit = r->commit;
   a->write.entries
       = g_ptr_array_new_with_free_func ((GDestroyNotify)pu_record_unref);
@@ -194,10 +196,10 @@
                        pu_record_ref (pu_replica_entry (r, i)));
     }
   r->written = last;
-  w = g_new (pu_write_t, 1);
+  w = g_new (pu_pending_write_t, 1);
   w->ticket = a->ticket;
-  w->last = last;
-  g_queue_push_tail (&r->writes, w);
+  w->last_index = last;
+  g_queue_push_tail (&r->pending_writes, w);
 }
 
 void
@@ -211,11 +213,11 @@
   r->commit = commit;
 }
 
-/* Snapshots.  Voters take theirs at different points of the same period, by
-   their place in the configuration.  */
+/* Snapshots.  Members take snapshots with the same period, staggered by their
+   position in the configuration.  */
 
 static uint32_t
-own_rank (const pu_replica_t *r, const pu_log_config *c)
+own_position (const pu_replica_t *r, const pu_log_config *c)
 {
   for (guint i = 0; i < c->members.members_len; i++)
     {
@@ -230,16 +232,16 @@
 {
   const pu_log_config *c = pu_r_config (r);
   uint32_t members = MAX (c->members.members_len, 1);
-  uint32_t rank = r->o.snapshot_together ? 0 : own_rank (r, c);
+  uint32_t rank = r->o.snapshot_together ? 0 : own_position (r, c);
   uint64_t period = r->o.snapshot_entries;
   uint64_t phase = period * rank / members;
   uint64_t limit = r->o.snapshot_bytes
                    + r->o.snapshot_bytes * rank / (2 * (uint64_t)members);
 
-  if (r->taking || r->installing != 0 || r->applied == r->snapshot.index
-      || r->applied <= r->take_after)
+  if (r->snapshot_requested || r->installing != 0
+      || r->applied == r->snapshot.index || r->applied <= r->no_snapshot_up_to)
     return false;
-  if (r->bytes >= limit)
+  if (r->bytes_since_snapshot >= limit)
     return true;
   return (r->applied + period - phase) / period
          > (r->snapshot.index + period - phase) / period;
@@ -261,7 +263,7 @@
     }
   if (snapshot_due (r))
     {
-      r->taking = true;
+      r->snapshot_requested = true;
       a = pu_r_action (r, PU_ACTION_TAKE);
       a->take.index = r->applied;
     }
@@ -273,33 +275,35 @@
   bool known;
   pu_action_t *a;
 
-  if (!r->taking || r->installing != 0 || index <= r->snapshot.index
-      || data == NULL)
+  if (!r->snapshot_requested || r->installing != 0
+      || index <= r->snapshot.index || data == NULL)
     {
-      r->taking = false;
-      r->take_after = MAX (r->take_after, index);
+      r->snapshot_requested = false;
+      r->no_snapshot_up_to = MAX (r->no_snapshot_up_to, index);
       return;
     }
-  pu_snapshot_clear (&r->taken);
-  r->taken.index = index;
-  r->taken.term = pu_r_term_at (r, index, &known);
-  r->taken.data = g_bytes_ref (data);
-  pu_log_config_copy (&r->taken.config, pu_r_config_at (r, index));
+  pu_snapshot_clear (&r->unsaved_snapshot);
+  r->unsaved_snapshot.index = index;
+  r->unsaved_snapshot.term = pu_r_term_at (r, index, &known);
+  r->unsaved_snapshot.data = g_bytes_ref (data);
+  pu_log_config_copy (&r->unsaved_snapshot.config, pu_r_config_at (r, index));
   a = pu_r_action (r, PU_ACTION_SAVE);
-  pu_snapshot_copy (&a->save.snapshot, &r->taken);
+  pu_snapshot_copy (&a->save.snapshot, &r->unsaved_snapshot);
 }
 
-/* Forgets entries that a snapshot covers, but for the last keep_entries.  */
+/* Discards the entries that the snapshot covers, except the last
+   keep_entries of them.  */
 static void
-compact (pu_replica_t *r)
+compact_log (pu_replica_t *r)
 {
   uint64_t index = r->snapshot.index;
   uint64_t base = index - MIN (index, r->o.keep_entries);
   bool known;
 
-  r->bytes = 0;
+  r->bytes_since_snapshot = 0;
   for (uint64_t i = index + 1; i <= pu_r_last (r); i++)
-    r->bytes += sizeof (pu_record_t) + pu_replica_entry (r, i)->len;
+    r->bytes_since_snapshot
+        += sizeof (pu_record_t) + pu_replica_entry (r, i)->len;
   if (base <= r->base)
     return;
   r->base_term = pu_r_term_at (r, base, &known);
@@ -321,13 +325,13 @@
       pu_r_reply_append (r, true, 0);
       return;
     }
-  if (index == 0 || r->taken.index != index)
+  if (index == 0 || r->unsaved_snapshot.index != index)
     return;
-  r->taking = false;
+  r->snapshot_requested = false;
   pu_snapshot_clear (&r->snapshot);
-  r->snapshot = r->taken;
-  memset (&r->taken, 0, sizeof r->taken);
-  compact (r);
+  r->snapshot = r->unsaved_snapshot;
+  memset (&r->unsaved_snapshot, 0, sizeof r->unsaved_snapshot);
+  compact_log (r);
 }
 
 static void
@@ -339,23 +343,23 @@
   pu_r_push_config (r, index, c);
 }
 
-/* Puts snapshot S, which is ahead of all that is committed here, in place of
-   the log.  Takes what S owns.  */
+/* Replaces the log by the snapshot S, which must be newer than the commit
+   index.  Takes over the contents of S.  */
 void
 pu_r_install (pu_replica_t *r, pu_snapshot_t *s)
 {
   pu_action_t *a;
 
-  g_queue_clear_full (&r->writes, g_free);
-  pu_r_drop_held (r);
-  pu_snapshot_clear (&r->taken);
+  g_queue_clear_full (&r->pending_writes, g_free);
+  pu_r_drop_deferred_sends (r);
+  pu_snapshot_clear (&r->unsaved_snapshot);
   pu_snapshot_clear (&r->snapshot);
-  r->taking = false;
+  r->snapshot_requested = false;
   r->snapshot = *s;
   g_ptr_array_set_size (r->entries, 0);
   r->base = s->index;
   r->base_term = s->term;
-  r->bytes = 0;
+  r->bytes_since_snapshot = 0;
   r->commit = s->index;
   r->applied = s->index;
   r->written = s->index;
--- a/libplantainusher/log/replica_private.h
+++ b/libplantainusher/log/replica_private.h
@@ -6,81 +6,93 @@
 G_BEGIN_DECLS
 
 /*
- * replica_private - what the files of the replica share.
+ * replica_private - declarations shared by the source files of the replica.
  *
- *   replica.c         construction, time, dispatch, actions
+ *   replica.c         construction, timers, message dispatch, actions
  *   replica_log.c     entries in memory, writes, configurations, snapshots
  *   replica_vote.c    elections, lease
  *   replica_append.c  replication, commit
- *   replica_voters.c  start of a log, joining, changes of voters
+ *   replica_voters.c  bootstrap, joining, membership changes
  *   replica_fetch.c   snapshot transfer
  */
 
 typedef enum
 {
   PU_ROLE_FOLLOWER,
-  PU_ROLE_PRECANDIDATE,
+  PU_ROLE_PRE_CANDIDATE,
   PU_ROLE_CANDIDATE,
   PU_ROLE_LEADER,
 } pu_role_t;
 
-/* The leader's view of another member.  */
+/* The leader's replication state for another member.  Times are in
+   milliseconds.  */
 typedef struct
 {
   uint64_t id;
-  uint64_t next;      /* next entry to send */
-  uint64_t match;     /* synced there and the same as here */
-  uint64_t floor;     /* synced there, learnt from earlier leaders */
-  uint64_t seq;       /* of the last message */
-  uint64_t match_seq; /* answers from here on must know of match */
-  uint64_t reject_seq;
-  uint64_t acked_sent; /* newest send time that was answered */
-  uint64_t heard;
-  uint64_t beat_at;  /* next heartbeat */
-  bool probing;      /* next is a guess: send no entries */
-  bool refused;      /* lost what it had synced */
-  GQueue on_way;     /* last index of each message with entries */
-  uint64_t snapshot; /* newest snapshot there */
-  uint64_t fetched;
-  uint64_t fetched_at; /* when fetched last rose */
-  uint64_t seeder;     /* 0: it needs no snapshot */
+  uint64_t next;       /* next index to send */
+  uint64_t match;      /* match index: durable there and equal to this log */
+  uint64_t floor;      /* durable floor, learned from earlier leaders */
+  uint64_t seq;        /* of the last message sent */
+  uint64_t match_seq;  /* replies from this seq on must report at least match
+                          as synced */
+  uint64_t reject_seq; /* last seq sent when a rejection arrived; rejections
+                          up to it are repeats */
+  uint64_t acked_sent; /* newest send time among the answered messages */
+  uint64_t heard;      /* time of the last reply */
+  uint64_t beat_at;    /* time of the next heartbeat */
+  bool probing;        /* next is not confirmed: send no entries */
+  bool refused;        /* lost entries that it had synced: not counted, told to
+                          rejoin */
+  GQueue on_way;       /* in-flight messages with entries: the last index of
+                          each */
+  uint64_t snapshot;   /* index of its newest snapshot */
+  uint64_t fetched;    /* bytes of a snapshot it has fetched */
+  uint64_t fetched_at; /* time of the last change of fetched */
+  uint64_t seeder;     /* member it fetches a snapshot from; 0: it needs
+                          none */
   uint32_t seeder_turn;
 } pu_progress_t;
 
+/* A configuration and the index of its entry.  */
 typedef struct
 {
   uint64_t index;
   pu_log_config config;
-} pu_config_at_t;
+} pu_config_entry_t;
 
+/* A write of entries that is not durable yet.  */
 typedef struct
 {
   uint64_t ticket;
-  uint64_t last;
-} pu_write_t;
+  uint64_t last_index;
+} pu_pending_write_t;
 
+/* A message that must not be sent before a write is durable.  */
 typedef struct
 {
-  uint64_t after; /* ticket */
+  uint64_t after_ticket;
   pu_log_peer to;
   GBytes *msg;
-} pu_held_t;
+} pu_deferred_send_t;
 
-/* A peer of the settings, and what it said of itself.  */
+/* A peer to which hello messages are sent: an initial voter, or an address
+   added later.  */
 typedef struct
 {
   pu_log_peer peer;
-  uint64_t fresh_at; /* 0: has not said that its log is empty */
+  uint64_t fresh_at; /* when it last reported that it may bootstrap the log;
+                        0: never */
 } pu_seed_t;
 
+/* A snapshot being fetched from another member.  */
 typedef struct
 {
-  pu_log_peer from; /* id 0: none under way */
+  pu_log_peer from; /* id 0: no fetch in progress */
   uint64_t index;
   uint64_t term;
-  uint64_t total;
+  uint64_t total; /* bytes */
   uint64_t hash;
-  uint64_t asked_at;
+  uint64_t asked_at; /* time of the last request */
   GByteArray *data;
 } pu_fetching_t;
 
@@ -88,10 +100,10 @@
 {
   pu_replica_options_t o;
   pu_log_peer self;
-  GArray *seeds; /* pu_seed_t, without self */
+  GArray *seeds; /* of pu_seed_t, without self */
   GRand *rand;
-  bool initial; /* one of those that start the log */
-  bool silent;  /* failed or spent */
+  bool initial; /* may bootstrap the log */
+  bool silent;  /* takes no part: the disk failed or the identity is retired */
   bool failed;
 
   uint64_t cluster;
@@ -99,56 +111,60 @@
   uint64_t vote;
   pu_role_t role;
   pu_log_peer leader; /* id 0: not known */
-  uint64_t heard_at;  /* from a leader, or the start */
-  uint64_t timeout_at;
-  uint64_t ask_at;    /* a candidate asks again for votes */
-  bool asks_transfer; /* by the wish of the leader before */
-  uint64_t hello_at;
-  GHashTable *granted; /* identities, in this round */
-  GHashTable *floors;  /* identity -> uint64_t * */
-
-  GPtrArray *entries; /* after base */
-  uint64_t base;
-  uint64_t base_term;
-  uint64_t bytes;  /* of entries after the snapshot, roughly */
-  GArray *configs; /* pu_config_at_t, rising, at least one */
+  uint64_t heard_at;  /* time of the last message from a leader, or of the
+                         start */
+  uint64_t election_deadline;
+  uint64_t vote_retry_at;    /* when a candidate repeats its vote requests */
+  bool transfer_campaign;    /* the leader requested this campaign */
+  uint64_t hello_at;         /* time of the next hello messages */
+  GHashTable *votes_granted; /* by identity, in this campaign */
+  GHashTable *floors;        /* identity -> uint64_t *, its durable floor */
+
+  GPtrArray *entries;            /* of pu_record_t, from index base + 1 */
+  uint64_t base;                 /* index before the first entry in memory */
+  uint64_t base_term;            /* term of the entry at base */
+  uint64_t bytes_since_snapshot; /* of the entries after it, approximately */
+  GArray *configs; /* of pu_config_entry_t, by index, at least one */
   pu_snapshot_t snapshot;
-  uint64_t hashed; /* index of the snapshot whose hash is known */
+  uint64_t hashed; /* index of the snapshot that hash belongs to */
   uint64_t hash;
-  pu_snapshot_t taken; /* not durable yet */
-  bool taking;
-  uint64_t take_after; /* there was no image before this position */
-  uint64_t installing; /* index of the snapshot being installed, or 0 */
-
-  uint64_t commit;
-  uint64_t heard_commit; /* the highest that a leader told of */
-  uint64_t behind_since; /* its commit is beyond this one's; 0: it is not */
-  uint64_t applied;      /* handed out */
-  uint64_t written;      /* handed out */
-  uint64_t durable;
-  GQueue writes; /* pu_write_t * */
-  uint64_t ticket;
-  uint64_t meta_ticket;
-  uint64_t synced;
-  GQueue actions; /* pu_action_t * */
-  GQueue held;    /* pu_held_t * */
-
-  /* follower */
-  uint64_t verified; /* the same as the leader's up to here, in this term */
-  uint64_t echo_seq;
-  uint64_t echo_sent;
-  bool owes_reply;
+  pu_snapshot_t unsaved_snapshot; /* index 0: none */
+  bool snapshot_requested;        /* and not durable yet */
+  uint64_t no_snapshot_up_to; /* none was available up to this index: request
+                                 none until a later entry is applied */
+  uint64_t installing;        /* index of the snapshot being installed, or 0 */
+
+  uint64_t commit;       /* commit index */
+  uint64_t heard_commit; /* highest commit index that a leader reported */
+  uint64_t behind_since; /* since when commit is lower than heard_commit; 0: it
+                            is not */
+  uint64_t applied;      /* last index passed on in PU_ACTION_APPLY */
+  uint64_t written;      /* last index passed on in PU_ACTION_WRITE */
+  uint64_t durable;      /* last durable index */
+  GQueue pending_writes; /* of pu_pending_write_t * */
+  uint64_t last_ticket;
+  uint64_t meta_ticket;   /* of the last write of metadata */
+  uint64_t synced_ticket; /* writes up to this ticket are durable */
+  GQueue actions;         /* of pu_action_t * */
+  GQueue deferred_sends;  /* of pu_deferred_send_t * */
+
+  /* As a follower.  */
+  uint64_t verified;  /* the log equals the leader's up to this index, in this
+                         term */
+  uint64_t echo_seq;  /* seq and send time of the leader's newest message, */
+  uint64_t echo_sent; /* returned in replies */
+  bool owes_reply;    /* reply as soon as more entries are durable */
   pu_fetching_t fetching;
 
-  /* leader */
-  GArray *progress; /* pu_progress_t, of all members but self */
+  /* As the leader.  */
+  GArray *progress; /* of pu_progress_t, for each member but self */
   uint64_t led_since;
-  uint64_t first_of_term;
-  uint64_t pending_bytes;  /* after commit */
-  uint64_t settled_index;  /* the configuration seen to be committed, */
-  uint64_t settled_at;     /* and since when */
-  uint64_t transfer_until; /* 0: none */
-  uint64_t transfer_to;
+  uint64_t first_of_term;  /* index of the first entry of this leader's term */
+  uint64_t pending_bytes;  /* of the entries after commit */
+  uint64_t settled_index;  /* index of the configuration last seen to be */
+  uint64_t settled_at;     /* committed, and since when */
+  uint64_t transfer_until; /* deadline of a leadership transfer; 0: none */
+  uint64_t transfer_to;    /* identity that is to become leader */
 };
 
 /* replica.c */
@@ -158,8 +174,8 @@
 void pu_r_reset_timeout (pu_replica_t *r, uint64_t now);
 void pu_r_follow (pu_replica_t *r, uint64_t now, uint64_t term,
                   const pu_log_peer *leader);
-void pu_r_rejoin (pu_replica_t *r);
-bool pu_r_drop_held (pu_replica_t *r);
+void pu_r_retire_identity (pu_replica_t *r);
+bool pu_r_drop_deferred_sends (pu_replica_t *r);
 
 /* replica_log.c */
 uint64_t pu_r_last (const pu_replica_t *r);
@@ -182,8 +198,9 @@
 /* replica_vote.c */
 bool pu_r_may_campaign (const pu_replica_t *r);
 void pu_r_campaign (pu_replica_t *r, uint64_t now, bool pre, bool transfer);
-/* pu_r_ask_again - a candidate asks for votes anew, as they may be lost.  */
-void pu_r_ask_again (pu_replica_t *r, uint64_t now);
+/* pu_r_repeat_vote_requests - repeats a candidate's vote requests when they
+   are due, as requests and replies may be lost.  */
+void pu_r_repeat_vote_requests (pu_replica_t *r, uint64_t now);
 void pu_r_on_vote (pu_replica_t *r, uint64_t now, const pu_log_msg *m);
 void pu_r_on_vote_reply (pu_replica_t *r, uint64_t now, const pu_log_msg *m);
 void pu_r_count_votes (pu_replica_t *r, uint64_t now);
--- a/libplantainusher/log/replica_vote.c
+++ b/libplantainusher/log/replica_vote.c
@@ -3,25 +3,28 @@
 #include <string.h>
 
 /*
- * Elections and the lease.
+ * Elections and the leader's lease.
  *
- * A voter votes for nobody while it may have answered a leader within the
- * least election timeout T by its own clock, nor within T of its start, when
- * it does not remember.  A leader counts its lease from the moment it sent the
- * messages that a quorum answered, and lets it end earlier than T by the drift
- * of two clocks and the grain of the millisecond.  Every quorum that could
- * elect another shares a voter with that one, so it elects nobody before the
- * lease has ended.  A leader that hands over stops leading first.
+ * A voter grants no vote within the minimum election timeout T, by its own
+ * clock, after it heard from a leader, nor within T after its start, because
+ * it does not store when it last heard from a leader.  A leader's lease starts
+ * at the send time of the messages that a quorum has answered; it is shorter
+ * than T by the drift of two clocks and the rounding to milliseconds.  Every
+ * quorum that could elect another leader shares a voter with that quorum, so
+ * no other leader is elected before the lease has expired.  Votes for a
+ * leadership transfer are granted within T, as the old leader steps down
+ * before it requests the election.
  */
 
 enum
 {
-  CLOCK_GRAIN_MS = 2, /* two times rounded down to a millisecond */
+  CLOCK_ROUNDING_MS = 2, /* two clock readings, rounded down to milliseconds */
   PERMILLE = 1000,
-  /* Within one election timeout.  After a power cut the first requests find
-     nobody, as connections to peers that start later have to be tried again;
-     and a voter that has just started grants nothing at first.  */
-  ASKS = 6,
+  /* Vote requests of a candidate within one minimum election timeout.  They
+     are repeated because after a power failure the first ones are lost, as
+     connections to peers that start later must be retried, and because a
+     voter grants no vote just after its start.  */
+  VOTE_REQUESTS_PER_ELECTION = 6,
 };
 
 uint64_t
@@ -60,7 +63,7 @@
 }
 
 static void
-ask_for_votes (pu_replica_t *r, bool pre, bool transfer)
+send_vote_requests (pu_replica_t *r, bool pre, bool transfer)
 {
   const pu_log_config *c = pu_r_config (r);
   pu_log_body b = { .kind = PU_LOG_VOTE };
@@ -79,27 +82,29 @@
 }
 
 static void
-ask (pu_replica_t *r, uint64_t now)
+request_votes (pu_replica_t *r, uint64_t now)
 {
-  r->ask_at = now + MAX (1, r->o.election_ms / ASKS);
-  ask_for_votes (r, r->role == PU_ROLE_PRECANDIDATE, r->asks_transfer);
+  r->vote_retry_at
+      = now + MAX (1, r->o.election_ms / VOTE_REQUESTS_PER_ELECTION);
+  send_vote_requests (r, r->role == PU_ROLE_PRE_CANDIDATE,
+                      r->transfer_campaign);
 }
 
 static void
 add_vote (pu_replica_t *r, uint64_t id)
 {
-  g_hash_table_add (r->granted, g_memdup2 (&id, sizeof id));
+  g_hash_table_add (r->votes_granted, g_memdup2 (&id, sizeof id));
 }
 
 void
 pu_r_campaign (pu_replica_t *r, uint64_t now, bool pre, bool transfer)
 {
-  g_hash_table_remove_all (r->granted);
+  g_hash_table_remove_all (r->votes_granted);
   add_vote (r, r->self.id);
   pu_r_follow (r, now, r->term, NULL);
   if (pre)
     {
-      r->role = PU_ROLE_PRECANDIDATE;
+      r->role = PU_ROLE_PRE_CANDIDATE;
     }
   else
     {
@@ -108,33 +113,34 @@
       r->vote = r->self.id;
       pu_r_save_meta (r);
     }
-  r->asks_transfer = transfer;
-  ask (r, now);
+  r->transfer_campaign = transfer;
+  request_votes (r, now);
   pu_r_count_votes (r, now);
 }
 
 void
-pu_r_ask_again (pu_replica_t *r, uint64_t now)
+pu_r_repeat_vote_requests (pu_replica_t *r, uint64_t now)
 {
-  bool asks = r->role == PU_ROLE_PRECANDIDATE || r->role == PU_ROLE_CANDIDATE;
+  bool campaigning
+      = r->role == PU_ROLE_PRE_CANDIDATE || r->role == PU_ROLE_CANDIDATE;
 
-  if (asks && now >= r->ask_at)
-    ask (r, now);
+  if (campaigning && now >= r->vote_retry_at)
+    request_votes (r, now);
 }
 
 static bool
 own_vote_durable (const pu_replica_t *r)
 {
-  return r->synced >= r->meta_ticket
+  return r->synced_ticket >= r->meta_ticket
          || (r->o.breaks & PU_BREAK_VOTE_BEFORE_SYNC) != 0;
 }
 
 void
 pu_r_count_votes (pu_replica_t *r, uint64_t now)
 {
-  if (g_hash_table_size (r->granted) < quorum (r))
+  if (g_hash_table_size (r->votes_granted) < quorum (r))
     return;
-  if (r->role == PU_ROLE_PRECANDIDATE)
+  if (r->role == PU_ROLE_PRE_CANDIDATE)
     {
       pu_r_campaign (r, now, false, false);
     }
@@ -145,7 +151,7 @@
 }
 
 static bool
-up_to_date (const pu_replica_t *r, const pu_log_vote *v)
+candidate_up_to_date (const pu_replica_t *r, const pu_log_vote *v)
 {
   uint64_t term = pu_r_last_term (r);
 
@@ -155,16 +161,17 @@
 }
 
 static bool
-in_lease (const pu_replica_t *r, uint64_t now)
+leader_lease_may_hold (const pu_replica_t *r, uint64_t now)
 {
   if (r->o.breaks & PU_BREAK_VOTE_IN_LEASE)
     return false;
   return r->role == PU_ROLE_LEADER || now < r->heard_at + r->o.election_ms;
 }
 
-/* What this voter knows of the others' disks; a new leader takes it over.  */
+/* Stores the known durable floors of the members in OUT and returns their
+   number.  A new leader adopts them from the votes it receives.  */
 static uint32_t
-known_floors (const pu_replica_t *r, pu_log_floor *out)
+collect_floors (const pu_replica_t *r, pu_log_floor *out)
 {
   const pu_log_config *c = pu_r_config (r);
   uint32_t n = 0;
@@ -181,13 +188,13 @@
 }
 
 static void
-reply_vote (pu_replica_t *r, const pu_log_msg *m, bool granted)
+send_vote_reply (pu_replica_t *r, const pu_log_msg *m, bool granted)
 {
   pu_log_body b = { .kind = PU_LOG_VOTE_REPLY };
   pu_log_floor floors[PU_LOG_MEMBERS_MAX + 1];
 
   b.pu_log_body_u.vote_reply.floors.floors_val = floors;
-  b.pu_log_body_u.vote_reply.floors.floors_len = known_floors (r, floors);
+  b.pu_log_body_u.vote_reply.floors.floors_len = collect_floors (r, floors);
 
   b.pu_log_body_u.vote_reply.pre = m->body.pu_log_body_u.vote.pre;
   b.pu_log_body_u.vote_reply.granted = granted;
@@ -199,10 +206,11 @@
 on_pre_vote (pu_replica_t *r, uint64_t now, const pu_log_msg *m)
 {
   const pu_log_vote *v = &m->body.pu_log_body_u.vote;
-  bool granted = m->term >= r->term && up_to_date (r, v) && !in_lease (r, now)
+  bool granted = m->term >= r->term && candidate_up_to_date (r, v)
+                 && !leader_lease_may_hold (r, now)
                  && v->last_index >= pu_r_floor (r, m->from.id);
 
-  reply_vote (r, m, granted);
+  send_vote_reply (r, m, granted);
 }
 
 void
@@ -220,15 +228,15 @@
     }
   if (m->term < r->term)
     {
-      reply_vote (r, m, false);
+      send_vote_reply (r, m, false);
       return;
     }
-  if (in_lease (r, now) && !v->transfer)
+  if (leader_lease_may_hold (r, now) && !v->transfer)
     return;
   if (m->term > r->term)
     pu_r_follow (r, now, m->term, NULL);
   granted = (r->vote == 0 || r->vote == m->from.id)
-            && r->role != PU_ROLE_LEADER && up_to_date (r, v)
+            && r->role != PU_ROLE_LEADER && candidate_up_to_date (r, v)
             && v->last_index >= pu_r_floor (r, m->from.id);
   if (granted && r->vote == 0)
     {
@@ -236,14 +244,14 @@
       pu_r_save_meta (r);
       pu_r_reset_timeout (r, now);
     }
-  reply_vote (r, m, granted);
+  send_vote_reply (r, m, granted);
 }
 
 void
 pu_r_on_vote_reply (pu_replica_t *r, uint64_t now, const pu_log_msg *m)
 {
   const pu_log_vote_reply *v = &m->body.pu_log_body_u.vote_reply;
-  pu_role_t asked = v->pre ? PU_ROLE_PRECANDIDATE : PU_ROLE_CANDIDATE;
+  pu_role_t asked = v->pre ? PU_ROLE_PRE_CANDIDATE : PU_ROLE_CANDIDATE;
   pu_log_member *from = pu_log_config_find (pu_r_config (r), m->from.id);
 
   if (!v->granted || r->role != asked || m->term > r->term)
@@ -257,7 +265,8 @@
       pu_r_raise_floor (r, v->floors.floors_val[i].id,
                         v->floors.floors_val[i].index);
     }
-  /* It has lost entries that it had synced: its vote proves nothing.  */
+  /* The sender has lost entries that it had synced.  Its vote does not show
+     that the candidate's log has all committed entries.  */
   if (v->last_index < pu_r_floor (r, m->from.id))
     return;
   add_vote (r, from->peer.id);
@@ -275,8 +284,8 @@
   return x < y ? 1 : (x > y ? -1 : 0);
 }
 
-/* The latest time by which a quorum, this leader among it, had been sent what
-   it has answered.  */
+/* Returns the latest time T for which each member of a quorum, including this
+   leader, has answered a message sent at T or later; 0 if there is none.  */
 uint64_t
 pu_r_quorum_sent (const pu_replica_t *r, uint64_t now)
 {
@@ -315,8 +324,8 @@
   uint64_t sent;
 
   if (r->role != PU_ROLE_LEADER || r->commit < r->first_of_term
-      || lease <= CLOCK_GRAIN_MS)
+      || lease <= CLOCK_ROUNDING_MS)
     return false;
   sent = pu_r_quorum_sent (r, now);
-  return sent != 0 && now < sent + lease - CLOCK_GRAIN_MS;
+  return sent != 0 && now < sent + lease - CLOCK_ROUNDING_MS;
 }
