--- a/libplantainusher/log/replica_log.c
+++ b/libplantainusher/log/replica_log.c
@@ -302,8 +302,10 @@
 
   r->bytes_since_snapshot = 0;
   for (uint64_t i = index + 1; i <= pu_r_last (r); i++)
-    r->bytes_since_snapshot
-        += sizeof (pu_record_t) + pu_replica_entry (r, i)->len;
+    {
+      r->bytes_since_snapshot
+          += sizeof (pu_record_t) + pu_replica_entry (r, i)->len;
+    }
   if (base <= r->base)
     return;
   r->base_term = pu_r_term_at (r, base, &known);
