--- a/libplantainusher/log/replica_append.c
+++ b/libplantainusher/log/replica_append.c
@@ -3,15 +3,21 @@
 #include <string.h>
 
 /*
- * Replication.  The leader sends entries ahead of the answers; a follower
- * answers with what it has synced.  A heartbeat shows a follower what it
- * missed, so lost messages need no timer of their own.
+ * Replication.  The leader pipelines messages with entries, up to a window for
+ * each member.  A follower acknowledges what it has synced to its disk.  A
+ * heartbeat carries the index and the term before the next entry to send; a
+ * follower that missed a message rejects it and the leader resends, so lost
+ * messages need no retransmission timer.
  */
 
 enum
 {
-  SILENT_ELECTIONS = 2, /* a leader without a quorum this long steps down */
-  HEARD_BEATS = 3,      /* a member heard within so many beats is alive */
+  /* Election timeouts without replies from a quorum until a leader steps
+     down.  */
+  QUORUM_LOSS_ELECTIONS = 2,
+  /* Heartbeats within which the target of a leadership transfer must have
+     replied.  */
+  TRANSFER_SILENCE_HEARTBEATS = 3,
 };
 
 pu_progress_t *
@@ -42,7 +48,8 @@
   g_array_append_val (r->progress, p);
 }
 
-/* Makes the table of progress follow the configuration.  */
+/* Adds a progress record for each new member of the configuration and removes
+   those of former members.  */
 void
 pu_r_sync_progress (pu_replica_t *r, uint64_t now)
 {
@@ -109,14 +116,19 @@
   if (r->role != PU_ROLE_LEADER || r->silent)
     return pu_error_set (e, PU_ERROR_UNAVAILABLE, "not the leader");
   if (r->transfer_until != 0)
-    return pu_error_set (e, PU_ERROR_UNAVAILABLE, "the lead is handed over");
+    return pu_error_set (e, PU_ERROR_UNAVAILABLE,
+                         "a leadership transfer is in progress");
   if (len > PU_LOG_ENTRY_MAX)
-    return pu_error_set (e, PU_ERROR_TOO_LARGE, "an entry of %zu bytes", len);
+    {
+      return pu_error_set (e, PU_ERROR_TOO_LARGE,
+                           "an entry of %zu bytes exceeds the size limit",
+                           len);
+    }
   if (pu_r_last (r) - r->commit >= r->o.pending_entries
       || r->pending_bytes + len > r->o.pending_bytes)
     {
       return pu_error_set (e, PU_ERROR_UNAVAILABLE,
-                           "too many entries are not committed yet");
+                           "too many entries are uncommitted");
     }
   *index = pu_r_append_own (r, PU_LOG_DATA, bytes, len);
   return true;
@@ -125,7 +137,7 @@
 /* Sending.  */
 
 static uint32_t
-gather_entries (const pu_replica_t *r, uint64_t first, pu_log_entry *out)
+collect_entries (const pu_replica_t *r, uint64_t first, pu_log_entry *out)
 {
   uint64_t last = pu_r_last (r);
   uint64_t bytes = 0;
@@ -144,7 +156,7 @@
 }
 
 static uint32_t
-gather_floors (const pu_replica_t *r, pu_log_floor *out)
+collect_floors (const pu_replica_t *r, pu_log_floor *out)
 {
   uint32_t n = 0;
 
@@ -181,7 +193,7 @@
     a->seeder = m->peer;
 }
 
-/* Sends one message: a heartbeat, or entries when WITH_ENTRIES.  */
+/* Sends an append message: entries if WITH_ENTRIES, else a heartbeat.  */
 static void
 send_append (pu_replica_t *r, pu_progress_t *p, uint64_t now,
              bool with_entries)
@@ -208,14 +220,14 @@
     {
       entries = g_new (pu_log_entry, PU_LOG_ENTRIES_MAX);
       a->entries.entries_val = entries;
-      a->entries.entries_len = gather_entries (r, p->next, entries);
+      a->entries.entries_len = collect_entries (r, p->next, entries);
       p->next += a->entries.entries_len;
       g_queue_push_tail (&p->on_way, GSIZE_TO_POINTER (p->next - 1));
     }
   else
     {
       a->floors.floors_val = floors;
-      a->floors.floors_len = gather_floors (r, floors);
+      a->floors.floors_len = collect_floors (r, floors);
     }
   pu_r_send (r, &to->peer, &b);
   g_free (entries);
@@ -234,8 +246,10 @@
     }
 }
 
+/* Cancels the leadership transfer at its deadline or if its target was
+   removed; completes it once the target holds the whole log.  */
 static void
-finish_transfer (pu_replica_t *r, uint64_t now)
+advance_transfer (pu_replica_t *r, uint64_t now)
 {
   const pu_log_member *to
       = pu_log_config_find (pu_r_config (r), r->transfer_to);
@@ -251,7 +265,7 @@
   if (p->match < pu_r_last (r))
     return;
   pu_log_peer_copy (&peer, &to->peer);
-  /* The lease ends before the other can be elected.  */
+  /* Step down first: the lease ends before the target can be elected.  */
   pu_r_follow (r, now, r->term, NULL);
   pu_r_send (r, &peer, &b);
   pu_log_peer_clear (&peer);
@@ -271,7 +285,9 @@
       const pu_progress_t *p = pu_r_progress (r, m->peer.id);
 
       if (m->role != PU_LOG_VOTER || p == NULL || p->refused
-          || now > p->heard + HEARD_BEATS * (uint64_t)r->o.heartbeat_ms)
+          || now > p->heard
+                       + TRANSFER_SILENCE_HEARTBEATS
+                             * (uint64_t)r->o.heartbeat_ms)
         continue;
       if (best == NULL || p->match > best->match)
         best = p;
@@ -280,11 +296,13 @@
     return;
   r->transfer_to = best->id;
   r->transfer_until = now + r->o.election_ms;
-  finish_transfer (r, now);
+  advance_transfer (r, now);
 }
 
+/* Sends a heartbeat if one is due.  A member that has lost synced entries is
+   told to rejoin instead.  */
 static void
-beat (pu_replica_t *r, pu_progress_t *p, uint64_t now)
+send_heartbeat (pu_replica_t *r, pu_progress_t *p, uint64_t now)
 {
   const pu_log_member *m = pu_log_config_find (pu_r_config (r), p->id);
 
@@ -306,17 +324,17 @@
 {
   uint64_t sent = MAX (pu_r_quorum_sent (r, now), r->led_since);
 
-  if (now > sent + SILENT_ELECTIONS * (uint64_t)r->o.election_ms)
+  if (now > sent + QUORUM_LOSS_ELECTIONS * (uint64_t)r->o.election_ms)
     {
       pu_r_follow (r, now, r->term, NULL);
       return;
     }
   pu_r_sync_progress (r, now);
   for (guint i = 0; i < r->progress->len; i++)
-    beat (r, &g_array_index (r->progress, pu_progress_t, i), now);
+    send_heartbeat (r, &g_array_index (r->progress, pu_progress_t, i), now);
   pu_r_update_commit (r);
   if (r->transfer_until != 0)
-    finish_transfer (r, now);
+    advance_transfer (r, now);
   if (r->role == PU_ROLE_LEADER)
     pu_r_balance (r, now);
 }
@@ -333,7 +351,7 @@
 }
 
 static uint64_t
-own_match (const pu_replica_t *r)
+own_match_index (const pu_replica_t *r)
 {
   if (r->o.breaks & PU_BREAK_ACK_BEFORE_SYNC)
     return pu_r_last (r);
@@ -358,7 +376,7 @@
         continue;
       if (m->peer.id == r->self.id)
         {
-          match[n++] = own_match (r);
+          match[n++] = own_match_index (r);
         }
       else
         {
@@ -371,20 +389,21 @@
   commit = match[n / 2];
   if (commit <= r->commit)
     return;
-  /* An entry of an earlier term can still be replaced, however many hold it;
-     it is committed by one of this term after it.  */
+  /* An entry of an earlier term may still be overwritten even if a quorum
+     holds it.  It is committed together with a later entry of this term.  */
   if (pu_r_term_at (r, commit, &known) == r->term
       || (r->o.breaks & PU_BREAK_COMMIT_OLD_TERM))
     pu_r_advance_commit (r, commit);
 }
 
-/* Answers, on the leader.  */
+/* Append replies, on the leader.  */
 
-/* An answer made after ID had acknowledged a position, yet showing a log that
-   ends below it: the disk has lost what it had synced.  */
+/* Returns whether reply A shows that the member's disk lost synced entries:
+   the synced log ends below the member's floor, or below an index that was
+   acknowledged before the message answered here was sent.  */
 static bool
-lost_entries (const pu_replica_t *r, const pu_progress_t *p,
-              const pu_log_append_reply *a)
+has_lost_entries (const pu_replica_t *r, const pu_progress_t *p,
+                  const pu_log_append_reply *a)
 {
   if (r->o.breaks & PU_BREAK_NO_FLOORS)
     return false;
@@ -394,7 +413,7 @@
 }
 
 static void
-note_match (pu_progress_t *p, uint64_t match)
+advance_match (pu_progress_t *p, uint64_t match)
 {
   if (match > p->match)
     {
@@ -416,10 +435,10 @@
 
   if (a->seq <= p->reject_seq)
     return;
-  p->reject_seq = p->seq; /* what is on the way says the same */
+  p->reject_seq = p->seq; /* rejections of messages in flight add nothing */
   next = MAX (next, p->match + 1);
-  /* Go on at once where that leads further; one that needs a snapshot is told
-     its seeder once.  */
+  /* Probe again at once if the next index moved back.  A member that needs a
+     snapshot gets only one such probe, which names its seeder.  */
   probe = next < p->next && (next > r->base || p->seeder == 0);
   p->next = next;
   p->probing = true;
@@ -429,7 +448,8 @@
 }
 
 static void
-note_fetch (pu_progress_t *p, uint64_t now, const pu_log_append_reply *a)
+update_fetch_progress (pu_progress_t *p, uint64_t now,
+                       const pu_log_append_reply *a)
 {
   p->snapshot = MAX (p->snapshot, a->snapshot);
   if (a->fetched != p->fetched)
@@ -450,14 +470,14 @@
     return;
   if (a->match > pu_r_last (r))
     return;
-  if (lost_entries (r, p, a))
+  if (has_lost_entries (r, p, a))
     {
       p->refused = true;
       return;
     }
   p->heard = now;
   p->acked_sent = MAX (p->acked_sent, a->sent);
-  note_fetch (p, now, a);
+  update_fetch_progress (p, now, a);
   if (!a->ok)
     {
       on_reject (r, p, now, a);
@@ -465,13 +485,13 @@
     }
   if (a->seq > p->reject_seq)
     p->probing = false;
-  note_match (p, a->match);
+  advance_match (p, a->match);
   pu_r_update_commit (r);
   if (r->transfer_until != 0 && p->id == r->transfer_to)
-    finish_transfer (r, now);
+    advance_transfer (r, now);
 }
 
-/* Entries, on a follower.  */
+/* Append messages, on a follower.  */
 
 void
 pu_r_reply_append (pu_replica_t *r, bool ok, uint64_t last)
@@ -497,10 +517,11 @@
   pu_r_send (r, &r->leader, &b);
 }
 
-/* The end of the part of this log that can agree with a leader whose entry at
-   PREV is of another term: before the term that stands there.  */
+/* Returns the last index at which this log may match that of a leader whose
+   entry at PREV is missing here or has another term.  All entries of the
+   conflicting term are skipped, down to the commit index.  */
 static uint64_t
-before_conflict (const pu_replica_t *r, uint64_t prev)
+last_before_conflict (const pu_replica_t *r, uint64_t prev)
 {
   bool known;
   uint64_t term;
@@ -526,10 +547,11 @@
   return true;
 }
 
-/* Takes the entries of A over; false when they contradict what is committed,
-   which no correct leader does.  */
+/* Appends the entries of A and truncates the log where the terms differ.
+   Returns false if that would overwrite a committed entry, which no correct
+   leader does.  */
 static bool
-take_entries (pu_replica_t *r, const pu_log_append *a)
+merge_entries (pu_replica_t *r, const pu_log_append *a)
 {
   for (guint i = 0; i < a->entries.entries_len; i++)
     {
@@ -552,7 +574,7 @@
 }
 
 static void
-note_leader (pu_replica_t *r, uint64_t now, const pu_log_msg *m)
+on_leader_contact (pu_replica_t *r, uint64_t now, const pu_log_msg *m)
 {
   const pu_log_append *a = &m->body.pu_log_body_u.append;
 
@@ -574,22 +596,23 @@
 }
 
 static bool
-agrees (const pu_replica_t *r, const pu_log_append *a)
+prev_entry_matches (const pu_replica_t *r, const pu_log_append *a)
 {
   bool known;
 
   if (a->prev_index > pu_r_last (r))
     return false;
   if (a->prev_index < r->base)
-    return true; /* committed here: the same */
+    return true; /* compacted, so committed and the same */
   return pu_r_term_at (r, a->prev_index, &known) == a->prev_term;
 }
 
-/* A follower whose disk is full or slow acknowledges nothing, so its leader's
-   window to it fills and later entries are not sent: it still hears of them by
-   the commit position of heartbeats.  */
+/* Records since when the leader's commit index has been ahead of this one.  A
+   follower with a full or slow disk acknowledges nothing, so the leader's
+   window for it fills and later entries are not sent; the commit index in
+   heartbeats still shows the lag.  */
 static void
-note_behind (pu_replica_t *r, uint64_t now, uint64_t leader_commit)
+update_commit_lag (pu_replica_t *r, uint64_t now, uint64_t leader_commit)
 {
   r->heard_commit = MAX (r->heard_commit, leader_commit);
   if (r->commit >= r->heard_commit)
@@ -602,9 +625,10 @@
     }
 }
 
-/* Takes A's entries and commit position over, and answers.  */
+/* Appends A's entries, advances the commit index and replies; the reply is
+   deferred while the entries are not synced.  */
 static void
-follow_append (pu_replica_t *r, uint64_t now, const pu_log_append *a)
+process_append (pu_replica_t *r, uint64_t now, const pu_log_append *a)
 {
   guint n = a->entries.entries_len;
 
@@ -613,13 +637,13 @@
       pu_r_reply_append (r, true, 0);
       return;
     }
-  if (!agrees (r, a))
+  if (!prev_entry_matches (r, a))
     {
-      pu_r_reply_append (r, false, before_conflict (r, a->prev_index));
+      pu_r_reply_append (r, false, last_before_conflict (r, a->prev_index));
       pu_r_fetch_from (r, now, &a->seeder);
       return;
     }
-  if (!take_entries (r, a))
+  if (!merge_entries (r, a))
     return;
   r->verified = MAX (r->verified, a->prev_index + n);
   pu_r_advance_commit (r, MIN (a->commit, a->prev_index + n));
@@ -644,7 +668,8 @@
     {
       pu_log_peer old = r->leader;
 
-      /* Only the term in the answer matters: the old leader steps down.  */
+      /* The reply tells the old leader the current term, so that it steps
+         down; the other fields do not matter.  */
       r->leader = m->from;
       pu_r_reply_append (r, false, 0);
       r->leader = old;
@@ -652,9 +677,9 @@
     }
   if (r->role == PU_ROLE_LEADER || !well_formed (a))
     return;
-  note_leader (r, now, m);
-  follow_append (r, now, a);
-  note_behind (r, now, a->commit);
+  on_leader_contact (r, now, m);
+  process_append (r, now, a);
+  update_commit_lag (r, now, a->commit);
 }
 
 bool
--- a/libplantainusher/log/replica_fetch.c
+++ b/libplantainusher/log/replica_fetch.c
@@ -4,15 +4,20 @@
 #include <xxhash.h>
 
 /*
- * Snapshot transfer.  The leader names a seeder in its heartbeats: another
- * member that has a snapshot new enough, in turn; itself only when there is
- * none.  The one that lags pulls chunk after chunk from there.
+ * Snapshot transfer.  To a member that needs compacted entries, the leader
+ * names a seeder in its heartbeats: another member that has a recent enough
+ * snapshot.  When the transfer stalls, the leader names the next one; the
+ * leader itself comes last in that rotation.  The lagging member requests the
+ * snapshot from the seeder chunk by chunk.
  */
 
 enum
 {
-  STALL_BEATS = 8, /* no byte for so many beats: the next seeder */
-  ASK_BEATS = 2,   /* a chunk not answered is asked for again */
+  /* Heartbeats without progress until the next seeder is named, and the
+     longest silence of a candidate.  */
+  STALL_HEARTBEATS = 8,
+  /* Heartbeats until an unanswered chunk request is repeated.  */
+  RETRY_HEARTBEATS = 2,
 };
 
 static bool
@@ -21,15 +26,16 @@
 {
   return p != target && !p->refused && p->snapshot >= r->base
          && p->snapshot > 0
-         && now <= p->heard + STALL_BEATS * (uint64_t)r->o.heartbeat_ms;
+         && now <= p->heard + STALL_HEARTBEATS * (uint64_t)r->o.heartbeat_ms;
 }
 
-/* The seeder at TURN, counting those that can; the leader comes last.  */
+/* Returns the seeder at TURN in the rotation over all candidates, of which the
+   leader is the last.  */
 static uint64_t
 seeder_at (const pu_replica_t *r, const pu_progress_t *target, uint32_t turn,
            uint64_t now)
 {
-  uint64_t can[PU_LOG_MEMBERS_MAX + 1];
+  uint64_t candidates[PU_LOG_MEMBERS_MAX + 1];
   uint32_t n = 0;
 
   for (guint i = 0; i < r->progress->len && n < PU_LOG_MEMBERS_MAX; i++)
@@ -37,10 +43,10 @@
       const pu_progress_t *p = &g_array_index (r->progress, pu_progress_t, i);
 
       if (can_seed (r, p, target, now))
-        can[n++] = p->id;
+        candidates[n++] = p->id;
     }
-  can[n++] = r->self.id;
-  return can[turn % n];
+  candidates[n++] = r->self.id;
+  return candidates[turn % n];
 }
 
 void
@@ -52,7 +58,8 @@
       p->fetched_at = now;
       p->seeder_turn = 0;
     }
-  else if (now > p->fetched_at + STALL_BEATS * (uint64_t)r->o.heartbeat_ms)
+  else if (now
+           > p->fetched_at + STALL_HEARTBEATS * (uint64_t)r->o.heartbeat_ms)
     {
       p->fetched_at = now;
       p->seeder_turn++;
@@ -64,7 +71,7 @@
   p->seeder = seeder_at (r, p, p->seeder_turn, now);
 }
 
-/* The side that lags.  */
+/* The lagging member.  */
 
 void
 pu_r_fetch_stop (pu_replica_t *r)
@@ -75,7 +82,7 @@
 }
 
 static void
-ask (pu_replica_t *r, uint64_t now)
+request_chunk (pu_replica_t *r, uint64_t now)
 {
   pu_log_body b = { .kind = PU_LOG_FETCH };
 
@@ -94,19 +101,20 @@
   pu_r_fetch_stop (r);
   pu_log_peer_copy (&r->fetching.from, seeder);
   r->fetching.data = g_byte_array_new ();
-  ask (r, now);
+  request_chunk (r, now);
 }
 
 void
 pu_r_fetch_tick (pu_replica_t *r, uint64_t now)
 {
   if (r->fetching.from.id != 0
-      && now > r->fetching.asked_at + ASK_BEATS * (uint64_t)r->o.heartbeat_ms)
-    ask (r, now);
+      && now > r->fetching.asked_at
+                   + RETRY_HEARTBEATS * (uint64_t)r->o.heartbeat_ms)
+    request_chunk (r, now);
 }
 
 static void
-start_snapshot (pu_replica_t *r, const pu_log_chunk *c)
+reset_download (pu_replica_t *r, const pu_log_chunk *c)
 {
   g_byte_array_set_size (r->fetching.data, 0);
   r->fetching.index = c->index;
@@ -116,7 +124,7 @@
 }
 
 static void
-finish_snapshot (pu_replica_t *r, uint64_t now, const pu_log_chunk *c)
+install_download (pu_replica_t *r, uint64_t now, const pu_log_chunk *c)
 {
   pu_snapshot_t s = { 0 };
   GByteArray *data = g_steal_pointer (&r->fetching.data);
@@ -152,18 +160,18 @@
       return;
     }
   if (c->index != f->index || c->hash != f->hash || c->total != f->total)
-    start_snapshot (r, c);
+    reset_download (r, c);
   if (c->offset != f->data->len || c->offset + c->data.data_len > c->total)
     return;
   g_byte_array_append (f->data, (const guint8 *)c->data.data_val,
                        c->data.data_len);
   if (f->data->len == f->total)
     {
-      finish_snapshot (r, now, c);
+      install_download (r, now, c);
     }
   else if (c->data.data_len > 0)
     {
-      ask (r, now);
+      request_chunk (r, now);
     }
 }
 
--- a/libplantainusher/log/replica_voters.c
+++ b/libplantainusher/log/replica_voters.c
@@ -3,31 +3,38 @@
 #include <string.h>
 
 /*
- * Who votes.
+ * Membership.
  *
- * The configuration says how many voters are wanted and what each member is.
- * The leader moves towards that one entry at a time, each committed before the
- * next.  A living voter goes after its caught-up substitute was added, a dead
- * one before.  A voter counts until it is removed, also when its disk is
- * gone.
+ * The configuration holds the target number of voters and the role of each
+ * member.  The leader moves the voters towards the target by one configuration
+ * entry at a time, each committed before the next.  A responsive voter is
+ * removed after its caught-up replacement was added, an unresponsive one
+ * before.  A voter counts towards the quorum until it is removed, even if its
+ * disk is lost.
  */
 
 enum
 {
-  FRESH_ELECTIONS = 5, /* how long a seed's word that it is fresh holds */
-  LOST_ELECTIONS = 3,  /* without a leader that long: ask around */
-  GONE_ELECTIONS = 2,  /* silent that long: its successor may take over */
-  CONFIRM_BEATS = 2,   /* an answer that old shows that it lives */
-  CATCH_UP_GAP = 128,  /* entries behind that still count as caught up */
+  /* Election timeouts for which a seed's report of an empty log is valid.  */
+  EMPTY_REPORT_ELECTIONS = 5,
+  /* Election timeouts without a leader until other members are asked.  */
+  DISCOVERY_ELECTIONS = 3,
+  /* Election timeouts of silence until a successor may replace a voter.  */
+  UNRESPONSIVE_ELECTIONS = 2,
+  /* Heartbeats within which a message must have been sent whose answer
+     confirms that a member is live.  */
+  CONFIRM_HEARTBEATS = 2,
+  /* Entries by which a caught-up member may lag.  */
+  CAUGHT_UP_LAG_ENTRIES = 128,
 };
 
 static bool
-is_fresh (const pu_replica_t *r)
+is_uninitialized (const pu_replica_t *r)
 {
   return pu_r_config (r)->members.members_len == 0;
 }
 
-/* Greetings.  */
+/* Hello messages, which look for a leader.  */
 
 static void
 send_hello (pu_replica_t *r, const pu_log_peer *to)
@@ -36,8 +43,8 @@
   pu_log_peer any = *to;
 
   any.id = 0;
-  b.pu_log_body_u.hello.fresh = is_fresh (r);
-  b.pu_log_body_u.hello.first = is_fresh (r) && r->initial;
+  b.pu_log_body_u.hello.fresh = is_uninitialized (r);
+  b.pu_log_body_u.hello.first = is_uninitialized (r) && r->initial;
   pu_r_send (r, &any, &b);
 }
 
@@ -45,12 +52,12 @@
 pu_r_say_hello (pu_replica_t *r, uint64_t now)
 {
   const pu_log_config *c = pu_r_config (r);
-  bool fresh = is_fresh (r);
+  bool fresh = is_uninitialized (r);
 
   if (now < r->hello_at)
     return;
   if (!fresh
-      && now < r->heard_at + LOST_ELECTIONS * (uint64_t)r->o.election_ms)
+      && now < r->heard_at + DISCOVERY_ELECTIONS * (uint64_t)r->o.election_ms)
     return;
   r->hello_at = now + r->o.election_ms / 2;
   for (guint i = 0; i < r->seeds->len; i++)
@@ -62,10 +69,10 @@
     }
 }
 
-/* Whether FROM is the initial voter S, which has a name or is known by its
-   address until it has said it.  */
+/* Returns whether FROM is the seed S, which is identified by its name, or by
+   its address until its name is known.  */
 static bool
-is_seed (const pu_seed_t *s, const pu_log_peer *from)
+matches_seed (const pu_seed_t *s, const pu_log_peer *from)
 {
   if (*s->peer.name == '\0')
     return strcmp (s->peer.address, from->address) == 0;
@@ -73,7 +80,7 @@
 }
 
 static bool
-is_known (const pu_replica_t *r, const char *address)
+is_known_address (const pu_replica_t *r, const char *address)
 {
   for (guint i = 0; i < r->seeds->len; i++)
     {
@@ -91,21 +98,22 @@
   const pu_log_peer peer = { .name = (char *)"", .address = (char *)address };
   pu_seed_t s = { 0 };
 
-  /* Those who start a log wait for just the initial ones.  */
-  if (r->initial || is_known (r, address))
+  /* An initial voter bootstraps the log with exactly its configured seeds, so
+     none is added to them.  */
+  if (r->initial || is_known_address (r, address))
     return;
   pu_log_peer_copy (&s.peer, &peer);
   g_array_append_val (r->seeds, s);
 }
 
 static void
-note_fresh (pu_replica_t *r, uint64_t now, const pu_log_peer *from)
+record_uninitialized (pu_replica_t *r, uint64_t now, const pu_log_peer *from)
 {
   for (guint i = 0; i < r->seeds->len; i++)
     {
       pu_seed_t *s = &g_array_index (r->seeds, pu_seed_t, i);
 
-      if (!is_seed (s, from))
+      if (!matches_seed (s, from))
         continue;
       pu_log_peer_clear (&s->peer);
       pu_log_peer_copy (&s->peer, from);
@@ -113,20 +121,21 @@
     }
 }
 
-/* Starting a log: the initial voter with the least name does it, once, when
-   every other initial voter has said that it never held a log either.  */
+/* Bootstrap: the initial voter with the lowest name starts the log, once, when
+   every other initial voter has reported that it never held a log either.  */
 
 static bool
-may_start (const pu_replica_t *r, uint64_t now)
+may_bootstrap (const pu_replica_t *r, uint64_t now)
 {
-  if (!is_fresh (r) || r->cluster != 0 || !r->initial)
+  if (!is_uninitialized (r) || r->cluster != 0 || !r->initial)
     return false;
   for (guint i = 0; i < r->seeds->len; i++)
     {
       const pu_seed_t *s = &g_array_index (r->seeds, pu_seed_t, i);
 
       if (s->fresh_at == 0
-          || now > s->fresh_at + FRESH_ELECTIONS * (uint64_t)r->o.election_ms
+          || now > s->fresh_at
+                       + EMPTY_REPORT_ELECTIONS * (uint64_t)r->o.election_ms
           || strcmp (s->peer.name, r->self.name) < 0)
         return false;
     }
@@ -148,7 +157,7 @@
 }
 
 static uint64_t
-random_id (GRand *rand)
+random_cluster_id (GRand *rand)
 {
   uint64_t high = g_rand_int (rand);
 
@@ -162,7 +171,7 @@
   pu_log_config c = { 0 };
   guint n = MIN (r->seeds->len, PU_LOG_MEMBERS_MAX - 1);
 
-  if (!may_start (r, now))
+  if (!may_bootstrap (r, now))
     return;
   members[0].peer = r->self;
   members[0].role = PU_LOG_VOTER;
@@ -171,7 +180,7 @@
       members[i + 1].peer = g_array_index (r->seeds, pu_seed_t, i).peer;
       members[i + 1].role = PU_LOG_VOTER;
     }
-  c.cluster = random_id (r->rand);
+  c.cluster = random_cluster_id (r->rand);
   c.target = n + 1;
   c.members.members_len = n + 1;
   c.members.members_val = members;
@@ -180,29 +189,34 @@
   append_config (r, &c);
 }
 
-/* Changes.  */
+/* Configuration changes.  */
 
 static bool
-may_change (const pu_replica_t *r)
+may_change_config (const pu_replica_t *r)
 {
   return r->role == PU_ROLE_LEADER && r->transfer_until == 0
          && pu_r_config_index (r) <= r->commit
          && r->commit >= r->first_of_term;
 }
 
-/* Silent for so long that a new identity of the same name is believed.  */
+/* Returns whether M has lost synced entries or has been silent so long that a
+   new identity of the same name may replace it.  */
 static bool
-gone (const pu_replica_t *r, const pu_log_member *m, uint64_t now)
+is_unresponsive (const pu_replica_t *r, const pu_log_member *m, uint64_t now)
 {
   const pu_progress_t *p = pu_r_progress (r, m->peer.id);
 
   return p != NULL
          && (p->refused
-             || now > p->heard + GONE_ELECTIONS * (uint64_t)r->o.election_ms);
+             || now > p->heard
+                          + UNRESPONSIVE_ELECTIONS
+                                * (uint64_t)r->o.election_ms);
 }
 
+/* Returns whether M has lost synced entries or has been silent for
+   replace_after_ms, so that any learner may replace it.  */
 static bool
-lost (const pu_replica_t *r, const pu_log_member *m, uint64_t now)
+is_lost (const pu_replica_t *r, const pu_log_member *m, uint64_t now)
 {
   const pu_progress_t *p = pu_r_progress (r, m->peer.id);
 
@@ -211,60 +225,63 @@
   return p != NULL && (p->refused || now > p->heard + r->o.replace_after_ms);
 }
 
-/* Whether M has answered since the configuration in force was committed, and
-   lately.  */
+/* Returns whether M has answered a message that was sent after the
+   configuration in force was committed and within the last CONFIRM_HEARTBEATS
+   heartbeats.  */
 static bool
-confirmed (const pu_replica_t *r, const pu_log_member *m, uint64_t now)
+is_confirmed (const pu_replica_t *r, const pu_log_member *m, uint64_t now)
 {
   const pu_progress_t *p = pu_r_progress (r, m->peer.id);
 
   if (m->peer.id == r->self.id)
     return true;
   return p != NULL && !p->refused && p->acked_sent > r->settled_at
-         && now <= p->acked_sent + CONFIRM_BEATS * (uint64_t)r->o.heartbeat_ms;
+         && now <= p->acked_sent
+                       + CONFIRM_HEARTBEATS * (uint64_t)r->o.heartbeat_ms;
 }
 
 static bool
-caught_up (const pu_replica_t *r, const pu_log_member *m, uint64_t now)
+is_caught_up (const pu_replica_t *r, const pu_log_member *m, uint64_t now)
 {
   const pu_progress_t *p = pu_r_progress (r, m->peer.id);
 
-  return p != NULL && confirmed (r, m, now)
-         && p->match + CATCH_UP_GAP >= pu_r_last (r)
+  return p != NULL && is_confirmed (r, m, now)
+         && p->match + CAUGHT_UP_LAG_ENTRIES >= pu_r_last (r)
          && p->match >= r->first_of_term;
 }
 
-/* Whether the confirmed voters are a quorum when EXTRA confirmed ones join
-   and LESS (of whom LIVING are confirmed) go.  */
+/* Returns whether the confirmed voters are a quorum after ADDED confirmed ones
+   joined and REMOVED ones, of which REMOVED_CONFIRMED are confirmed, left.  */
 static bool
-quorum_after (const pu_replica_t *r, uint64_t now, int extra, int less,
-              int living)
+has_quorum_after (const pu_replica_t *r, uint64_t now, int added, int removed,
+                  int removed_confirmed)
 {
   const pu_log_config *c = pu_r_config (r);
-  int voters = (int)pu_log_config_voters (c) + extra - less;
-  int live = extra - living;
+  int voters = (int)pu_log_config_voters (c) + added - removed;
+  int live = added - removed_confirmed;
 
   for (guint i = 0; i < c->members.members_len; i++)
     {
       const pu_log_member *m = &c->members.members_val[i];
 
-      live += pu_log_counts (m->role) && confirmed (r, m, now);
+      live += pu_log_counts (m->role) && is_confirmed (r, m, now);
     }
   return voters > 0 && live >= voters / 2 + 1;
 }
 
-/* Appends a copy of the configuration in which member I has ROLE, or is gone
-   when REMOVE.  */
+/* Appends a copy of the configuration in which member I has ROLE, or is
+   removed if REMOVE, and the target number of voters is changed by
+   TARGET_DELTA.  */
 static void
 change_member (pu_replica_t *r, uint64_t now, guint i, pu_log_role role,
-               bool remove, int target_step)
+               bool remove, int target_delta)
 {
   pu_log_config c;
   guint n;
 
   pu_log_config_copy (&c, pu_r_config (r));
   n = c.members.members_len;
-  c.target += (u_int)target_step;
+  c.target += (u_int)target_delta;
   c.members.members_val[i].role = role;
   if (remove)
     {
@@ -278,9 +295,9 @@
   pu_r_sync_progress (r, now);
 }
 
-/* Appends a copy of the configuration that wants STEP voters more.  */
+/* Appends a copy of the configuration with a target of STEP more voters.  */
 static void
-change_target (pu_replica_t *r, uint64_t now, int step)
+raise_target (pu_replica_t *r, uint64_t now, int step)
 {
   pu_log_config c;
 
@@ -291,7 +308,7 @@
   pu_r_sync_progress (r, now);
 }
 
-/* A newer voter with the name of member I.  */
+/* Returns whether a voter newer than member I has the same name.  */
 static bool
 has_successor (const pu_log_config *c, guint i)
 {
@@ -308,12 +325,12 @@
 
 enum
 {
-  NOBODY = -1
+  NO_MEMBER = -1
 };
 
-/* How much member I ought to go; 0 is not at all.  */
+/* Returns the priority of removing member I; 0 means that it stays.  */
 static int
-surplus_rank (const pu_replica_t *r, const pu_log_config *c, guint i,
+removal_rank (const pu_replica_t *r, const pu_log_config *c, guint i,
               uint64_t now)
 {
   const pu_log_member *m = &c->members.members_val[i];
@@ -322,24 +339,25 @@
     return 3;
   if (m->role != PU_LOG_VOTER)
     return 0;
-  if (has_successor (c, i) && gone (r, m, now))
+  if (has_successor (c, i) && is_unresponsive (r, m, now))
     return 2;
-  return lost (r, m, now) ? 1 : 0;
+  return is_lost (r, m, now) ? 1 : 0;
 }
 
-/* Who ought to go first, of those without whom a living quorum is left.  */
+/* Returns the member to remove first, among those whose removal leaves a
+   confirmed quorum, or NO_MEMBER.  */
 static int
-surplus_voter (const pu_replica_t *r, const pu_log_config *c, uint64_t now)
+removal_candidate (const pu_replica_t *r, const pu_log_config *c, uint64_t now)
 {
-  int best = NOBODY;
+  int best = NO_MEMBER;
   int best_rank = 0;
 
   for (guint i = 0; i < c->members.members_len; i++)
     {
-      int rank = surplus_rank (r, c, i, now);
-      int living = confirmed (r, &c->members.members_val[i], now);
+      int rank = removal_rank (r, c, i, now);
+      int live = is_confirmed (r, &c->members.members_val[i], now);
 
-      if (rank > best_rank && quorum_after (r, now, 0, 1, living))
+      if (rank > best_rank && has_quorum_after (r, now, 0, 1, live))
         {
           best = (int)i;
           best_rank = rank;
@@ -349,28 +367,27 @@
 }
 
 static bool
-remove_surplus (pu_replica_t *r, uint64_t now)
+remove_surplus_voter (pu_replica_t *r, uint64_t now)
 {
   const pu_log_config *c = pu_r_config (r);
-  int i = surplus_voter (r, c, now);
+  int i = removal_candidate (r, c, now);
 
-  if (pu_log_config_voters (c) <= c->target || i == NOBODY)
+  if (pu_log_config_voters (c) <= c->target || i == NO_MEMBER)
     return false;
   if (c->members.members_val[i].peer.id == r->self.id)
     {
       pu_replica_transfer (r, now);
       return true;
     }
-
   change_member (r, now, (guint)i, PU_LOG_LEARNER, true, 0);
   return true;
 }
 
-/* Whether a learner is ready to take the place of voter I: one that an
-   operator chose, or one of the same name, or any when I is LOST.  */
+/* Returns whether a caught-up learner may replace voter I: one that an
+   operator chose, one of the same name or, if ANY, any.  */
 static bool
-has_substitute (const pu_replica_t *r, const pu_log_config *c, guint i,
-                bool any, uint64_t now)
+has_replacement (const pu_replica_t *r, const pu_log_config *c, guint i,
+                 bool any, uint64_t now)
 {
   const char *name = c->members.members_val[i].peer.name;
 
@@ -378,7 +395,7 @@
     {
       const pu_log_member *m = &c->members.members_val[k];
 
-      if (pu_log_counts (m->role) || !caught_up (r, m, now))
+      if (pu_log_counts (m->role) || !is_caught_up (r, m, now))
         continue;
       if (any || m->role == PU_LOG_CHOSEN || strcmp (m->peer.name, name) == 0)
         return true;
@@ -386,11 +403,11 @@
   return false;
 }
 
-/* Removes a dead voter for whom a substitute is ready, before that one is
-   added: the quorum of those that live is no larger meanwhile than it was, and
-   the loss of the substitute itself does no harm.  */
+/* Removes an unresponsive voter that has a ready replacement, before the
+   replacement is added.  In this order the live voters never need a larger
+   quorum than before, and losing the replacement meanwhile does no harm.  */
 static bool
-remove_dead (pu_replica_t *r, uint64_t now)
+remove_unresponsive_voter (pu_replica_t *r, uint64_t now)
 {
   const pu_log_config *c = pu_r_config (r);
 
@@ -400,9 +417,9 @@
     {
       const pu_log_member *m = &c->members.members_val[i];
 
-      if (!pu_log_counts (m->role) || !gone (r, m, now)
-          || !has_substitute (r, c, i, lost (r, m, now), now)
-          || !quorum_after (r, now, 0, 1, 0))
+      if (!pu_log_counts (m->role) || !is_unresponsive (r, m, now)
+          || !has_replacement (r, c, i, is_lost (r, m, now), now)
+          || !has_quorum_after (r, now, 0, 1, 0))
         continue;
       change_member (r, now, i, m->role, true, 0);
       return true;
@@ -421,7 +438,8 @@
   return false;
 }
 
-/* How much learner I ought to become a voter; 0 is not at all.  */
+/* Returns the priority of promoting learner I to a voter; 0 means that it
+   stays a learner.  */
 static int
 promotion_rank (const pu_replica_t *r, const pu_log_config *c, guint i,
                 uint64_t now)
@@ -429,7 +447,7 @@
   const pu_log_member *m = &c->members.members_val[i];
   uint32_t voters = pu_log_config_voters (c);
 
-  if (pu_log_counts (m->role) || !caught_up (r, m, now))
+  if (pu_log_counts (m->role) || !is_caught_up (r, m, now))
     return 0;
   if (voters >= c->target && !has_role (c, PU_LOG_LEAVING))
     return 0;
@@ -439,10 +457,10 @@
 }
 
 static bool
-promote (pu_replica_t *r, uint64_t now)
+promote_learner (pu_replica_t *r, uint64_t now)
 {
   const pu_log_config *c = pu_r_config (r);
-  int best = NOBODY;
+  int best = NO_MEMBER;
   int best_rank = 0;
 
   if (pu_log_config_voters (c) > c->target)
@@ -457,15 +475,16 @@
           best_rank = rank;
         }
     }
-  if (best == NOBODY || !quorum_after (r, now, 1, 0, 0))
+  if (best == NO_MEMBER || !has_quorum_after (r, now, 1, 0, 0))
     return false;
   change_member (r, now, (guint)best, PU_LOG_VOTER, false, 0);
   return true;
 }
 
-/* Learners that could vote now.  */
+/* Returns the number of caught-up learners.  */
 static uint32_t
-spares (const pu_replica_t *r, const pu_log_config *c, uint64_t now)
+count_caught_up_learners (const pu_replica_t *r, const pu_log_config *c,
+                          uint64_t now)
 {
   uint32_t n = 0;
 
@@ -473,28 +492,30 @@
     {
       const pu_log_member *m = &c->members.members_val[i];
 
-      n += !pu_log_counts (m->role) && caught_up (r, m, now);
+      n += !pu_log_counts (m->role) && is_caught_up (r, m, now);
     }
   return n;
 }
 
-/* Wants more voters where learners are ready: as many as keep their number
-   odd, since one more than that bears no loss more.  */
+/* Raises the target number of voters, up to voters_wanted, if enough learners
+   are caught up.  The target stays odd, since one more voter than an odd
+   number tolerates no further failure.  */
 static bool
-want_more (pu_replica_t *r, uint64_t now)
+grow_target (pu_replica_t *r, uint64_t now)
 {
   const pu_log_config *c = pu_r_config (r);
   uint32_t step = c->target % 2 == 0 ? 1 : 2;
 
   if (c->target + step > r->o.voters_wanted
-      || pu_log_config_voters (c) < c->target || spares (r, c, now) < step)
+      || pu_log_config_voters (c) < c->target
+      || count_caught_up_learners (r, c, now) < step)
     return false;
-  change_target (r, now, (int)step);
+  raise_target (r, now, (int)step);
   return true;
 }
 
 static bool
-drop_lost_learner (pu_replica_t *r, uint64_t now)
+remove_lost_learner (pu_replica_t *r, uint64_t now)
 {
   const pu_log_config *c = pu_r_config (r);
 
@@ -502,7 +523,7 @@
     {
       const pu_log_member *m = &c->members.members_val[i];
 
-      if (pu_log_counts (m->role) || !lost (r, m, now))
+      if (pu_log_counts (m->role) || !is_lost (r, m, now))
         continue;
       change_member (r, now, i, m->role, true, 0);
       return true;
@@ -513,28 +534,28 @@
 void
 pu_r_balance (pu_replica_t *r, uint64_t now)
 {
-  if (!may_change (r))
+  if (!may_change_config (r))
     return;
   if (r->settled_index != pu_r_config_index (r))
     {
       r->settled_index = pu_r_config_index (r);
       r->settled_at = now;
     }
-  if (remove_surplus (r, now))
+  if (remove_surplus_voter (r, now))
     return;
-  if (remove_dead (r, now))
+  if (remove_unresponsive_voter (r, now))
     return;
-  if (promote (r, now))
+  if (promote_learner (r, now))
     return;
-  if (want_more (r, now))
+  if (grow_target (r, now))
     return;
-  drop_lost_learner (r, now);
+  remove_lost_learner (r, now);
 }
 
 /* Joining.  */
 
 static void
-drop_namesakes (pu_log_config *c, const char *name)
+remove_learners_named (pu_log_config *c, const char *name)
 {
   for (guint i = c->members.members_len; i-- > 0;)
     {
@@ -555,10 +576,10 @@
   pu_log_config c;
   guint n;
 
-  if (!may_change (r))
+  if (!may_change_config (r))
     return;
   pu_log_config_copy (&c, pu_r_config (r));
-  drop_namesakes (&c, peer->name);
+  remove_learners_named (&c, peer->name);
   n = c.members.members_len;
   if (n < PU_LOG_MEMBERS_MAX)
     {
@@ -590,14 +611,15 @@
     {
       add_learner (r, now, &m->from);
     }
-  else if (!may_change (r) || !pu_replica_holds_lease (r, now)
+  else if (!may_change_config (r) || !pu_replica_holds_lease (r, now)
            || m->cluster != r->cluster)
     {
       return;
     }
   else if (m->term > r->term)
     {
-      pu_r_follow (r, now, m->term, NULL); /* lead again above that term */
+      /* Step down, to be elected again above that term.  */
+      pu_r_follow (r, now, m->term, NULL);
     }
   else
     {
@@ -609,17 +631,17 @@
 pu_r_on_hello (pu_replica_t *r, uint64_t now, const pu_log_msg *m)
 {
   pu_log_body b = { .kind = PU_LOG_WELCOME };
-  pu_log_peer nobody = { .name = "", .address = "" };
+  pu_log_peer no_leader = { .name = "", .address = "" };
 
-  if (m->body.pu_log_body_u.hello.first && is_fresh (r))
-    note_fresh (r, now, &m->from);
+  if (m->body.pu_log_body_u.hello.first && is_uninitialized (r))
+    record_uninitialized (r, now, &m->from);
   if (r->role == PU_ROLE_LEADER)
     {
       leader_on_hello (r, now, m);
       return;
     }
-  b.pu_log_body_u.welcome.first = is_fresh (r) && r->initial;
-  b.pu_log_body_u.welcome.leader = r->leader.id != 0 ? r->leader : nobody;
+  b.pu_log_body_u.welcome.first = is_uninitialized (r) && r->initial;
+  b.pu_log_body_u.welcome.leader = r->leader.id != 0 ? r->leader : no_leader;
   pu_r_send (r, &m->from, &b);
 }
 
@@ -628,33 +650,33 @@
 {
   const pu_log_welcome *w = &m->body.pu_log_body_u.welcome;
 
-  if (w->first && is_fresh (r))
-    note_fresh (r, now, &m->from);
+  if (w->first && is_uninitialized (r))
+    record_uninitialized (r, now, &m->from);
   if (w->leader.id != 0 && w->leader.id != r->self.id
       && r->role != PU_ROLE_LEADER)
     send_hello (r, &w->leader);
 }
 
-/* An operator's change.  */
+/* Configuration changes by an operator.  */
 
 static int
-find_name (const pu_log_config *c, const char *name, bool counts)
+find_member (const pu_log_config *c, const char *name, bool voting)
 {
   for (guint i = c->members.members_len; i-- > 0;)
     {
-      if (pu_log_counts (c->members.members_val[i].role) == counts
+      if (pu_log_counts (c->members.members_val[i].role) == voting
           && strcmp (c->members.members_val[i].peer.name, name) == 0)
         return (int)i;
     }
-  return NOBODY;
+  return NO_MEMBER;
 }
 
 static bool
 add_voter (pu_replica_t *r, uint64_t now, const char *name, pu_error_t *e)
 {
-  int i = find_name (pu_r_config (r), name, false);
+  int i = find_member (pu_r_config (r), name, false);
 
-  if (i == NOBODY)
+  if (i == NO_MEMBER)
     {
       return pu_error_set (e, PU_ERROR_NOT_FOUND,
                            "no learner is called \"%s\"", name);
@@ -668,9 +690,9 @@
 static bool
 remove_voter (pu_replica_t *r, uint64_t now, const char *name, pu_error_t *e)
 {
-  int i = find_name (pu_r_config (r), name, true);
+  int i = find_member (pu_r_config (r), name, true);
 
-  if (i == NOBODY)
+  if (i == NO_MEMBER)
     {
       return pu_error_set (e, PU_ERROR_NOT_FOUND, "no voter is called \"%s\"",
                            name);
@@ -689,15 +711,15 @@
                const char *with, pu_error_t *e)
 {
   const pu_log_config *old = pu_r_config (r);
-  int i = find_name (old, name, true);
-  int k = find_name (old, with, false);
+  int i = find_member (old, name, true);
+  int k = find_member (old, with, false);
   pu_log_config c;
 
-  if (i == NOBODY || k == NOBODY)
+  if (i == NO_MEMBER || k == NO_MEMBER)
     {
       return pu_error_set (e, PU_ERROR_NOT_FOUND, "no %s is called \"%s\"",
-                           i == NOBODY ? "voter" : "learner",
-                           i == NOBODY ? name : with);
+                           i == NO_MEMBER ? "voter" : "learner",
+                           i == NO_MEMBER ? name : with);
     }
   pu_log_config_copy (&c, old);
   c.members.members_val[i].role = PU_LOG_LEAVING;
@@ -715,10 +737,10 @@
 {
   if (r->role != PU_ROLE_LEADER)
     return pu_error_set (e, PU_ERROR_UNAVAILABLE, "not the leader");
-  if (!may_change (r))
+  if (!may_change_config (r))
     {
       return pu_error_set (e, PU_ERROR_UNAVAILABLE,
-                           "another change of voters is under way");
+                           "another membership change is in progress");
     }
   switch (change)
     {
