--- a/libplantainusher/log/group.c
+++ b/libplantainusher/log/group.c
@@ -9,13 +9,13 @@
 
 enum
 {
-  TICKS_A_HEARTBEAT = 5,
+  TICKS_PER_HEARTBEAT = 5,
   CLOSE_POLL_MS = 2,
-  MS_A_SECOND = 1000,
-  NS_A_MS = 1000000,
+  MS_PER_SECOND = 1000,
+  NS_PER_MS = 1000000,
 };
 
-/* A proposal whose outcome is not known yet.  */
+/* A proposal whose outcome is unknown so far.  */
 typedef struct
 {
   uint64_t index;
@@ -32,14 +32,14 @@
   GArray *initial; /* pu_log_peer */
   pu_journal_t *journal;
   pu_replica_t *replica;
-  GQueue proposals; /* pu_proposal_t *, by index */
-  uint64_t applied; /* by the state machine; never goes back */
-  bool rejoin;      /* this identity is spent, the disk not yet at rest */
-  bool rejoined;    /* the folder held a log before */
+  GQueue proposals;    /* pu_proposal_t *, in order of index */
+  uint64_t applied;    /* by the state machine; never decreases */
+  bool rejoin_pending; /* retire this identity once the journal is idle */
+  bool rejoined;       /* the folder held an earlier identity */
   uv_timer_t timer;
-  uv_idle_t idle; /* runs while actions may be waiting */
+  uv_idle_t idle; /* active while actions may be pending */
   bool closing;
-  int handles;
+  int open_handles;
   void (*closed) (void *data);
   void *closed_data;
 };
@@ -51,63 +51,64 @@
   pu_replica_options_init (&o->replica);
 }
 
-/* CLOCK_BOOTTIME runs on while the instance is suspended, so that a lease
-   cannot outlive a pause.  */
+/* CLOCK_BOOTTIME advances while the instance is suspended, so that a lease
+   expires during a suspension.  */
 static uint64_t
-boot_time (void)
+boot_time_ms (void)
 {
   struct timespec t;
 
   clock_gettime (CLOCK_BOOTTIME, &t);
-  return (uint64_t)t.tv_sec * MS_A_SECOND + (uint64_t)t.tv_nsec / NS_A_MS;
+  return (uint64_t)t.tv_sec * MS_PER_SECOND + (uint64_t)t.tv_nsec / NS_PER_MS;
 }
 
 static uint64_t
-now (const pu_group_t *g)
+now_ms (const pu_group_t *g)
 {
-  return g->o.now != NULL ? g->o.now (g->o.data) : boot_time ();
+  return g->o.now != NULL ? g->o.now (g->o.data) : boot_time_ms ();
 }
 
 /* Proposals.  */
 
 static void
-end_proposal (pu_proposal_t *p, pu_error_kind_t kind)
+complete_proposal (pu_proposal_t *p, pu_error_kind_t kind)
 {
   p->done (p->index, kind, p->data);
   g_free (p);
 }
 
 static void
-end_all_proposals (pu_group_t *g, pu_error_kind_t kind)
+complete_all_proposals (pu_group_t *g, pu_error_kind_t kind)
 {
   GQueue all = g->proposals;
   pu_proposal_t *p;
 
   g_queue_init (&g->proposals);
   while ((p = g_queue_pop_head (&all)) != NULL)
-    end_proposal (p, kind);
+    complete_proposal (p, kind);
 }
 
-/* Ends the proposals up to INDEX: the one at INDEX is committed when the entry
-   there is of its term; any other was replaced.  */
+/* Completes the proposals up to INDEX, where an entry of TERM was committed.
+   The one at INDEX succeeded if it was proposed in TERM; any other was
+   replaced.  */
 static void
-settle_proposals (pu_group_t *g, uint64_t index, uint64_t term)
+complete_proposals_through (pu_group_t *g, uint64_t index, uint64_t term)
 {
   pu_proposal_t *p;
 
   while ((p = g_queue_peek_head (&g->proposals)) != NULL && p->index <= index)
     {
       g_queue_pop_head (&g->proposals);
-      end_proposal (p, p->index == index && p->term == term
-                           ? PU_OK
-                           : PU_ERROR_UNAVAILABLE);
+      complete_proposal (p, p->index == index && p->term == term
+                                ? PU_OK
+                                : PU_ERROR_UNAVAILABLE);
     }
 }
 
 /* Actions.  */
 
 static void
-apply (pu_group_t *g, uint64_t first, uint64_t last)
+apply_entries (pu_group_t *g, uint64_t first, uint64_t last)
 {
   for (uint64_t i = first; i <= last; i++)
     {
@@ -121,12 +122,13 @@
             g->o.apply (i, n->data, n->len, g->o.data);
           g->applied = i;
         }
-      settle_proposals (g, i, n->term);
+      complete_proposals_through (g, i, n->term);
     }
 }
 
-/* An identity that rejoined applies again what the state machine has already;
-   meanwhile an image would be of a later position than the entries.  */
+/* After a rejoin the replica replays entries that the state machine has
+   applied before.  Until it has caught up, a snapshot of the state machine
+   would be ahead of INDEX, so none is taken.  */
 static void
 take_snapshot (pu_group_t *g, uint64_t index)
 {
@@ -140,7 +142,7 @@
 }
 
 static bool
-restore (pu_group_t *g, const pu_snapshot_t *s)
+restore_snapshot (pu_group_t *g, const pu_snapshot_t *s)
 {
   pu_error_t e = { 0 };
   gsize n;
@@ -151,7 +153,8 @@
   p = g_bytes_get_data (s->data, &n);
   if (!g->o.restore (s->index, p, n, g->o.data, &e))
     {
-      pu_log_warn ("log", "The state refused a snapshot: %s.", e.message);
+      pu_log_warn ("log", "The state machine rejected a snapshot: %s.",
+                   e.message);
       return false;
     }
   g->applied = s->index;
@@ -161,7 +164,7 @@
 static void
 save_snapshot (pu_group_t *g, const pu_action_t *a)
 {
-  if (a->save.installed && !restore (g, &a->save.snapshot))
+  if (a->save.installed && !restore_snapshot (g, &a->save.snapshot))
     {
       pu_replica_fail (g->replica);
       return;
@@ -170,18 +173,18 @@
 }
 
 static void
-change_role (pu_group_t *g, bool leader, uint64_t term)
+on_role_change (pu_group_t *g, bool leader, uint64_t term)
 {
   pu_log_note ("log", "%s %s in term %" G_GUINT64_FORMAT ".", g->self.name,
                leader ? "leads" : "leads no more", term);
   if (!leader)
-    end_all_proposals (g, PU_ERROR_TIMEOUT);
+    complete_all_proposals (g, PU_ERROR_TIMEOUT);
   if (g->o.role != NULL)
     g->o.role (leader, term, g->o.data);
 }
 
 static void
-act (pu_group_t *g, const pu_action_t *a)
+execute_action (pu_group_t *g, const pu_action_t *a)
 {
   switch (a->kind)
     {
@@ -202,25 +205,25 @@
       take_snapshot (g, a->take.index);
       break;
     case PU_ACTION_APPLY:
-      apply (g, a->apply.first, a->apply.last);
+      apply_entries (g, a->apply.first, a->apply.last);
       break;
     case PU_ACTION_ROLE:
-      change_role (g, a->role.leader, a->role.term);
+      on_role_change (g, a->role.leader, a->role.term);
       break;
     case PU_ACTION_REJOIN:
-      g->rejoin = true;
+      g->rejoin_pending = true;
       break;
     }
 }
 
 static void
-drain (pu_group_t *g)
+execute_pending_actions (pu_group_t *g)
 {
   pu_action_t a;
 
-  while (!g->closing && pu_replica_next (g->replica, now (g), &a))
+  while (!g->closing && pu_replica_next (g->replica, now_ms (g), &a))
     {
-      act (g, &a);
+      execute_action (g, &a);
       pu_action_clear (&a);
     }
   if (!g->closing)
@@ -231,46 +234,46 @@
 on_idle (uv_idle_t *h)
 {
   uv_idle_stop (h);
-  drain (h->data);
+  execute_pending_actions (h->data);
 }
 
-/* Does what is to be done when the loop comes round: what one iteration
-   brings goes out together.  */
+/* Schedules the pending actions for the loop's idle phase, so that all inputs
+   of one iteration are batched.  */
 static void
-wake (pu_group_t *g)
+schedule_actions (pu_group_t *g)
 {
   if (!g->closing)
     uv_idle_start (&g->idle, on_idle);
 }
 
-/* The journal's answers.  */
+/* Journal callbacks.  */
 
 static void
-on_synced (uint64_t ticket, void *data)
+on_journal_synced (uint64_t ticket, void *data)
 {
   pu_group_t *g = data;
 
-  pu_replica_synced (g->replica, now (g), ticket);
-  wake (g);
+  pu_replica_synced (g->replica, now_ms (g), ticket);
+  schedule_actions (g);
 }
 
 static void
-on_saved (uint64_t index, void *data)
+on_journal_saved (uint64_t index, void *data)
 {
   pu_group_t *g = data;
 
-  pu_replica_saved (g->replica, now (g), index);
-  wake (g);
+  pu_replica_saved (g->replica, now_ms (g), index);
+  schedule_actions (g);
 }
 
 static void
-on_failed (const pu_error_t *e, void *data)
+on_journal_failed (const pu_error_t *e, void *data)
 {
   pu_group_t *g = data;
 
   (void)e;
   pu_replica_fail (g->replica);
-  wake (g);
+  schedule_actions (g);
 }
 
 /* Opening.  */
@@ -285,9 +288,9 @@
   o.folder = g->folder;
   o.fs = g->o.fs;
   o.sync_each = g->o.sync_each;
-  o.synced = on_synced;
-  o.saved = on_saved;
-  o.failed = on_failed;
+  o.synced = on_journal_synced;
+  o.saved = on_journal_saved;
+  o.failed = on_journal_failed;
   o.data = g;
   pu_disk_image_init (image);
   return pu_journal_open (&o, image, e);
@@ -306,28 +309,29 @@
   return id;
 }
 
-/* Opens the folder, of a damaged one a new one in its place.  */
+/* Opens the journal in the folder.  A damaged one is set aside and a new one,
+   with a new identity, takes its place.  */
 static bool
 open_folder (pu_group_t *g, pu_disk_image_t *image, pu_error_t *e)
 {
-  pu_error_t why = { 0 };
+  pu_error_t open_error = { 0 };
 
-  g->journal = open_journal (g, image, &why);
-  if (g->journal == NULL && why.kind == PU_ERROR_CORRUPT)
+  g->journal = open_journal (g, image, &open_error);
+  if (g->journal == NULL && open_error.kind == PU_ERROR_CORRUPT)
     {
       pu_log_warn ("log",
                    "The journal is damaged (%s); it is set aside and %s "
                    "joins as a new voter.",
-                   why.message, g->self.name);
+                   open_error.message, g->self.name);
       pu_disk_image_clear (image);
       if (!pu_journal_set_aside (g->folder, g->o.fs, e))
         return false;
-      g->journal = open_journal (g, image, &why);
+      g->journal = open_journal (g, image, &open_error);
     }
   if (g->journal == NULL)
     {
       if (e != NULL)
-        *e = why;
+        *e = open_error;
       return false;
     }
   g->rejoined = pu_journal_held_before (g->folder, g->o.fs);
@@ -340,7 +344,7 @@
 }
 
 static pu_replica_t *
-make_replica (pu_group_t *g, const pu_disk_image_t *image)
+create_replica (pu_group_t *g, const pu_disk_image_t *image)
 {
   pu_replica_options_t o = g->o.replica;
 
@@ -349,28 +353,29 @@
   o.n_initial = g->initial->len;
   o.seed ^= image->meta.id;
   o.rejoined = g->rejoined;
-  return pu_replica_new (&o, image, now (g));
+  return pu_replica_new (&o, image, now_ms (g));
 }
 
-/* Makes journal and replica from the folder; the state machine keeps what it
-   has, which is never more than what is committed.  */
+/* Creates the journal and the replica from the folder.  The state machine
+   keeps its state, which never includes uncommitted entries.  */
 static bool
-start (pu_group_t *g, pu_error_t *e)
+open_replica (pu_group_t *g, pu_error_t *e)
 {
   pu_disk_image_t image = { 0 };
   bool ok = open_folder (g, &image, e);
 
-  if (ok && image.snapshot.index > 0 && !restore (g, &image.snapshot))
-    ok = pu_error_set (e, PU_ERROR_CORRUPT, "the state refused its image");
+  if (ok && image.snapshot.index > 0 && !restore_snapshot (g, &image.snapshot))
+    ok = pu_error_set (e, PU_ERROR_CORRUPT,
+                       "the state machine rejected its snapshot");
   if (ok)
-    g->replica = make_replica (g, &image);
+    g->replica = create_replica (g, &image);
   pu_disk_image_clear (&image);
   return ok;
 }
 
-/* This identity is spent: once the disk is at rest, a new one takes over.  */
+/* Replaces a retired identity by a new one once the journal is idle.  */
 static void
-rejoin (pu_group_t *g)
+rejoin_as_new_voter (pu_group_t *g)
 {
   pu_error_t e = { 0 };
 
@@ -380,20 +385,20 @@
                "The other voters have no place for this disk; it is set aside "
                "and %s joins as a new voter.",
                g->self.name);
-  g->rejoin = false;
+  g->rejoin_pending = false;
   g_clear_pointer (&g->journal, pu_journal_free);
   if (pu_journal_set_aside (g->folder, g->o.fs, &e))
     {
-      pu_replica_t *spent = g_steal_pointer (&g->replica);
+      pu_replica_t *retired = g_steal_pointer (&g->replica);
 
-      if (start (g, &e))
+      if (open_replica (g, &e))
         {
-          pu_replica_free (spent);
+          pu_replica_free (retired);
           return;
         }
-      g->replica = spent;
+      g->replica = retired;
     }
-  pu_log_warn ("log", "Joining anew failed: %s.", e.message);
+  pu_log_warn ("log", "Rejoining as a new voter failed: %s.", e.message);
 }
 
 static void
@@ -401,12 +406,12 @@
 {
   pu_group_t *g = h->data;
 
-  if (g->rejoin)
-    rejoin (g);
+  if (g->rejoin_pending)
+    rejoin_as_new_voter (g);
   if (g->journal == NULL)
     return;
-  pu_replica_tick (g->replica, now (g));
-  drain (g);
+  pu_replica_tick (g->replica, now_ms (g));
+  execute_pending_actions (g);
 }
 
 static void
@@ -443,11 +448,11 @@
 pu_group_new (const pu_group_options_t *o, pu_error_t *e)
 {
   pu_group_t *g = g_new0 (pu_group_t, 1);
-  uint64_t period = MAX (o->replica.heartbeat_ms / TICKS_A_HEARTBEAT, 1);
+  uint64_t period = MAX (o->replica.heartbeat_ms / TICKS_PER_HEARTBEAT, 1);
 
   copy_options (g, o);
   g_queue_init (&g->proposals);
-  if (!start (g, e))
+  if (!open_replica (g, e))
     {
       free_group (g);
       return NULL;
@@ -456,9 +461,9 @@
   uv_idle_init (o->loop, &g->idle);
   g->timer.data = g;
   g->idle.data = g;
-  g->handles = 2;
+  g->open_handles = 2;
   uv_timer_start (&g->timer, on_timer, period, period);
-  drain (g);
+  execute_pending_actions (g);
   return g;
 }
 
@@ -471,7 +476,7 @@
   void (*closed) (void *) = g->closed;
   void *data = g->closed_data;
 
-  if (--g->handles > 0)
+  if (--g->open_handles > 0)
     return;
   free_group (g);
   if (closed != NULL)
@@ -497,7 +502,7 @@
   g->closing = true;
   g->closed = closed;
   g->closed_data = data;
-  end_all_proposals (g, PU_ERROR_TIMEOUT);
+  complete_all_proposals (g, PU_ERROR_TIMEOUT);
   if (g->journal != NULL)
     pu_journal_stop (g->journal);
   uv_idle_stop (&g->idle);
@@ -515,9 +520,9 @@
     return true;
   if (!pu_log_msg_decode (&m, bytes, len, e))
     return false;
-  pu_replica_receive (g->replica, now (g), &m);
+  pu_replica_receive (g->replica, now_ms (g), &m);
   xdr_free ((xdrproc_t)xdr_pu_log_msg, (char *)&m);
-  wake (g);
+  schedule_actions (g);
   return true;
 }
 
@@ -529,8 +534,9 @@
   uint64_t index;
 
   if (g->closing)
-    return pu_error_set (e, PU_ERROR_UNAVAILABLE, "this voter stops");
-  if (!pu_replica_propose (g->replica, now (g), bytes, len, &index, e))
+    return pu_error_set (e, PU_ERROR_UNAVAILABLE,
+                         "this voter is shutting down");
+  if (!pu_replica_propose (g->replica, now_ms (g), bytes, len, &index, e))
     return false;
   p = g_new (pu_proposal_t, 1);
   p->index = index;
@@ -538,25 +544,25 @@
   p->done = done;
   p->data = data;
   g_queue_push_tail (&g->proposals, p);
-  wake (g);
+  schedule_actions (g);
   return true;
 }
 
 void
 pu_group_leave (pu_group_t *g)
 {
-  pu_replica_transfer (g->replica, now (g));
-  wake (g);
+  pu_replica_transfer (g->replica, now_ms (g));
+  schedule_actions (g);
 }
 
 static bool
 change_voters (pu_group_t *g, pu_voters_change_t change, const char *name,
                const char *with, pu_error_t *e)
 {
-  bool ok
-      = pu_replica_change_voters (g->replica, now (g), change, name, with, e);
+  bool ok = pu_replica_change_voters (g->replica, now_ms (g), change, name,
+                                      with, e);
 
-  wake (g);
+  schedule_actions (g);
   return ok;
 }
 
@@ -579,7 +585,7 @@
   return change_voters (g, PU_VOTERS_REPLACE, name, with, e);
 }
 
-/* What can be asked.  */
+/* Queries.  */
 
 uint64_t
 pu_group_read_from (pu_group_t *g, uint64_t after, size_t bytes_max,
@@ -613,7 +619,7 @@
 {
   if (pu_break_active (PU_BREAK_LEASE_IGNORED))
     return pu_group_is_leader (g);
-  return !g->closing && pu_replica_holds_lease (g->replica, now (g));
+  return !g->closing && pu_replica_holds_lease (g->replica, now_ms (g));
 }
 
 bool
@@ -655,7 +661,7 @@
 uint64_t
 pu_group_behind_ms (const pu_group_t *g)
 {
-  return pu_replica_behind_ms (g->replica, now (g));
+  return pu_replica_behind_ms (g->replica, now_ms (g));
 }
 
 uint64_t
@@ -702,7 +708,7 @@
                                "id", hex_id (m->peer.id), "address",
                                m->peer.address, "role", role_name (m->role));
 
-      if (pu_replica_peer_state (g->replica, m->peer.id, now (g), &match,
+      if (pu_replica_peer_state (g->replica, m->peer.id, now_ms (g), &match,
                                  &silent))
         {
           json_object_set_new (one, "match", json_integer ((json_int_t)match));
--- a/libplantainusher/log/group.h
+++ b/libplantainusher/log/group.h
@@ -14,147 +14,158 @@
 G_BEGIN_DECLS
 
 /*
- * group - one replicated log of this process: a replica and its journal joined
- * on a libuv loop.
+ * group - one replicated log in this process: a replica and its journal, run
+ * by a libuv loop.
  *
- * The owner gives callbacks for the transport and the state machine; all of
- * them run on the loop's thread, never from inside pu_group_propose or
- * pu_group_receive.  Several groups may live in one process: each has its own
+ * The owner supplies callbacks for the transport and the state machine.  They
+ * run on the loop's thread, never from within pu_group_propose or
+ * pu_group_receive.  A process may have several groups, each with its own
  * number and folder.
  */
 
 typedef struct pu_group pu_group_t;
 
 /* pu_group_send_fn - sends MSG (the caller keeps its reference) to the voter
-   at TO->address, best effort: it may be lost, late, doubled or reordered.  */
+   at TO->address.  Delivery is best effort: MSG may be lost, delayed,
+   duplicated or reordered.  */
 typedef void pu_group_send_fn (const pu_log_peer *to, GBytes *msg, void *data);
 
-/* pu_group_apply_fn - the entry at INDEX is committed.  Called once for each
-   data entry in rising order; indexes have gaps (entries of the log itself).
- */
+/* pu_group_apply_fn - applies the committed entry at INDEX to the state
+   machine.  Called once for each data entry in ascending order of INDEX, with
+   gaps where the log holds entries of its own.  */
 typedef void pu_group_apply_fn (uint64_t index, const void *bytes, size_t len,
                                 void *data);
 
-/* pu_group_take_fn - a new image of the state machine as of the last applied
-   entry.  The group takes the reference.  */
-typedef GBytes *pu_group_take_fn (uint64_t index, void *data);
+/* pu_group_take_snapshot_fn - returns a new snapshot of the state machine as
+   of the last applied entry, which is at INDEX, or NULL if none can be taken
+   now. The group takes the reference.  */
+typedef GBytes *pu_group_take_snapshot_fn (uint64_t index, void *data);
 
-/* pu_group_restore_fn - replaces the state machine by an image taken at
-   INDEX.  Returning false fails the voter: it stops acknowledging.  */
+/* pu_group_restore_fn - replaces the state of the state machine by a snapshot
+   taken at INDEX.  If it returns false, the voter has failed and stops
+   acknowledging entries.  */
 typedef bool pu_group_restore_fn (uint64_t index, const void *bytes,
                                   size_t len, void *data, pu_error_t *e);
 
-/* pu_group_role_fn - this voter began (LEADER) or ceased to lead in TERM.  */
+/* pu_group_role_fn - this voter became the leader in TERM, if LEADER, or
+   stopped leading in it.  */
 typedef void pu_group_role_fn (bool leader, uint64_t term, void *data);
 
-/* pu_group_done_fn - what became of a proposal: KIND is PU_OK when it is
-   committed and applied at INDEX; PU_ERROR_TIMEOUT when the outcome is not
-   known; any other kind when it certainly did not run.  */
+/* pu_group_done_fn - reports the outcome of a proposal.  KIND is PU_OK if it
+   was committed and applied at INDEX, PU_ERROR_TIMEOUT if the outcome is
+   unknown and any other kind if the entry was certainly not applied.  */
 typedef void pu_group_done_fn (uint64_t index, pu_error_kind_t kind,
                                void *data);
 
+/* pu_group_now_fn - returns a monotonic time in milliseconds.  */
 typedef uint64_t pu_group_now_fn (void *data);
 
 typedef struct
 {
   uv_loop_t *loop;
-  const char *folder;           /* made when missing; one for each group */
-  pu_replica_options_t replica; /* names, timing, initial voters, seed; the
-                                   self.id field is ignored: it is kept in the
-                                   folder */
+  const char *folder;           /* created if missing; one for each group */
+  pu_replica_options_t replica; /* names, timing, initial voters, seed;
+                                   self.id is ignored, as the folder holds the
+                                   identity */
   pu_group_send_fn *send;
   pu_group_apply_fn *apply;
-  pu_group_take_fn *take;
+  pu_group_take_snapshot_fn *take;
   pu_group_restore_fn *restore;
   pu_group_role_fn *role;    /* may be NULL */
   pu_group_now_fn *now;      /* NULL: milliseconds of CLOCK_BOOTTIME */
-  bool sync_each;            /* one sync an entry: a benchmark's baseline */
+  bool sync_each;            /* one sync per entry: a benchmark's baseline */
   const pu_journal_fs_t *fs; /* NULL: the operating system's */
-  void *data;                /* for the callbacks */
+  void *data;                /* passed to the callbacks */
 } pu_group_options_t;
 
-/* pu_group_options_init - the defaults of all options that have one.  */
+/* pu_group_options_init - sets the defaults of all options that have one.  */
 void pu_group_options_init (pu_group_options_t *o);
 
-/* pu_group_new - opens the folder, restores the newest snapshot, applies what
-   is known to be committed and starts to take part.  A damaged folder is set
-   aside and the voter starts as a new identity.  Returns NULL when the folder
-   cannot be used at all (PU_ERROR_IO) or the state machine refuses the image
-   (PU_ERROR_CORRUPT).  OPTIONS' strings are copied.  */
+/* pu_group_new - opens the folder, restores the newest snapshot, applies the
+   entries known to be committed and starts the voter.  The files of a damaged
+   journal are set aside and the voter starts with a new identity.  Returns
+   NULL if the folder cannot be used at all (PU_ERROR_IO) or the state machine
+   rejects the snapshot (PU_ERROR_CORRUPT).  The strings in O are copied.  */
 pu_group_t *pu_group_new (const pu_group_options_t *o, pu_error_t *e);
 
-/* pu_group_close - stops taking part, waits for the disk and then calls CLOSED
-   (may be NULL) and frees G.  Proposals under way end with
+/* pu_group_close - stops the voter, waits for disk operations in progress,
+   frees G and calls CLOSED (may be NULL).  Pending proposals end with
    PU_ERROR_TIMEOUT.  */
 void pu_group_close (pu_group_t *g, void (*closed) (void *data), void *data);
 
-/* pu_group_receive - takes a message of another voter.  Returns false for one
-   that is malformed or not for this group (PU_ERROR_INVALID).  */
+/* pu_group_receive - processes a message from another voter.  Returns false if
+   it is malformed (PU_ERROR_INVALID).  A message for another group or identity
+   is ignored.  */
 bool pu_group_receive (pu_group_t *g, const void *bytes, size_t len,
                        pu_error_t *e);
 
-/* pu_group_propose - asks for BYTES to be put into the log; DONE is called
-   exactly once, later, when this returns true.  Returns false, and the entry
-   does certainly not run, with PU_ERROR_UNAVAILABLE when this voter does not
-   lead or has too much under way, PU_ERROR_TOO_LARGE.  */
+/* pu_group_propose - proposes BYTES as an entry of the log.  If this returns
+   true, DONE is called exactly once, later.  Otherwise the entry is certainly
+   not applied.  Errors: PU_ERROR_UNAVAILABLE (not the leader, a leadership
+   transfer in progress, too many uncommitted entries, or closing),
+   PU_ERROR_TOO_LARGE.  */
 bool pu_group_propose (pu_group_t *g, const void *bytes, size_t len,
                        pu_group_done_fn *done, void *data, pu_error_t *e);
 
-/* pu_group_read_from - calls FN for the committed data entries after AFTER
-   that are still in the log, in order, until BYTES_MAX are given (at least
-   one).  Returns the position reached, all of it committed (AFTER itself when
-   there is nothing new); 0 when entries after AFTER are gone, so that the
-   reader needs an image.  */
+/* pu_group_read_from - calls FN in order for the applied data entries after
+   index AFTER, up to BYTES_MAX bytes but at least one entry.  Returns the
+   index reached (AFTER itself if there is nothing new), or 0 if entries after
+   AFTER were compacted, so that the reader needs a snapshot.  */
 uint64_t pu_group_read_from (pu_group_t *g, uint64_t after, size_t bytes_max,
                              pu_group_apply_fn *fn, void *data);
 
-/* pu_group_holds_lease - true while this voter leads, has committed an entry
-   of its own term, and no other voter can be elected.  Ask before each act;
-   the term is the fencing token.  */
+/* pu_group_holds_lease - returns true while this voter is the leader, has
+   committed an entry of its own term, and no other voter can be elected.
+   Check it before each action of a leader; the term is the fencing token.  */
 bool pu_group_holds_lease (pu_group_t *g);
 bool pu_group_is_leader (const pu_group_t *g);
 uint64_t pu_group_term (const pu_group_t *g);
 
-/* pu_group_leader - the leader as far as known, or NULL.  Valid until the next
+/* pu_group_leader - returns the known leader, or NULL.  Valid until the next
    call into the group.  */
 const pu_log_peer *pu_group_leader (const pu_group_t *g);
 
-/* pu_group_config - the voters in force; valid until the next call.  */
+/* pu_group_config - returns the configuration in force.  Valid until the next
+   call into the group.  */
 const pu_log_config *pu_group_config (const pu_group_t *g);
 
-/* pu_group_config_at - the position that put these voters in force.  */
+/* pu_group_config_at - returns the index of the configuration in force.  */
 uint64_t pu_group_config_at (const pu_group_t *g);
 
-/* pu_group_meet - a voter may stand at ADDRESS: a log that has none of its own
-   yet asks there, too.  */
+/* pu_group_meet - adds ADDRESS to the seeds, the peers that this voter asks
+   for a leader while it has none.  Ignored by an initial voter that may
+   bootstrap the log.  */
 void pu_group_meet (pu_group_t *g, const char *address);
 
-/* pu_group_behind_ms - for how long the leader has had committed entries that
-   have not come here, as after a restart or with a disk that is full.  */
+/* pu_group_behind_ms - returns for how many milliseconds the leader's commit
+   index has been ahead of this voter's, as after a restart or with a full
+   disk; 0 if it is not.  */
 uint64_t pu_group_behind_ms (const pu_group_t *g);
 
-/* pu_group_committed - the highest committed position.  */
+/* pu_group_committed - returns the commit index.  */
 uint64_t pu_group_committed (const pu_group_t *g);
 
-/* pu_group_leave - a graceful stop: a leader brings another voter up to date
-   and hands the lead over; it takes no proposals meanwhile.  Wait until
-   pu_group_is_leader is false (or give up after two seconds), then close.  */
+/* pu_group_leave - prepares a graceful stop: a leader waits until another
+   voter has the whole log and transfers leadership to it.  Proposals are
+   refused meanwhile.  Wait until pu_group_is_leader is false, for two seconds
+   at most, then close.  */
 void pu_group_leave (pu_group_t *g);
 
-/* pu_group_voters_* - an operator's change, on the leader.  True means that it
-   stands in the leader's log; look at pu_group_config for the result.  Voters
-   are changed one at a time and a new one is caught up first.
-   Errors: PU_ERROR_UNAVAILABLE (not the leader, or a change is under way),
-   PU_ERROR_NOT_FOUND (no such name), PU_ERROR_INVALID (too few or too many
-   voters).  */
+/* pu_group_voters_* - changes the voters on the leader, as an operator asked.
+   True means that the change is in the leader's log; pu_group_config shows the
+   result.  Voters are changed one at a time, and a learner catches up before
+   it becomes a voter.  Errors: PU_ERROR_UNAVAILABLE (not the leader, or
+   another change in progress), PU_ERROR_NOT_FOUND (no such name),
+   PU_ERROR_INVALID (too few or too many voters).  */
 bool pu_group_voters_add (pu_group_t *g, const char *name, pu_error_t *e);
 bool pu_group_voters_remove (pu_group_t *g, const char *name, pu_error_t *e);
 bool pu_group_voters_replace (pu_group_t *g, const char *name,
                               const char *with, pu_error_t *e);
 
-/* pu_group_status - a new JSON object: {"group","name","id","role","term",
-   "leader","lease","commit","applied","first","last","synced","snapshot",
-   "failed","voters":[{"name","id","address","role","match","silent_ms"}],
+/* pu_group_status - returns a new JSON object:
+   {"group","name","id","role","term","leader","lease","commit","applied",
+   "first","last","synced","snapshot","failed",
+   "voters":[{"name","id","address","role","match","silent_ms"}],
    "journal":{"segments","bytes","syncs","batches","entries","sync_us"}}.  */
 json_t *pu_group_status (pu_group_t *g);
 
