--- a/libplantainusher/log/group_fake.h
+++ b/libplantainusher/log/group_fake.h
@@ -1,8 +1,8 @@
 #ifndef PU_LOG_GROUP_FAKE_H
 #define PU_LOG_GROUP_FAKE_H
 
-/* group_fake - groups of one log in one process: the loop is the network.  For
-   tests and benchmarks.  */
+/* group_fake - the groups of one log in one process, which exchange messages
+   through the loop.  For tests and benchmarks.  */
 
 #include <functional>
 #include <memory>
@@ -13,7 +13,7 @@
 
 struct FakeCluster;
 
-/* A voter whose state machine is the list of what was applied.  */
+/* A voter whose state machine is the list of applied entries.  */
 struct FakeVoter
 {
   FakeCluster *cluster = nullptr;
@@ -21,9 +21,9 @@
   pu_group_t *group = nullptr;
   pu_journal_fs_t fs = *pu_journal_fs_system ();
   std::vector<std::string> applied;
-  uint64_t restored = 0; /* entries that came by an image */
-  bool cut = false;      /* neither sends nor receives */
-  /* Another state machine in place of the list.  */
+  uint64_t restored = 0; /* entries restored from a snapshot */
+  bool cut = false;      /* isolated: neither sends nor receives */
+  /* Set to use another state machine instead of the list.  */
   std::function<void (uint64_t, const void *, size_t)> on_entry;
   std::function<GBytes *()> on_image;
   std::function<bool (const void *, size_t)> on_load;
@@ -38,20 +38,21 @@
 struct FakeCluster
 {
   uv_loop_t loop;
-  uv_idle_t pump;
+  uv_idle_t delivery_idle;
   std::string root;
   std::vector<std::unique_ptr<FakeVoter> > voters;
-  std::vector<FakePacket> bag;
+  std::vector<FakePacket> in_flight;
   pu_group_options_t options;
   unsigned initial;
   uint64_t sent_bytes = 0, sent = 0;
 
-  explicit FakeCluster (unsigned n, const std::string &base = "") : initial (n)
+  explicit FakeCluster (unsigned n, const std::string &folder = "")
+      : initial (n)
   {
     uv_loop_init (&loop);
-    uv_idle_init (&loop, &pump);
-    pump.data = this;
-    if (base.empty ())
+    uv_idle_init (&loop, &delivery_idle);
+    delivery_idle.data = this;
+    if (folder.empty ())
       {
         char *t = g_dir_make_tmp ("pu-group-XXXXXX", nullptr);
         root = t;
@@ -59,7 +60,7 @@
       }
     else
       {
-        root = base;
+        root = folder;
       }
     pu_group_options_init (&options);
     options.replica.election_ms = 100;
@@ -71,14 +72,14 @@
   {
     for (auto &v : voters)
       stop (*v);
-    uv_close ((uv_handle_t *)&pump, nullptr);
+    uv_close ((uv_handle_t *)&delivery_idle, nullptr);
     uv_run (&loop, UV_RUN_DEFAULT);
     uv_loop_close (&loop);
-    for (FakePacket &p : bag)
+    for (FakePacket &p : in_flight)
       g_bytes_unref (p.msg);
     for (auto &v : voters)
       wipe (*v);
-    g_remove_dir (root);
+    remove_folder (root);
   }
   FakeCluster (const FakeCluster &) = delete;
   FakeCluster &operator= (const FakeCluster &) = delete;
@@ -112,7 +113,7 @@
     o.replica.n_initial = peers.size ();
     o.send = on_send;
     o.apply = on_apply;
-    o.take = on_take;
+    o.take = on_take_snapshot;
     o.restore = on_restore;
     v.applied.clear ();
     v.group = pu_group_new (&o, e);
@@ -145,9 +146,10 @@
       remove ((v.folder + "/" + name).c_str ());
     if (d != nullptr)
       g_dir_close (d);
-    g_remove_dir (v.folder);
+    remove_folder (v.folder);
   }
-  /* Runs the loop until DONE or for MS.  */
+  /* Runs the loop until DONE returns true, for at most MS milliseconds.
+     Returns whether DONE did.  */
   bool
   run (const std::function<bool ()> &done, uint64_t ms = 10000)
   {
@@ -173,7 +175,7 @@
 
 private:
   static void
-  g_remove_dir (const std::string &path)
+  remove_folder (const std::string &path)
   {
     remove (path.c_str ());
   }
@@ -186,17 +188,17 @@
       return;
     c->sent++;
     c->sent_bytes += g_bytes_get_size (msg);
-    c->bag.push_back ({ to->address, g_bytes_ref (msg) });
-    uv_idle_start (&c->pump, on_pump);
+    c->in_flight.push_back ({ to->address, g_bytes_ref (msg) });
+    uv_idle_start (&c->delivery_idle, on_deliver);
   }
   static void
-  on_pump (uv_idle_t *h)
+  on_deliver (uv_idle_t *h)
   {
     auto *c = (FakeCluster *)h->data;
-    std::vector<FakePacket> bag;
+    std::vector<FakePacket> in_flight;
     uv_idle_stop (h);
-    bag.swap (c->bag);
-    for (FakePacket &p : bag)
+    in_flight.swap (c->in_flight);
+    for (FakePacket &p : in_flight)
       {
         FakeVoter &v = *c->voters[p.to[0] - 'a'];
         gsize n;
@@ -220,7 +222,7 @@
       }
   }
   static GBytes *
-  on_take (uint64_t, void *data)
+  on_take_snapshot (uint64_t, void *data)
   {
     auto *v = (FakeVoter *)data;
     std::string all;
