--- a/libplantainusher/log/group.h
+++ b/libplantainusher/log/group.h
@@ -94,8 +94,8 @@
 void pu_group_close (pu_group_t *g, void (*closed) (void *data), void *data);
 
 /* pu_group_receive - processes a message from another voter.  Returns false if
-   it is malformed (PU_ERROR_INVALID).  A message for another group or identity
-   is ignored.  */
+   it is malformed or of another protocol (PU_ERROR_INVALID) or too large
+   (PU_ERROR_TOO_LARGE).  One for another group or identity is ignored.  */
 bool pu_group_receive (pu_group_t *g, const void *bytes, size_t len,
                        pu_error_t *e);
 
