--- a/libplantainusher/log/replica_voters.c
+++ b/libplantainusher/log/replica_voters.c
@@ -257,14 +257,14 @@
                   int removed_confirmed)
 {
   const pu_log_config *c = pu_r_config (r);
-  int voters = (int)pu_log_config_voters (c) + added - removed;
+  int voters = (int)pu_log_config_count_voters (c) + added - removed;
   int live = added - removed_confirmed;
 
   for (guint i = 0; i < c->members.members_len; i++)
     {
       const pu_log_member *m = &c->members.members_val[i];
 
-      live += pu_log_counts (m->role) && is_confirmed (r, m, now);
+      live += pu_log_role_is_voting (m->role) && is_confirmed (r, m, now);
     }
   return voters > 0 && live >= voters / 2 + 1;
 }
@@ -372,7 +372,7 @@
   const pu_log_config *c = pu_r_config (r);
   int i = removal_candidate (r, c, now);
 
-  if (pu_log_config_voters (c) <= c->target || i == NO_MEMBER)
+  if (pu_log_config_count_voters (c) <= c->target || i == NO_MEMBER)
     return false;
   if (c->members.members_val[i].peer.id == r->self.id)
     {
@@ -395,7 +395,7 @@
     {
       const pu_log_member *m = &c->members.members_val[k];
 
-      if (pu_log_counts (m->role) || !is_caught_up (r, m, now))
+      if (pu_log_role_is_voting (m->role) || !is_caught_up (r, m, now))
         continue;
       if (any || m->role == PU_LOG_CHOSEN || strcmp (m->peer.name, name) == 0)
         return true;
@@ -411,13 +411,13 @@
 {
   const pu_log_config *c = pu_r_config (r);
 
-  if (pu_log_config_voters (c) > c->target)
+  if (pu_log_config_count_voters (c) > c->target)
     return false;
   for (guint i = 0; i < c->members.members_len; i++)
     {
       const pu_log_member *m = &c->members.members_val[i];
 
-      if (!pu_log_counts (m->role) || !is_unresponsive (r, m, now)
+      if (!pu_log_role_is_voting (m->role) || !is_unresponsive (r, m, now)
           || !has_replacement (r, c, i, is_lost (r, m, now), now)
           || !has_quorum_after (r, now, 0, 1, 0))
         continue;
@@ -445,9 +445,9 @@
                 uint64_t now)
 {
   const pu_log_member *m = &c->members.members_val[i];
-  uint32_t voters = pu_log_config_voters (c);
+  uint32_t voters = pu_log_config_count_voters (c);
 
-  if (pu_log_counts (m->role) || !is_caught_up (r, m, now))
+  if (pu_log_role_is_voting (m->role) || !is_caught_up (r, m, now))
     return 0;
   if (voters >= c->target && !has_role (c, PU_LOG_LEAVING))
     return 0;
@@ -463,7 +463,7 @@
   int best = NO_MEMBER;
   int best_rank = 0;
 
-  if (pu_log_config_voters (c) > c->target)
+  if (pu_log_config_count_voters (c) > c->target)
     return false;
   for (guint i = 0; i < c->members.members_len; i++)
     {
@@ -492,7 +492,7 @@
     {
       const pu_log_member *m = &c->members.members_val[i];
 
-      n += !pu_log_counts (m->role) && is_caught_up (r, m, now);
+      n += !pu_log_role_is_voting (m->role) && is_caught_up (r, m, now);
     }
   return n;
 }
@@ -507,7 +507,7 @@
   uint32_t step = c->target % 2 == 0 ? 1 : 2;
 
   if (c->target + step > r->o.voters_wanted
-      || pu_log_config_voters (c) < c->target
+      || pu_log_config_count_voters (c) < c->target
       || count_caught_up_learners (r, c, now) < step)
     return false;
   raise_target (r, now, (int)step);
@@ -523,7 +523,7 @@
     {
       const pu_log_member *m = &c->members.members_val[i];
 
-      if (pu_log_counts (m->role) || !is_lost (r, m, now))
+      if (pu_log_role_is_voting (m->role) || !is_lost (r, m, now))
         continue;
       change_member (r, now, i, m->role, true, 0);
       return true;
@@ -561,7 +561,7 @@
     {
       pu_log_member *m = &c->members.members_val[i];
 
-      if (pu_log_counts (m->role) || strcmp (m->peer.name, name) != 0)
+      if (pu_log_role_is_voting (m->role) || strcmp (m->peer.name, name) != 0)
         continue;
       pu_log_peer_clear (&m->peer);
       memmove (m, m + 1,
@@ -605,7 +605,7 @@
 static void
 leader_on_hello (pu_replica_t *r, uint64_t now, const pu_log_msg *m)
 {
-  if (pu_log_config_find (pu_r_config (r), m->from.id) != NULL)
+  if (pu_log_config_find_member (pu_r_config (r), m->from.id) != NULL)
     return;
   if (m->body.pu_log_body_u.hello.fresh)
     {
@@ -664,7 +664,7 @@
 {
   for (guint i = c->members.members_len; i-- > 0;)
     {
-      if (pu_log_counts (c->members.members_val[i].role) == voting
+      if (pu_log_role_is_voting (c->members.members_val[i].role) == voting
           && strcmp (c->members.members_val[i].peer.name, name) == 0)
         return (int)i;
     }
