--- a/libplantainusher/daemon/build.c
+++ b/libplantainusher/daemon/build.c
@@ -309,7 +309,7 @@
   pu_daemon_t *d = data;
 
   for (size_t i = 0; d->control != NULL && i < n; i++)
-    pu_control_meet (d->control, addresses[i]);
+    pu_control_add_seed (d->control, addresses[i]);
 }
 
 static bool
--- a/libplantainusher/log/group_test.cc
+++ b/libplantainusher/log/group_test.cc
@@ -51,7 +51,9 @@
 voters (FakeCluster &c)
 {
   FakeVoter *l = c.leader ();
-  return l == nullptr ? 0 : pu_log_config_voters (pu_group_config (l->group));
+  return l == nullptr
+             ? 0
+             : pu_log_config_count_voters (pu_group_config (l->group));
 }
 
 TEST (Group, AppliesAlikeOverSnapshotsAndRestarts)
