--- a/libplantainusher/membership/membership.c
+++ b/libplantainusher/membership/membership.c
@@ -3,12 +3,12 @@
 #include <math.h>
 #include <string.h>
 
-#define KINDS 2
+#define SUBJECT_KINDS 2
 
-/* Intervals that are allowed: one beat may get lost.  */
-#define BEATS 2
+/* Mean intervals in the timeout, so that one heartbeat may be lost.  */
+#define MEAN_INTERVALS 2
 
-/* Weights of a new interval in the mean and in the deviation.  */
+/* Weights of a new interval in the moving averages.  */
 #define MEAN_WEIGHT 0.125
 #define DEVIATION_WEIGHT 0.25
 
@@ -16,20 +16,20 @@
 {
   char *name;
   uint64_t incarnation;
-  uint64_t heard;   /* leader's clock */
-  double mean;      /* of the intervals between beats; 0: none yet */
-  double deviation; /* mean deviation of them */
-  char *route;      /* that the last beat came by; NULL: none */
-  bool expected;    /* since the last tick */
-  uint64_t judged;  /* when a verdict was given; 0: never */
+  uint64_t last_heard;  /* leader's clock, ms */
+  double mean;          /* of heartbeat intervals; 0: none yet */
+  double deviation;     /* mean absolute deviation of the intervals */
+  char *route;          /* route of the last heartbeat; NULL: none */
+  bool expected;        /* named by pu_membership_expect since the last tick */
+  uint64_t reported_at; /* when a failure was last reported; 0: never */
 } subject_t;
 
 struct pu_membership
 {
   pu_membership_options_t options;
-  GHashTable *subjects[KINDS]; /* name -> subject_t */
-  GHashTable *routes;          /* name of a voter -> heard, uint64_t * */
-  uint64_t ticked;             /* 0: not yet */
+  GHashTable *subjects[SUBJECT_KINDS]; /* name -> subject_t */
+  GHashTable *routes; /* voter name -> last_heard, uint64_t * */
+  uint64_t last_tick; /* 0: none yet */
 };
 
 static void
@@ -52,8 +52,8 @@
   o->most_ms[PU_SUBJECT_BACKEND] = 20000;
   o->deviations = 6;
   o->route_ms = 3000;
-  o->pause_ms = 1000;
-  o->repeat_ms = 3000;
+  o->max_tick_gap_ms = 1000;
+  o->report_interval_ms = 3000;
 }
 
 pu_membership_t *
@@ -62,7 +62,7 @@
   pu_membership_t *m = g_new0 (pu_membership_t, 1);
 
   m->options = *o;
-  for (int i = 0; i < KINDS; i++)
+  for (int i = 0; i < SUBJECT_KINDS; i++)
     {
       m->subjects[i] = g_hash_table_new_full (g_str_hash, g_str_equal, NULL,
                                               subject_free);
@@ -76,14 +76,14 @@
 {
   if (m == NULL)
     return;
-  for (int i = 0; i < KINDS; i++)
+  for (int i = 0; i < SUBJECT_KINDS; i++)
     g_hash_table_unref (m->subjects[i]);
   g_hash_table_unref (m->routes);
   g_free (m);
 }
 
 static bool
-broken (const pu_membership_t *m, pu_membership_break_t rule)
+is_rule_broken (const pu_membership_t *m, pu_membership_break_t rule)
 {
   return (m->options.breaks & rule) != 0;
 }
@@ -91,23 +91,24 @@
 void
 pu_membership_begin (pu_membership_t *m, uint64_t now)
 {
-  m->ticked = now;
-  if (broken (m, PU_MEMBERSHIP_BREAK_NO_GRACE))
+  m->last_tick = now;
+  if (is_rule_broken (m, PU_MEMBERSHIP_BREAK_NO_RESET))
     return;
-  for (int i = 0; i < KINDS; i++)
+  for (int i = 0; i < SUBJECT_KINDS; i++)
     g_hash_table_remove_all (m->subjects[i]);
   g_hash_table_remove_all (m->routes);
 }
 
-/* subject_restart - a new incarnation has its own rhythm.  */
+/* subject_restart - discards the interval statistics: a new incarnation may
+   send heartbeats at another rate.  */
 static void
 subject_restart (subject_t *s, uint64_t incarnation, uint64_t at)
 {
   s->incarnation = incarnation;
-  s->heard = at;
+  s->last_heard = at;
   s->mean = 0;
   s->deviation = 0;
-  s->judged = 0;
+  s->reported_at = 0;
 }
 
 void
@@ -129,9 +130,9 @@
 }
 
 static void
-subject_beat (subject_t *s, uint64_t at)
+subject_record_interval (subject_t *s, uint64_t at)
 {
-  double interval = (double)(at - s->heard);
+  double interval = (double)(at - s->last_heard);
 
   if (s->mean == 0)
     {
@@ -144,8 +145,8 @@
           += DEVIATION_WEIGHT * (fabs (interval - s->mean) - s->deviation);
       s->mean += MEAN_WEIGHT * (interval - s->mean);
     }
-  s->heard = at;
-  s->judged = 0;
+  s->last_heard = at;
+  s->reported_at = 0;
 }
 
 void
@@ -155,7 +156,7 @@
 {
   subject_t *s = g_hash_table_lookup (m->subjects[kind], name);
 
-  /* One that the log does not know as up is nobody's to bury.  */
+  /* Only subjects that the log has as up, in this incarnation, can fail.  */
   if (s == NULL || incarnation != s->incarnation)
     return;
   if (g_strcmp0 (s->route, route) != 0)
@@ -163,8 +164,8 @@
       g_free (s->route);
       s->route = g_strdup (route);
     }
-  if (at > s->heard)
-    subject_beat (s, at);
+  if (at > s->last_heard)
+    subject_record_interval (s, at);
 }
 
 void
@@ -180,12 +181,12 @@
   *heard = MAX (*heard, at);
 }
 
-/* route_heard - when the route of S was last heard itself; 0: never.  */
+/* route_last_heard - when the route of S was last heard; 0: never.  */
 static uint64_t
-route_heard (const pu_membership_t *m, pu_subject_kind_t kind,
-             const subject_t *s)
+route_last_heard (const pu_membership_t *m, pu_subject_kind_t kind,
+                  const subject_t *s)
 {
-  const subject_t *home;
+  const subject_t *home_entry;
   const uint64_t *heard;
 
   if (s->route == NULL)
@@ -195,75 +196,78 @@
       heard = g_hash_table_lookup (m->routes, s->route);
       return heard == NULL ? 0 : *heard;
     }
-  home = g_hash_table_lookup (m->subjects[PU_SUBJECT_MEMBER], s->route);
-  return home == NULL ? 0 : home->heard;
+  home_entry = g_hash_table_lookup (m->subjects[PU_SUBJECT_MEMBER], s->route);
+  return home_entry == NULL ? 0 : home_entry->last_heard;
 }
 
 static bool
 route_is_silent (const pu_membership_t *m, pu_subject_kind_t kind,
                  const subject_t *s, uint64_t now)
 {
-  if (broken (m, PU_MEMBERSHIP_BREAK_ROUTE))
+  if (is_rule_broken (m, PU_MEMBERSHIP_BREAK_IGNORE_ROUTE))
     return false;
   return s->route != NULL
-         && now - route_heard (m, kind, s) > m->options.route_ms;
+         && now - route_last_heard (m, kind, s) > m->options.route_ms;
 }
 
 static uint64_t
-allowed_ms (const pu_membership_t *m, pu_subject_kind_t kind,
-            const subject_t *s, uint64_t now)
+suspicion_timeout_ms (const pu_membership_t *m, pu_subject_kind_t kind,
+                      const subject_t *s, uint64_t now)
 {
-  uint64_t least = m->options.least_ms[kind];
-  uint64_t most = MAX (m->options.most_ms[kind], least);
-  double rhythm = BEATS * s->mean + m->options.deviations * s->deviation;
+  uint64_t min_ms = m->options.least_ms[kind];
+  uint64_t max_ms = MAX (m->options.most_ms[kind], min_ms);
+  double adaptive
+      = MEAN_INTERVALS * s->mean + m->options.deviations * s->deviation;
 
-  if (broken (m, PU_MEMBERSHIP_BREAK_FIXED))
-    return least;
+  if (is_rule_broken (m, PU_MEMBERSHIP_BREAK_FIXED_TIMEOUT))
+    return min_ms;
   if (route_is_silent (m, kind, s, now))
-    return most;
-  return (uint64_t)CLAMP (rhythm, (double)least, (double)most);
+    return max_ms;
+  return (uint64_t)CLAMP (adaptive, (double)min_ms, (double)max_ms);
 }
 
 static void
-shift_all (pu_membership_t *m, uint64_t by)
+shift_timestamps (pu_membership_t *m, uint64_t by)
 {
   GHashTableIter iter;
   gpointer value;
 
-  for (int i = 0; i < KINDS; i++)
+  for (int i = 0; i < SUBJECT_KINDS; i++)
     {
       g_hash_table_iter_init (&iter, m->subjects[i]);
       while (g_hash_table_iter_next (&iter, NULL, &value))
-        ((subject_t *)value)->heard += by;
+        ((subject_t *)value)->last_heard += by;
     }
   g_hash_table_iter_init (&iter, m->routes);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     *(uint64_t *)value += by;
 }
 
-/* discount_pause - a leader that did not run could not listen.  */
+/* exclude_local_pause - does not count time in which this process did not run
+   as silence, because it could not receive heartbeats then.  */
 static void
-discount_pause (pu_membership_t *m, uint64_t now)
+exclude_local_pause (pu_membership_t *m, uint64_t now)
 {
-  uint64_t gap = m->ticked == 0 ? 0 : now - m->ticked;
+  uint64_t gap = m->last_tick == 0 ? 0 : now - m->last_tick;
 
-  if (gap > m->options.pause_ms)
-    shift_all (m, gap - m->options.pause_ms);
-  m->ticked = now;
+  if (gap > m->options.max_tick_gap_ms)
+    shift_timestamps (m, gap - m->options.max_tick_gap_ms);
+  m->last_tick = now;
 }
 
 static void
-judge (pu_membership_t *m, pu_subject_kind_t kind, subject_t *s, uint64_t now,
-       GArray *verdicts)
+check_subject (pu_membership_t *m, pu_subject_kind_t kind, subject_t *s,
+               uint64_t now, GArray *verdicts)
 {
-  uint64_t silent = now > s->heard ? now - s->heard : 0;
+  uint64_t silent = now > s->last_heard ? now - s->last_heard : 0;
   pu_membership_verdict_t v = { kind, s->name, s->incarnation, silent };
 
-  if (silent <= allowed_ms (m, kind, s, now))
+  if (silent <= suspicion_timeout_ms (m, kind, s, now))
     return;
-  if (s->judged != 0 && now - s->judged < m->options.repeat_ms)
+  if (s->reported_at != 0
+      && now - s->reported_at < m->options.report_interval_ms)
     return;
-  s->judged = now;
+  s->reported_at = now;
   g_array_append_val (verdicts, v);
 }
 
@@ -273,8 +277,8 @@
   GHashTableIter iter;
   gpointer value;
 
-  discount_pause (m, now);
-  for (int i = 0; i < KINDS; i++)
+  exclude_local_pause (m, now);
+  for (int i = 0; i < SUBJECT_KINDS; i++)
     {
       g_hash_table_iter_init (&iter, m->subjects[i]);
       while (g_hash_table_iter_next (&iter, NULL, &value))
@@ -287,7 +291,7 @@
               continue;
             }
           s->expected = false;
-          judge (m, (pu_subject_kind_t)i, s, now, verdicts);
+          check_subject (m, (pu_subject_kind_t)i, s, now, verdicts);
         }
     }
 }
@@ -301,7 +305,7 @@
 
   if (s == NULL)
     return false;
-  *silent = now > s->heard ? now - s->heard : 0;
-  *allowed = allowed_ms (m, kind, s, now);
+  *silent = now > s->last_heard ? now - s->last_heard : 0;
+  *allowed = suspicion_timeout_ms (m, kind, s, now);
   return true;
 }
--- a/libplantainusher/membership/membership.h
+++ b/libplantainusher/membership/membership.h
@@ -10,20 +10,21 @@
 G_BEGIN_DECLS
 
 /*
- * membership - decides on the leader which daemons and backend servers are
- * dead: sessions of daemons with adaptive suspicion, and leases of backend
- * servers that their home entry renews.
+ * membership - the leader's failure detector for daemons and backend servers.
  *
- * A core: the shell feeds what was heard and when, and asks for what is down.
- * Times are milliseconds of the leader's monotonic clock.
+ * Daemons keep sessions alive with heartbeats; a backend server has a lease
+ * that its home entry renews.  This module does no I/O: its user reports which
+ * heartbeats arrived and when, and asks which subjects have failed.  Times are
+ * milliseconds of the leader's monotonic clock.
  *
- * How long a subject may be silent follows the beats it was heard at: twice
- * the mean of the intervals, so that one beat may get lost, and `deviations`
- * times their mean deviation, between its least and its most.  A slow instance
- * is given more time, never less than the least.  While the route it came by
- * (a voter for a session, the home entry for a lease) is silent itself, it
- * gets the most: its silence says nothing.  Time that the leader could not
- * listen does not count.
+ * The suspicion timeout of a subject adapts to its heartbeats.  It is twice
+ * the mean interval, so that one heartbeat may be lost, plus `deviations`
+ * times the mean deviation of the intervals, clamped to least_ms and most_ms.
+ * A slow instance thus gets more time, and no subject less than least_ms.
+ * While the route of the subject (a voter for a session, the home entry for a
+ * lease) has itself been silent for over route_ms, the timeout is most_ms,
+ * because missing heartbeats then say nothing about the subject.  Time in
+ * which the leader did not run does not count as silence.
  */
 
 typedef struct pu_membership pu_membership_t;
@@ -37,53 +38,55 @@
 /* Rules broken on purpose; for tests alone.  */
 typedef enum
 {
-  PU_MEMBERSHIP_BREAK_NO_GRACE = 1, /* a new leader starts from silence */
-  PU_MEMBERSHIP_BREAK_FIXED = 2,    /* never more than the least */
-  PU_MEMBERSHIP_BREAK_ROUTE = 4,    /* the route's silence is ignored */
+  PU_MEMBERSHIP_BREAK_NO_RESET = 1,      /* a new leader keeps old times */
+  PU_MEMBERSHIP_BREAK_FIXED_TIMEOUT = 2, /* the timeout is always least_ms */
+  PU_MEMBERSHIP_BREAK_IGNORE_ROUTE = 4,  /* silence of the route is ignored */
 } pu_membership_break_t;
 
 typedef struct
 {
-  guint32 least_ms[2]; /* by kind: silence that is never held against it */
-  guint32 most_ms[2];  /* by kind: silence that always is */
-  double deviations;   /* 6 */
-  guint32 route_ms;    /* a route that is silent for longer is doubted */
-  guint32 pause_ms;    /* a gap between ticks over this is a pause of ours */
-  guint32 repeat_ms;   /* a verdict not carried out is given again */
-  unsigned breaks;     /* pu_membership_break_t; tests alone */
+  guint32 least_ms[2];     /* by kind: lower bound of the timeout */
+  guint32 most_ms[2];      /* by kind: upper bound of the timeout */
+  double deviations;       /* 6; mean deviations in the timeout */
+  guint32 route_ms;        /* silence after which a route is suspected */
+  guint32 max_tick_gap_ms; /* time between ticks beyond this is not counted as
+                              silence */
+  guint32 report_interval_ms; /* between reports of the same failure */
+  unsigned breaks;            /* pu_membership_break_t; tests alone */
 } pu_membership_options_t;
 
-/* pu_membership_options_init - daemons 8 s to 32 s, backend servers 5 s to
-   20 s.  */
+/* pu_membership_options_init - sets the defaults: timeouts of 8 s to 32 s for
+   daemons and of 5 s to 20 s for backend servers.  */
 void pu_membership_options_init (pu_membership_options_t *o);
 
 pu_membership_t *pu_membership_new (const pu_membership_options_t *o);
 void pu_membership_free (pu_membership_t *m);
 
-/* pu_membership_begin - this voter leads from NOW on: forgets all, so that
-   every subject gets its full time again.  */
+/* pu_membership_begin - this voter leads from NOW on.  Removes all subjects
+   and routes, so that every subject gets a full timeout again.  */
 void pu_membership_begin (pu_membership_t *m, uint64_t now);
 
-/* pu_membership_expect - the log says that NAME is up as INCARNATION.  Called
-   before each tick for all that are up; others are forgotten at the tick.  One
-   that is new counts as heard NOW.  */
+/* pu_membership_expect - the log has NAME as up in INCARNATION.  Must be
+   called before each tick for all subjects that are up; the tick removes the
+   others.  A new subject or incarnation counts as heard at NOW.  */
 void pu_membership_expect (pu_membership_t *m, pu_subject_kind_t kind,
                            const char *name, uint64_t incarnation,
                            uint64_t now);
 
-/* pu_membership_heard - NAME as INCARNATION was heard at AT (not after NOW)
-   over ROUTE: the voter's name for a daemon, the home entry's for a backend
-   server.  An older incarnation is ignored.  */
+/* pu_membership_heard - records a heartbeat or lease renewal of NAME in
+   INCARNATION that arrived at AT, not in the future, over ROUTE: the name of
+   the voter for a daemon, of the home entry for a backend server.  Ignored
+   unless NAME is expected in this incarnation.  */
 void pu_membership_heard (pu_membership_t *m, pu_subject_kind_t kind,
                           const char *name, uint64_t incarnation,
                           const char *route, uint64_t at);
 
-/* pu_membership_route_heard - voter NAME itself was heard at AT.  (Home
-   entries are heard as daemons.)  */
+/* pu_membership_route_heard - records that voter NAME was heard at AT.  Home
+   entries are daemons and are recorded with pu_membership_heard.  */
 void pu_membership_route_heard (pu_membership_t *m, const char *name,
                                 uint64_t at);
 
-/* A subject that is down; NAME lives until the next call.  */
+/* A failed subject; NAME is valid until the next call.  */
 typedef struct
 {
   pu_subject_kind_t kind;
@@ -92,13 +95,14 @@
   uint64_t silent_ms;
 } pu_membership_verdict_t;
 
-/* pu_membership_tick - appends to VERDICTS (pu_membership_verdict_t) who is
-   down at NOW.  The shell proposes it; the verdict comes again after
-   `repeat_ms` while the subject is still expected.  */
+/* pu_membership_tick - appends to VERDICTS (pu_membership_verdict_t) the
+   subjects that have failed at NOW.  The caller proposes the failure to the
+   log; it is reported again after report_interval_ms while the subject is
+   expected.  */
 void pu_membership_tick (pu_membership_t *m, uint64_t now, GArray *verdicts);
 
-/* pu_membership_silent - how long NAME has been silent, in *SILENT, and the
-   silence it is allowed, in *ALLOWED.  False when it is not known.  */
+/* pu_membership_silent - stores how long NAME has been silent in *SILENT and
+   its suspicion timeout in *ALLOWED, in ms.  False if NAME is not known.  */
 bool pu_membership_silent (const pu_membership_t *m, pu_subject_kind_t kind,
                            const char *name, uint64_t now, uint64_t *silent,
                            uint64_t *allowed);
--- a/libplantainusher/membership/membership_test.cc
+++ b/libplantainusher/membership/membership_test.cc
@@ -17,14 +17,14 @@
 namespace
 {
 
-constexpr uint64_t start = 100000;
+constexpr uint64_t START_MS = 100000;
 
 struct Membership
 {
   pu_membership_options_t o;
   pu_membership_t *m;
-  uint64_t now = start;
-  std::map<std::string, uint64_t> members, backends; /* expected */
+  uint64_t now = START_MS;
+  std::map<std::string, uint64_t> members, backends; /* name: incarnation */
 
   explicit Membership (unsigned breaks = 0)
   {
@@ -36,16 +36,17 @@
 
   ~Membership () { pu_membership_free (m); }
 
-  /* Ticks each 100 ms for MS; gives the names that were judged.  */
+  /* Advances the clock by MS with a tick each STEP_MS; returns the names
+     reported as failed.  */
   std::vector<std::string>
-  pass (uint64_t ms, uint64_t step = 100)
+  advance (uint64_t ms, uint64_t step_ms = 100)
   {
     std::vector<std::string> down;
     for (uint64_t end = now + ms; now < end;)
       {
         GArray *v
             = g_array_new (FALSE, FALSE, sizeof (pu_membership_verdict_t));
-        now += step;
+        now += step_ms;
         for (auto &[name, incarnation] : members)
           pu_membership_expect (m, PU_SUBJECT_MEMBER, name.c_str (),
                                 incarnation, now);
@@ -62,14 +63,14 @@
   }
 
   void
-  beat (const char *name, uint64_t incarnation = 1, const char *via = "v")
+  heartbeat (const char *name, uint64_t incarnation = 1, const char *via = "v")
   {
     pu_membership_heard (m, PU_SUBJECT_MEMBER, name, incarnation, via, now);
     pu_membership_route_heard (m, via, now);
   }
 
   void
-  lease (const char *name, const char *home)
+  renew_lease (const char *name, const char *home)
   {
     pu_membership_heard (m, PU_SUBJECT_BACKEND, name, 1, home, now);
   }
@@ -77,114 +78,116 @@
 
 using Names = std::vector<std::string>;
 
-/* Beats of A each INTERVAL, then silence while the voter is heard: how long
-   until A is down.  */
+/* Sends heartbeats of A each INTERVAL ms, then none while its voter is still
+   heard.  Returns how long A is silent before it is reported as failed.  */
 uint64_t
-silence_until_down (Membership &t, uint64_t interval)
+silence_until_failed_ms (Membership &t, uint64_t interval)
 {
   uint64_t last = 0;
 
   t.members = { { "a", 1 } };
   for (int i = 0; i < 40; i++)
     {
-      EXPECT_EQ (t.pass (interval), Names{});
-      t.beat ("a");
+      EXPECT_EQ (t.advance (interval), Names{});
+      t.heartbeat ("a");
       last = t.now;
     }
   while (t.now - last < 60000)
     {
       pu_membership_route_heard (t.m, "v", t.now);
-      if (!t.pass (100).empty ())
+      if (!t.advance (100).empty ())
         return t.now - last;
     }
   return 0;
 }
 
-TEST (Membership, SilentDaemonIsDownAfterTheLeast)
+TEST (Membership, SilentDaemonFailsAfterMinimumTimeout)
 {
   Membership t;
-  EXPECT_EQ (silence_until_down (t, 2000), 8100U);
+  EXPECT_EQ (silence_until_failed_ms (t, 2000), 8100U);
 }
 
-TEST (Membership, SlowDaemonGetsMoreTime)
+TEST (Membership, SlowHeartbeatsExtendTheTimeout)
 {
   Membership t;
-  EXPECT_GT (silence_until_down (t, 7900), 8100U);
+  EXPECT_GT (silence_until_failed_ms (t, 7900), 8100U);
 }
 
-TEST (Membership, UnsteadyDaemonIsNotDeadAndNeedsTheRule)
+TEST (Membership, IrregularHeartbeatsNeedAnAdaptiveTimeout)
 {
-  for (unsigned breaks : { 0U, (unsigned)PU_MEMBERSHIP_BREAK_FIXED })
+  for (unsigned breaks : { 0U, (unsigned)PU_MEMBERSHIP_BREAK_FIXED_TIMEOUT })
     {
       Membership t (breaks);
       Names down;
 
       t.members = { { "a", 1 } };
-      t.pass (100);
-      /* It slows down step by step, up to intervals over the least.  */
+      t.advance (100);
+      /* Irregular intervals, the last one over the minimum timeout.  */
       for (uint64_t gap : { 1000, 4000, 2000, 6000, 3000, 7000, 2000, 10000 })
         {
           for (uint64_t i = 0; i < gap / 100; i++)
             {
               pu_membership_route_heard (t.m, "v", t.now);
-              auto d = t.pass (100);
+              auto d = t.advance (100);
               down.insert (down.end (), d.begin (), d.end ());
             }
-          t.beat ("a");
+          t.heartbeat ("a");
         }
       EXPECT_EQ (down.empty (), breaks == 0);
     }
 }
 
-TEST (Membership, NewLeaderGivesFullGraceAndNeedsTheRule)
+TEST (Membership, NewLeaderRestartsTimeouts)
 {
-  for (unsigned breaks : { 0U, (unsigned)PU_MEMBERSHIP_BREAK_NO_GRACE })
+  for (unsigned breaks : { 0U, (unsigned)PU_MEMBERSHIP_BREAK_NO_RESET })
     {
       Membership t (breaks);
 
       t.members = { { "a", 1 } };
       t.backends = { { "b", 1 } };
-      t.pass (100);
-      t.now += 60000; /* another one led meanwhile */
+      t.advance (100);
+      t.now += 60000; /* another voter leads meanwhile */
       pu_membership_begin (t.m, t.now);
-      EXPECT_EQ (t.pass (4900).empty (), breaks == 0);
+      EXPECT_EQ (t.advance (4900).empty (), breaks == 0);
     }
 }
 
-TEST (Membership, SilentVoterIsNotHeldAgainstItsDaemons)
+TEST (Membership, SilentRouteExtendsTheTimeout)
 {
-  for (unsigned breaks : { 0U, (unsigned)PU_MEMBERSHIP_BREAK_ROUTE })
+  for (unsigned breaks : { 0U, (unsigned)PU_MEMBERSHIP_BREAK_IGNORE_ROUTE })
     {
       Membership t (breaks);
 
       t.members = { { "a", 1 }, { "c", 1 } };
-      t.pass (100);
-      t.beat ("a", 1, "v");
+      t.advance (100);
+      t.heartbeat ("a", 1, "v");
       for (int i = 0; i < 20; i++)
         {
-          t.beat ("c", 1, "w"); /* the other voter goes on */
-          EXPECT_TRUE (t.pass (1000).empty () || breaks != 0);
+          t.heartbeat ("c", 1, "w"); /* the other voter is heard */
+          EXPECT_TRUE (t.advance (1000).empty () || breaks != 0);
         }
-      EXPECT_EQ (t.pass (200).empty (), breaks == 0);
+      EXPECT_EQ (t.advance (200).empty (), breaks == 0);
       if (breaks == 0)
         {
-          EXPECT_EQ (t.pass (20000).front (), "a") << "not for ever";
+          EXPECT_EQ (t.advance (20000).front (), "a")
+              << "fails after the maximum timeout";
         }
     }
 }
 
-TEST (Membership, LeaseGoesOnWhileTheHomeIsSilent)
+TEST (Membership, SilentHomeEntryExtendsTheLease)
 {
   Membership t;
 
   t.members = { { "home", 1 } };
   t.backends = { { "b", 1 }, { "d", 1 } };
-  t.pass (100);
-  t.beat ("home");
-  t.lease ("b", "home");
-  EXPECT_EQ (t.pass (5200), Names{ "d" }) << "d was never renewed";
-  t.beat ("home", 1);
-  EXPECT_EQ (t.pass (200), Names{ "b" }) << "the home lives, b does not";
+  t.advance (100);
+  t.heartbeat ("home");
+  t.renew_lease ("b", "home");
+  EXPECT_EQ (t.advance (5200), Names{ "d" }) << "d was never renewed";
+  t.heartbeat ("home", 1);
+  EXPECT_EQ (t.advance (200), Names{ "b" })
+      << "the home entry is up, b is not";
 }
 
 TEST (Membership, OldIncarnationIsIgnored)
@@ -192,67 +195,67 @@
   Membership t;
 
   t.members = { { "a", 2 } };
-  t.pass (100);
+  t.advance (100);
   for (int i = 0; i < 8; i++)
     {
-      t.pass (1000);
-      t.beat ("a", 1);
+      t.advance (1000);
+      t.heartbeat ("a", 1);
     }
-  EXPECT_EQ (t.pass (200), Names{ "a" });
+  EXPECT_EQ (t.advance (200), Names{ "a" });
 }
 
-TEST (Membership, OwnPauseIsNotHeldAgainstOthers)
+TEST (Membership, LocalPauseIsNotCountedAsSilence)
 {
   Membership t;
 
   t.members = { { "a", 1 } };
-  t.pass (100);
-  t.beat ("a");
-  EXPECT_EQ (t.pass (30000, 30000), Names{});
-  EXPECT_EQ (t.pass (6000), Names{});
+  t.advance (100);
+  t.heartbeat ("a");
+  EXPECT_EQ (t.advance (30000, 30000), Names{});
+  EXPECT_EQ (t.advance (6000), Names{});
 }
 
-TEST (Membership, VerdictRepeatsUntilItIsCarriedOut)
+TEST (Membership, FailureIsReportedAgainWhileExpected)
 {
   Membership t;
 
   t.members = { { "a", 1 } };
-  EXPECT_EQ (t.pass (14500), (Names{ "a", "a", "a" }));
+  EXPECT_EQ (t.advance (14500), (Names{ "a", "a", "a" }));
   t.members.clear ();
-  EXPECT_EQ (t.pass (14500), Names{});
+  EXPECT_EQ (t.advance (14500), Names{});
 }
 
-/* Against an oracle that knows only the promises: nobody is judged before the
-   least silence, everybody after the most.  */
+/* No daemon is reported before the minimum timeout, and each one is after the
+   maximum.  */
 RC_GTEST_PROP (Membership, KeepsToItsBounds, ())
 {
   Membership t;
   std::map<std::string, uint64_t> heard;
-  std::set<std::string> judged; /* since they were last heard */
-  const auto steps
+  std::set<std::string> reported; /* since their last heartbeat */
+  const auto events
       = *rc::gen::container<std::vector<int> > (200, rc::gen::inRange (0, 6));
 
   for (auto name : { "a", "b", "c", "d" })
     t.members[name] = 1;
-  for (int step : steps)
+  for (int event : events)
     {
-      auto down = t.pass (1000);
+      auto down = t.advance (1000);
       pu_fuzz_report::get ().steps++;
-      pu_fuzz_report::get ().faults += step >= 3; /* a beat is lost */
+      pu_fuzz_report::get ().faults += event >= 3; /* a heartbeat is lost */
       for (auto &[name, incarnation] : t.members)
         heard.emplace (name, t.now - 900);
       for (auto &name : down)
         RC_ASSERT (t.now - heard[name] > t.o.least_ms[PU_SUBJECT_MEMBER]);
-      judged.insert (down.begin (), down.end ());
+      reported.insert (down.begin (), down.end ());
       for (auto &[name, at] : heard)
         RC_ASSERT (t.now - at <= t.o.most_ms[PU_SUBJECT_MEMBER]
-                   || judged.count (name) > 0);
-      if (step < 3)
+                   || reported.count (name) > 0);
+      if (event < 3)
         {
-          std::string name (1, static_cast<char> ('a' + step));
-          t.beat (name.c_str (), 1, step == 0 ? "v" : "w");
+          std::string name (1, static_cast<char> ('a' + event));
+          t.heartbeat (name.c_str (), 1, event == 0 ? "v" : "w");
           heard[name] = t.now;
-          judged.erase (name);
+          reported.erase (name);
         }
     }
 }
