--- a/libplantainusher/once/once.c
+++ b/libplantainusher/once/once.c
@@ -9,26 +9,26 @@
 
 typedef enum
 {
-  CLAIMING,     /* the claim is with the log */
-  CLAIM_PAUSED, /* the claim is sent again later */
-  RUNNING,      /* dispatched */
-  RECORDING,    /* the outcome is with the log */
-  RECORD_PAUSED /* the outcome is sent again later */
+  CLAIMING,      /* a claim is proposed to the log */
+  CLAIM_BACKOFF, /* waits to propose the claim again */
+  RUNNING,       /* dispatched */
+  RECORDING,     /* the outcome is proposed to the log */
+  RECORD_BACKOFF /* waits to propose the outcome again */
 } phase_t;
 
-/* A result that the core owns.  */
+/* A reference-counted copy of a result.  */
 typedef struct
 {
   guint status;
   char *content_type;
   GBytes *body;
-} kept_t;
+} stored_result_t;
 
-/* One key at work at this entry.  */
+/* An idempotency key that is in progress at this entry.  */
 typedef struct
 {
   pu_once_handle_t handle;
-  char *name; /* "service\nkey"; owned by nobody else */
+  char *call_id; /* "service\nkey"; also the key in by_call_id */
   char *service;
   char *key;
   guint64 fingerprint;
@@ -36,64 +36,64 @@
   guint64 window_ms;
   guint64 position;
   phase_t phase;
-  bool unsure; /* a claim timed out: it may be recorded yet */
-  guint64 due; /* when the pause is over */
+  bool claim_uncertain; /* a claim timed out and may still commit */
+  guint64 retry_at_ms;  /* end of the backoff */
   pu_once_outcome_t outcome;
-  kept_t *result;  /* of the run; NULL when it did not run */
-  GArray *waiters; /* of caller numbers, guint64 */
+  stored_result_t *result; /* NULL unless the outcome is PU_ONCE_RAN */
+  GArray *waiters;         /* of caller numbers, guint64 */
 } call_t;
 
-/* An action with what it points to.  */
+/* An action with the data that its pointers refer to.  */
 typedef struct
 {
   pu_once_action_t action;
   char *service;
   char *key;
-  kept_t *result;
-} queued_t;
+  stored_result_t *result;
+} queued_action_t;
 
 struct pu_once
 {
   pu_once_options_t options;
   pu_once_handle_t last_handle;
   guint64 last_attempt;
-  GHashTable *by_handle; /* handle -> call_t *, owns */
-  GHashTable *by_name;   /* call's name -> call_t * */
-  GHashTable *by_caller; /* &caller -> call_t *, owns the key */
-  GQueue *actions;       /* of queued_t * */
-  queued_t *shown;       /* the last one that pu_once_next gave */
+  GHashTable *by_handle;    /* handle -> call_t *; owns the call */
+  GHashTable *by_call_id;   /* call_id -> call_t * */
+  GHashTable *by_caller;    /* &caller -> call_t *; owns the key */
+  GQueue *actions;          /* of queued_t * */
+  queued_action_t *current; /* last action returned by pu_once_next */
 };
 
-static kept_t *
-kept_ref (kept_t *k)
+static stored_result_t *
+stored_result_ref (stored_result_t *k)
 {
   return k == NULL ? NULL : g_atomic_rc_box_acquire (k);
 }
 
 static void
-kept_clear (gpointer data)
+stored_result_clear (gpointer data)
 {
-  kept_t *k = data;
+  stored_result_t *k = data;
 
   g_free (k->content_type);
   g_bytes_unref (k->body);
 }
 
 static void
-kept_unref (kept_t *k)
+stored_result_unref (stored_result_t *k)
 {
   if (k != NULL)
-    g_atomic_rc_box_release_full (k, kept_clear);
+    g_atomic_rc_box_release_full (k, stored_result_clear);
 }
 
-static kept_t *
-kept_new (const pu_once_result_t *r)
+static stored_result_t *
+stored_result_new (const pu_once_result_t *r)
 {
-  kept_t *k;
+  stored_result_t *k;
 
   if (r == NULL)
     return NULL;
-  k = g_atomic_rc_box_new0 (kept_t);
+  k = g_atomic_rc_box_new0 (stored_result_t);
   k->status = r->status;
   k->content_type = g_strdup (r->content_type);
   k->body = g_bytes_new (r->body, r->len);
@@ -101,15 +101,15 @@
 }
 
 static void
-queued_free (gpointer data)
+queued_action_free (gpointer data)
 {
-  queued_t *q = data;
+  queued_action_t *q = data;
 
   if (q == NULL)
     return;
   g_free (q->service);
   g_free (q->key);
-  kept_unref (q->result);
+  stored_result_unref (q->result);
   g_free (q);
 }
 
@@ -118,26 +118,26 @@
 {
   call_t *l = data;
 
-  g_free (l->name);
+  g_free (l->call_id);
   g_free (l->service);
   g_free (l->key);
-  kept_unref (l->result);
+  stored_result_unref (l->result);
   g_array_free (l->waiters, TRUE);
   g_free (l);
 }
 
 static bool
-broken (const pu_once_t *c, pu_once_break_t rule)
+is_rule_broken (const pu_once_t *c, pu_once_break_t rule)
 {
   return (c->options.test_breaks & rule) != 0;
 }
 
 /* --- actions --- */
 
-static queued_t *
+static queued_action_t *
 queue_action (pu_once_t *c, const call_t *l, pu_once_action_type_t type)
 {
-  queued_t *q = g_new0 (queued_t, 1);
+  queued_action_t *q = g_new0 (queued_action_t, 1);
 
   q->service = g_strdup (l->service);
   q->key = g_strdup (l->key);
@@ -154,13 +154,13 @@
 }
 
 static void
-attach_result (queued_t *q, kept_t *result)
+attach_result (queued_action_t *q, stored_result_t *result)
 {
   gsize len = 0;
 
   if (result == NULL)
     return;
-  q->result = kept_ref (result);
+  q->result = stored_result_ref (result);
   q->action.result.status = result->status;
   q->action.result.content_type = result->content_type;
   q->action.result.body = g_bytes_get_data (result->body, &len);
@@ -177,7 +177,7 @@
 static void
 queue_record (pu_once_t *c, call_t *l)
 {
-  queued_t *q;
+  queued_action_t *q;
 
   l->phase = RECORDING;
   q = queue_action (c, l, PU_ONCE_RECORD);
@@ -186,10 +186,10 @@
 }
 
 static void
-answer_one (pu_once_t *c, const call_t *l, guint64 caller,
-            pu_once_answer_t answer, kept_t *result)
+answer_caller (pu_once_t *c, const call_t *l, guint64 caller,
+               pu_once_answer_t answer, stored_result_t *result)
 {
-  queued_t *q = queue_action (c, l, PU_ONCE_ANSWER);
+  queued_action_t *q = queue_action (c, l, PU_ONCE_ANSWER);
 
   q->action.caller = caller;
   q->action.answer = answer;
@@ -198,27 +198,29 @@
 }
 
 static void
-answer_all (pu_once_t *c, call_t *l, pu_once_answer_t answer, kept_t *result)
+answer_waiters (pu_once_t *c, call_t *l, pu_once_answer_t answer,
+                stored_result_t *result)
 {
   for (guint i = 0; i < l->waiters->len; i++)
-    answer_one (c, l, g_array_index (l->waiters, guint64, i), answer, result);
+    answer_caller (c, l, g_array_index (l->waiters, guint64, i), answer,
+                   result);
   g_array_set_size (l->waiters, 0);
 }
 
 static void
-drop_call (pu_once_t *c, call_t *l)
+remove_call (pu_once_t *c, call_t *l)
 {
-  if (g_hash_table_lookup (c->by_name, l->name) == l)
-    g_hash_table_remove (c->by_name, l->name);
+  if (g_hash_table_lookup (c->by_call_id, l->call_id) == l)
+    g_hash_table_remove (c->by_call_id, l->call_id);
   g_hash_table_remove (c->by_handle, GUINT_TO_POINTER (l->handle));
 }
 
 static void
-answer_and_drop (pu_once_t *c, call_t *l, pu_once_answer_t answer,
-                 kept_t *result)
+answer_and_remove (pu_once_t *c, call_t *l, pu_once_answer_t answer,
+                   stored_result_t *result)
 {
-  answer_all (c, l, answer, result);
-  drop_call (c, l);
+  answer_waiters (c, l, answer, result);
+  remove_call (c, l);
 }
 
 /* --- begin --- */
@@ -230,25 +232,27 @@
   call_t *l = g_new0 (call_t, 1);
 
   l->handle = ++c->last_handle;
-  l->attempt = broken (c, PU_ONCE_BREAK_ONE_ATTEMPT) ? 1 : ++c->last_attempt;
+  l->attempt = is_rule_broken (c, PU_ONCE_BREAK_SHARED_ATTEMPT)
+                   ? 1
+                   : ++c->last_attempt;
   l->service = g_strdup (service);
   l->key = g_strdup (key);
-  l->name = g_strconcat (service, "\n", key, NULL);
+  l->call_id = g_strconcat (service, "\n", key, NULL);
   l->fingerprint = fingerprint;
   l->waiters = g_array_new (FALSE, FALSE, sizeof (guint64));
   g_hash_table_insert (c->by_handle, GUINT_TO_POINTER (l->handle), l);
-  g_hash_table_replace (c->by_name, l->name, l);
+  g_hash_table_replace (c->by_call_id, l->call_id, l);
   return l;
 }
 
 static call_t *
-find_name (const pu_once_t *c, const char *service, const char *key)
+find_call (const pu_once_t *c, const char *service, const char *key)
 {
-  char *name = g_strconcat (service, "\n", key, NULL);
-  call_t *l = g_hash_table_lookup (c->by_name, name);
+  char *call_id = g_strconcat (service, "\n", key, NULL);
+  call_t *l = g_hash_table_lookup (c->by_call_id, call_id);
 
-  g_free (name);
-  if (broken (c, PU_ONCE_BREAK_ONE_ATTEMPT))
+  g_free (call_id);
+  if (is_rule_broken (c, PU_ONCE_BREAK_SHARED_ATTEMPT))
     return NULL;
   return l;
 }
@@ -263,7 +267,7 @@
 }
 
 static bool
-name_fits (const char *name)
+is_valid_name (const char *name)
 {
   size_t n = strlen (name);
 
@@ -271,7 +275,8 @@
 }
 
 static bool
-too_old (const pu_once_t *c, guint64 key_wall, guint64 wall, guint64 window)
+is_key_expired (const pu_once_t *c, guint64 key_wall, guint64 wall,
+                guint64 window)
 {
   guint64 skew = MIN (c->options.skew_ms, window / 2);
 
@@ -280,32 +285,32 @@
   return key_wall + window < wall + skew;
 }
 
-/* The answer for a caller who comes when the run is over.  */
+/* Answers CALLER with the outcome of a call that has ended.  */
 static void
-answer_from_record (pu_once_t *c, call_t *l, guint64 caller)
+answer_from_outcome (pu_once_t *c, call_t *l, guint64 caller)
 {
   switch (l->outcome)
     {
     case PU_ONCE_RAN:
-      answer_one (c, l, caller, PU_ONCE_ANSWER_RESULT, l->result);
+      answer_caller (c, l, caller, PU_ONCE_ANSWER_RESULT, l->result);
       return;
     case PU_ONCE_NOT_RUN:
-      answer_one (c, l, caller, PU_ONCE_ANSWER_NOT_RUN, NULL);
+      answer_caller (c, l, caller, PU_ONCE_ANSWER_NOT_RUN, NULL);
       return;
     case PU_ONCE_UNKNOWN:
-      answer_one (c, l, caller, PU_ONCE_ANSWER_UNKNOWN, NULL);
+      answer_caller (c, l, caller, PU_ONCE_ANSWER_UNKNOWN, NULL);
       return;
     }
 }
 
 static pu_once_begin_t
-join (pu_once_t *c, call_t *l, guint64 caller, guint64 fingerprint)
+join_call (pu_once_t *c, call_t *l, guint64 caller, guint64 fingerprint)
 {
   if (l->fingerprint != fingerprint)
     return PU_ONCE_KEY_MISMATCH;
-  if (l->phase == RECORDING || l->phase == RECORD_PAUSED)
+  if (l->phase == RECORDING || l->phase == RECORD_BACKOFF)
     {
-      answer_from_record (c, l, caller);
+      answer_from_outcome (c, l, caller);
       return PU_ONCE_ACCEPTED;
     }
   if (l->waiters->len >= c->options.waiters_max)
@@ -322,13 +327,13 @@
   call_t *l;
 
   (void)now;
-  if (!name_fits (key) || !name_fits (service))
+  if (!is_valid_name (key) || !is_valid_name (service))
     return PU_ONCE_BAD_KEY;
-  if (too_old (c, key_wall, wall, window_ms))
+  if (is_key_expired (c, key_wall, wall, window_ms))
     return PU_ONCE_TOO_OLD;
-  l = find_name (c, service, key);
+  l = find_call (c, service, key);
   if (l != NULL)
-    return join (c, l, caller, fingerprint);
+    return join_call (c, l, caller, fingerprint);
   if (g_hash_table_size (c->by_handle) >= c->options.keys_max)
     return PU_ONCE_FULL;
   l = call_new (c, service, key, fingerprint);
@@ -338,22 +343,23 @@
   return PU_ONCE_ACCEPTED;
 }
 
-/* --- the log's answers --- */
+/* --- replies of the log --- */
 
 static call_t *
-find_handle (const pu_once_t *c, pu_once_handle_t handle, phase_t phase)
+find_call_in_phase (const pu_once_t *c, pu_once_handle_t handle, phase_t phase)
 {
   call_t *l = g_hash_table_lookup (c->by_handle, GUINT_TO_POINTER (handle));
 
   return l != NULL && l->phase == phase ? l : NULL;
 }
 
-/* Nobody waits for a claim that came too late: it is closed as not run.  */
+/* Dispatches the call.  If the claim is granted after all callers were
+   answered as not run, records that outcome instead.  */
 static void
-granted (pu_once_t *c, call_t *l, guint64 position)
+handle_granted (pu_once_t *c, call_t *l, guint64 position)
 {
   l->position = position;
-  if (l->waiters->len == 0 && !broken (c, PU_ONCE_BREAK_DISPATCH_LATE))
+  if (l->waiters->len == 0 && !is_rule_broken (c, PU_ONCE_BREAK_DISPATCH_LATE))
     {
       l->outcome = PU_ONCE_NOT_RUN;
       queue_record (c, l);
@@ -364,63 +370,64 @@
 }
 
 static void
-claim_later (pu_once_t *c, call_t *l, guint64 now)
+schedule_claim_retry (pu_once_t *c, call_t *l, guint64 now)
 {
-  answer_all (c, l, PU_ONCE_ANSWER_NOT_RUN, NULL);
-  l->phase = CLAIM_PAUSED;
-  l->due = now + c->options.retry_ms;
+  answer_waiters (c, l, PU_ONCE_ANSWER_NOT_RUN, NULL);
+  l->phase = CLAIM_BACKOFF;
+  l->retry_at_ms = now + c->options.retry_ms;
 }
 
-/* A refusal speaks for its own try alone: what an earlier one that timed out
-   has recorded, or will, is not known by it.  */
+/* A refusal covers only the latest proposal.  An earlier proposal that timed
+   out may have committed or may still commit, so the claim is retried.  */
 static void
-refused (pu_once_t *c, call_t *l, guint64 now)
+handle_refused (pu_once_t *c, call_t *l, guint64 now)
 {
-  if (l->unsure)
+  if (l->claim_uncertain)
     {
-      claim_later (c, l, now);
+      schedule_claim_retry (c, l, now);
       return;
     }
-  answer_and_drop (c, l, PU_ONCE_ANSWER_NOT_RUN, NULL);
+  answer_and_remove (c, l, PU_ONCE_ANSWER_NOT_RUN, NULL);
 }
 
 void
-pu_once_claimed (pu_once_t *c, pu_once_handle_t handle, pu_once_claimed_t what,
-                 guint64 position, const pu_once_result_t *result, guint64 now)
+pu_once_claimed (pu_once_t *c, pu_once_handle_t handle,
+                 pu_once_claimed_t reply, guint64 position,
+                 const pu_once_result_t *result, guint64 now)
 {
-  call_t *l = find_handle (c, handle, CLAIMING);
-  kept_t *kept;
+  call_t *l = find_call_in_phase (c, handle, CLAIMING);
+  stored_result_t *stored;
 
   if (l == NULL)
     return;
-  switch (what)
+  switch (reply)
     {
     case PU_ONCE_GRANTED:
-      granted (c, l, position);
+      handle_granted (c, l, position);
       return;
     case PU_ONCE_KEPT:
-      kept = kept_new (result);
-      answer_and_drop (c, l, PU_ONCE_ANSWER_RESULT, kept);
-      kept_unref (kept);
+      stored = stored_result_new (result);
+      answer_and_remove (c, l, PU_ONCE_ANSWER_RESULT, stored);
+      stored_result_unref (stored);
       return;
     case PU_ONCE_OPEN:
-      answer_and_drop (c, l, PU_ONCE_ANSWER_RUNNING, NULL);
+      answer_and_remove (c, l, PU_ONCE_ANSWER_RUNNING, NULL);
       return;
     case PU_ONCE_MISMATCH:
-      answer_and_drop (c, l, PU_ONCE_ANSWER_CONFLICT, NULL);
+      answer_and_remove (c, l, PU_ONCE_ANSWER_CONFLICT, NULL);
       return;
     case PU_ONCE_LOST:
-      answer_and_drop (c, l, PU_ONCE_ANSWER_UNKNOWN, NULL);
+      answer_and_remove (c, l, PU_ONCE_ANSWER_UNKNOWN, NULL);
       return;
     case PU_ONCE_CLOSED:
-      answer_and_drop (c, l, PU_ONCE_ANSWER_NOT_RUN, NULL);
+      answer_and_remove (c, l, PU_ONCE_ANSWER_NOT_RUN, NULL);
       return;
     case PU_ONCE_REFUSED:
-      refused (c, l, now);
+      handle_refused (c, l, now);
       return;
     case PU_ONCE_TIMEOUT:
-      l->unsure = !broken (c, PU_ONCE_BREAK_FORGET_TIMEOUT);
-      claim_later (c, l, now);
+      l->claim_uncertain = !is_rule_broken (c, PU_ONCE_BREAK_IGNORE_TIMEOUT);
+      schedule_claim_retry (c, l, now);
       return;
     }
 }
@@ -430,18 +437,19 @@
                   pu_once_outcome_t outcome, const pu_once_result_t *result,
                   guint64 now)
 {
-  call_t *l = find_handle (c, handle, RUNNING);
+  call_t *l = find_call_in_phase (c, handle, RUNNING);
 
   (void)now;
   if (l == NULL)
     return;
   l->outcome = outcome;
-  if (outcome == PU_ONCE_UNKNOWN && broken (c, PU_ONCE_BREAK_RAN_AS_NOT_RUN))
+  if (outcome == PU_ONCE_UNKNOWN
+      && is_rule_broken (c, PU_ONCE_BREAK_UNKNOWN_AS_NOT_RUN))
     l->outcome = PU_ONCE_NOT_RUN;
   if (outcome == PU_ONCE_RAN)
-    l->result = kept_new (result);
+    l->result = stored_result_new (result);
   for (guint i = 0; i < l->waiters->len; i++)
-    answer_from_record (c, l, g_array_index (l->waiters, guint64, i));
+    answer_from_outcome (c, l, g_array_index (l->waiters, guint64, i));
   g_array_set_size (l->waiters, 0);
   queue_record (c, l);
 }
@@ -449,17 +457,17 @@
 void
 pu_once_recorded (pu_once_t *c, pu_once_handle_t handle, bool ok, guint64 now)
 {
-  call_t *l = find_handle (c, handle, RECORDING);
+  call_t *l = find_call_in_phase (c, handle, RECORDING);
 
   if (l == NULL)
     return;
   if (ok)
     {
-      drop_call (c, l);
+      remove_call (c, l);
       return;
     }
-  l->phase = RECORD_PAUSED;
-  l->due = now + c->options.retry_ms;
+  l->phase = RECORD_BACKOFF;
+  l->retry_at_ms = now + c->options.retry_ms;
 }
 
 bool
@@ -477,10 +485,10 @@
       g_array_remove_index (l->waiters, i);
       break;
     }
-  answer_one (c, l, caller,
-              l->phase == RUNNING ? PU_ONCE_ANSWER_UNKNOWN
-                                  : PU_ONCE_ANSWER_NOT_RUN,
-              NULL);
+  answer_caller (c, l, caller,
+                 l->phase == RUNNING ? PU_ONCE_ANSWER_UNKNOWN
+                                     : PU_ONCE_ANSWER_NOT_RUN,
+                 NULL);
   return true;
 }
 
@@ -495,11 +503,11 @@
     {
       call_t *l = value;
 
-      if (l->phase == CLAIM_PAUSED && l->due <= now)
+      if (l->phase == CLAIM_BACKOFF && l->retry_at_ms <= now)
         {
           queue_claim (c, l);
         }
-      else if (l->phase == RECORD_PAUSED && l->due <= now)
+      else if (l->phase == RECORD_BACKOFF && l->retry_at_ms <= now)
         {
           queue_record (c, l);
         }
@@ -509,19 +517,19 @@
 bool
 pu_once_next (pu_once_t *c, pu_once_action_t *a)
 {
-  queued_free (c->shown);
-  c->shown = g_queue_pop_head (c->actions);
-  if (c->shown == NULL)
+  queued_action_free (c->current);
+  c->current = g_queue_pop_head (c->actions);
+  if (c->current == NULL)
     return false;
-  *a = c->shown->action;
+  *a = c->current->action;
   return true;
 }
 
-/* --- the rest --- */
+/* --- keys, options, construction --- */
 
 #define UUID_LENGTH 36
-#define UUID_VERSION_PLACE 14
-#define UUID_TIME_DIGITS 12
+#define UUID_VERSION_OFFSET 14
+#define UUID_TIMESTAMP_DIGITS 12
 
 guint64
 pu_once_key_wall (const char *key)
@@ -529,9 +537,9 @@
   guint64 wall = 0;
   guint digits = 0;
 
-  if (strlen (key) != UUID_LENGTH || key[UUID_VERSION_PLACE] != '7')
+  if (strlen (key) != UUID_LENGTH || key[UUID_VERSION_OFFSET] != '7')
     return 0;
-  for (guint i = 0; digits < UUID_TIME_DIGITS; i++)
+  for (guint i = 0; digits < UUID_TIMESTAMP_DIGITS; i++)
     {
       if (key[i] == '-')
         continue;
@@ -567,7 +575,7 @@
   c->options = *o;
   c->by_handle
       = g_hash_table_new_full (g_direct_hash, g_direct_equal, NULL, call_free);
-  c->by_name = g_hash_table_new (g_str_hash, g_str_equal);
+  c->by_call_id = g_hash_table_new (g_str_hash, g_str_equal);
   c->by_caller
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, NULL);
   c->actions = g_queue_new ();
@@ -579,10 +587,10 @@
 {
   if (c == NULL)
     return;
-  queued_free (c->shown);
-  g_queue_free_full (c->actions, queued_free);
+  queued_action_free (c->current);
+  g_queue_free_full (c->actions, queued_action_free);
   g_hash_table_destroy (c->by_caller);
-  g_hash_table_destroy (c->by_name);
+  g_hash_table_destroy (c->by_call_id);
   g_hash_table_destroy (c->by_handle);
   g_free (c);
 }
--- a/libplantainusher/once/once.h
+++ b/libplantainusher/once/once.h
@@ -8,53 +8,55 @@
 G_BEGIN_DECLS
 
 /*
- * once - at-most-once calls at an entry.
+ * once - at-most-once execution of calls that have an idempotency key.
  *
  * A call with an idempotency key is claimed in the replicated log before it is
  * dispatched, dispatched at most once, and its result recorded, so that a
- * resend through any entry gets the first answer.  This core decides; its
- * shell proposes commands, sends the call and answers the callers.
+ * retry through any entry gets the first answer.  This module does no I/O: it
+ * returns actions, and its user proposes commands to the log, sends the call
+ * and answers the callers.
  *
  *   begin -> CLAIM -> claimed -> DISPATCH -> finished -> RECORD -> recorded
  *
- * The rule everything hangs on: DISPATCH is given only for an attempt whose
- * claim was granted, to one caller, once.  A call whose claim timed out is
- * answered as not run and never dispatched; the core goes on claiming in the
- * background until it knows, and then records that it did not run.
+ * Invariant: DISPATCH is returned only for an attempt whose claim was
+ * granted, and once for each attempt.  A call whose claim timed out is
+ * answered as not run and never dispatched; the claim is retried in the
+ * background until the log settles it, and if it is granted then, the outcome
+ * is recorded as not run.
  */
 
 typedef struct pu_once pu_once_t;
 
-typedef guint32 pu_once_handle_t; /* one key at this entry; 0 is none */
+typedef guint32 pu_once_handle_t; /* a call in progress; 0: none */
 
 /* The longest key and service name in bytes.  */
 #define PU_ONCE_NAME_MAX 128
 
 typedef struct
 {
-  guint keys_max;    /* keys at work at the same time */
-  guint waiters_max; /* callers that wait for the same key */
-  guint64 window_ms; /* as the log keeps results */
-  guint64 skew_ms;   /* clocks differ by no more than this; half a
-                           window at most */
-  guint64 retry_ms;  /* pause before a claim or record is sent again */
+  guint keys_max;    /* keys in progress at the same time */
+  guint waiters_max; /* callers waiting for one key */
+  guint64 window_ms; /* how long the log keeps results; not read here */
+  guint64 skew_ms;   /* assumed bound on clock skew; capped at half the
+                        window */
+  guint64 retry_ms;  /* backoff before a claim or record is retried */
   guint test_breaks; /* pu_once_break_t; 0 outside tests */
 } pu_once_options_t;
 
 /* Deliberate faults for the tests that show the checks can fail.  */
 typedef enum
 {
-  PU_ONCE_BREAK_DISPATCH_LATE = 1,  /* dispatch when a late claim is granted */
-  PU_ONCE_BREAK_ONE_ATTEMPT = 2,    /* callers claim under one attempt */
-  PU_ONCE_BREAK_RAN_AS_NOT_RUN = 4, /* record an unknown outcome as not run */
-  PU_ONCE_BREAK_FORGET_TIMEOUT = 8  /* let a refused try settle a claim */
+  PU_ONCE_BREAK_DISPATCH_LATE = 1,  /* dispatch a claim that is granted late */
+  PU_ONCE_BREAK_SHARED_ATTEMPT = 2, /* give all calls one attempt number */
+  PU_ONCE_BREAK_UNKNOWN_AS_NOT_RUN = 4, /* record unknown as not run */
+  PU_ONCE_BREAK_IGNORE_TIMEOUT = 8      /* refusal settles a timed-out claim */
 } pu_once_break_t;
 
-/* pu_once_options_init - 10,000 keys, 64 waiters, 30 s of skew, one second
-   between tries.  */
+/* pu_once_options_init - 10,000 keys, 64 waiters, 30 s of skew, 1 s of
+   backoff.  */
 void pu_once_options_init (pu_once_options_t *o);
 
-/* What the shell does next.  */
+/* What the user of this module must do next.  */
 typedef enum
 {
   PU_ONCE_CLAIM,    /* propose the claim: handle, attempt */
@@ -63,7 +65,7 @@
   PU_ONCE_ANSWER    /* answer the caller: caller, answer, result */
 } pu_once_action_type_t;
 
-/* How a call ended, in the words of X-Outcome.  */
+/* How a call ended, as in the X-Outcome header.  */
 typedef enum
 {
   PU_ONCE_RAN,
@@ -73,15 +75,16 @@
 
 typedef enum
 {
-  PU_ONCE_ANSWER_RESULT,   /* the result of the run, now or kept */
-  PU_ONCE_ANSWER_RUNNING,  /* another entry runs it: come back */
+  PU_ONCE_ANSWER_RESULT,   /* the result of this or an earlier run */
+  PU_ONCE_ANSWER_RUNNING,  /* another entry runs it; retry later */
   PU_ONCE_ANSWER_CONFLICT, /* the key was used for another request */
-  PU_ONCE_ANSWER_UNKNOWN,  /* it may have run; it won't run again */
-  PU_ONCE_ANSWER_NOT_RUN   /* no claim, or the backend server refused */
+  PU_ONCE_ANSWER_UNKNOWN,  /* it may have run and will not run again */
+  PU_ONCE_ANSWER_NOT_RUN   /* no claim, or refused by the backend server */
 } pu_once_answer_t;
 
-/* A result, or the answer of the log to a claim.  BODY is not copied on the
-   way in and belongs to the core on the way out, until the next call.  */
+/* A result of a call.  A result that is passed in is copied.  The pointers of
+   a result in an action are valid until the next pu_once_next or
+   pu_once_free.  */
 typedef struct
 {
   guint status; /* HTTP */
@@ -98,7 +101,7 @@
   const char *key;
   guint64 fingerprint;
   guint64 attempt;           /* CLAIM */
-  guint64 window_ms;         /* CLAIM: the log keeps the result that long */
+  guint64 window_ms;         /* CLAIM: how long the log keeps the result */
   guint64 position;          /* RECORD */
   pu_once_outcome_t outcome; /* RECORD */
   guint64 caller;            /* ANSWER */
@@ -106,78 +109,85 @@
   pu_once_result_t result;   /* RECORD and ANSWER_RESULT */
 } pu_once_action_t;
 
-/* What the log said to a claim (state/state_msg.x, pu_outcome and phase).  */
+/* The log's reply to a claim (state/state_msg.x: pu_outcome and the phase of
+   the claim record).  */
 typedef enum
 {
-  PU_ONCE_GRANTED,  /* ours to run */
-  PU_ONCE_KEPT,     /* it ran: RESULT is the first answer */
-  PU_ONCE_OPEN,     /* another owner runs it */
+  PU_ONCE_GRANTED,  /* this attempt may be dispatched */
+  PU_ONCE_KEPT,     /* it ran earlier; RESULT is its result */
+  PU_ONCE_OPEN,     /* another attempt is running it */
   PU_ONCE_MISMATCH, /* the key was used for another request */
-  PU_ONCE_LOST,     /* its owner died: unknown for good */
-  PU_ONCE_CLOSED,   /* this very attempt is closed already */
-  PU_ONCE_REFUSED,  /* surely not recorded: no quorum, no member */
-  PU_ONCE_TIMEOUT   /* not known whether it was recorded */
+  PU_ONCE_LOST,     /* the owner failed; the outcome stays unknown */
+  PU_ONCE_CLOSED,   /* this attempt is already closed */
+  PU_ONCE_REFUSED,  /* not recorded, e.g. no quorum or not a member */
+  PU_ONCE_TIMEOUT   /* may or may not have been recorded */
 } pu_once_claimed_t;
 
-/* pu_once_new - an empty table.  Attempts are numbered from 1 within the
-   entry's incarnation.  Free with pu_once_free.  */
+/* pu_once_new - creates an empty table.  Attempts are numbered from 1 within
+   the entry's incarnation.  Free with pu_once_free.  */
 pu_once_t *pu_once_new (const pu_once_options_t *o);
 void pu_once_free (pu_once_t *c);
 
-/* Why a call is refused before anything is claimed.  */
+/* Whether a call is accepted; all but PU_ONCE_ACCEPTED leave it unclaimed.  */
 typedef enum
 {
   PU_ONCE_ACCEPTED,
-  PU_ONCE_TOO_OLD,      /* the key's own time is out of the window */
+  PU_ONCE_TOO_OLD,      /* the key's timestamp is outside the window */
   PU_ONCE_BAD_KEY,      /* empty or too long */
-  PU_ONCE_KEY_MISMATCH, /* at work here for another request */
-  PU_ONCE_FULL          /* too many keys or waiters */
+  PU_ONCE_KEY_MISMATCH, /* in progress here for another request */
+  PU_ONCE_FULL          /* keys_max or waiters_max is reached */
 } pu_once_begin_t;
 
-/* pu_once_begin - CALLER, a number of the shell's, asks for KEY of SERVICE.
-   FINGERPRINT is the hash of method, path and body.  KEY_WALL is the time in
-   the key (pu_once_key_wall) or 0; WALL is now, both in ms since 1970;
-   WINDOW_MS is how long the service keeps results; NOW is monotonic.  On
-   PU_ONCE_ACCEPTED actions follow, and later one ANSWER.  */
+/* pu_once_begin - starts or joins the call with KEY of SERVICE for CALLER, a
+   number that the user chooses.  FINGERPRINT is the hash of method, path and
+   body.  KEY_WALL is the timestamp in the key (pu_once_key_wall) or 0 and WALL
+   is the current time, both in ms since 1970; WINDOW_MS is how long results of
+   the service are kept; NOW is monotonic, in ms.  On PU_ONCE_ACCEPTED actions
+   follow, among them exactly one ANSWER for CALLER.  Otherwise returns why the
+   call was refused.  Keys and service names are 1 to PU_ONCE_NAME_MAX bytes
+   long.  */
 pu_once_begin_t pu_once_begin (pu_once_t *c, guint64 caller,
                                const char *service, const char *key,
                                guint64 fingerprint, guint64 key_wall,
                                guint64 wall, guint64 window_ms, guint64 now);
 
-/* pu_once_claimed - the log's answer to the claim of HANDLE.  POSITION is the
-   claim's in the log; RESULT goes with PU_ONCE_KEPT.  */
+/* pu_once_claimed - reports the log's REPLY to the claim of HANDLE.  POSITION
+   is the log position of the claim; RESULT is used with PU_ONCE_KEPT.  */
 void pu_once_claimed (pu_once_t *c, pu_once_handle_t handle,
-                      pu_once_claimed_t what, guint64 position,
+                      pu_once_claimed_t reply, guint64 position,
                       const pu_once_result_t *result, guint64 now);
 
-/* pu_once_finished - the dispatched call of HANDLE ended.  RESULT goes with
-   PU_ONCE_RAN.  The callers are answered at once; the record follows.  */
+/* pu_once_finished - reports that the dispatched call of HANDLE ended.  RESULT
+   is used with PU_ONCE_RAN.  The callers are answered before the outcome is
+   recorded.  */
 void pu_once_finished (pu_once_t *c, pu_once_handle_t handle,
                        pu_once_outcome_t outcome,
                        const pu_once_result_t *result, guint64 now);
 
-/* pu_once_recorded - the log's answer to the record of HANDLE.  When not OK
-   it is tried again after a pause.  */
+/* pu_once_recorded - reports whether the log took the record of HANDLE.  If
+   not OK, the record is retried after retry_ms.  */
 void pu_once_recorded (pu_once_t *c, pu_once_handle_t handle, bool ok,
                        guint64 now);
 
-/* pu_once_give_up - CALLER is answered as not run (or unknown once the call
-   was dispatched) and forgotten, at its deadline.  False when not known.  */
+/* pu_once_give_up - answers CALLER, whose deadline has passed, as not run, or
+   as unknown if the call was dispatched, and removes it.  Returns false if
+   CALLER is not waiting.  */
 bool pu_once_give_up (pu_once_t *c, guint64 caller, guint64 now);
 
-/* pu_once_tick - claims and records whose pause is over.  */
+/* pu_once_tick - retries claims and records whose backoff has ended.  */
 void pu_once_tick (pu_once_t *c, guint64 now);
 
-/* pu_once_next - the next action, false when there is none.  Its pointers
-   hold until the next call of any function but this one.  */
+/* pu_once_next - takes the next action into *A; false if there is none.  The
+   pointers in *A are valid until the next pu_once_next or pu_once_free.  */
 bool pu_once_next (pu_once_t *c, pu_once_action_t *a);
 
-/* pu_once_key_wall - the time in KEY in ms since 1970 when KEY is a UUID of
-   version 7 (RFC 9562), else 0.  */
+/* pu_once_key_wall - returns the timestamp in KEY, in ms since 1970, if KEY is
+   a UUID of version 7 (RFC 9562), else 0.  */
 guint64 pu_once_key_wall (const char *key);
 
-/* pu_once_busy - keys at work, for the dump and for a planned stop: a daemon
-   stops only when every outcome is recorded.  */
+/* pu_once_busy - returns the number of keys in progress, for the state dump
+   and for a planned stop: a daemon stops only when every outcome is recorded.
+ */
 guint pu_once_busy (const pu_once_t *c);
 
 G_END_DECLS
--- a/libplantainusher/once/once_test.cc
+++ b/libplantainusher/once/once_test.cc
@@ -67,7 +67,7 @@
 
 } // namespace
 
-TEST (Once, AClaimIsDispatchedAndRecorded)
+TEST (Once, DispatchesAndRecordsAGrantedClaim)
 {
   Once o;
   pu_once_handle_t h;
@@ -83,7 +83,7 @@
   EXPECT_EQ (0u, pu_once_busy (o.c));
 }
 
-TEST (Once, CallersOfOneKeyShareOneRun)
+TEST (Once, CallersWithTheSameKeyShareOneRun)
 {
   Once o;
   pu_once_handle_t h;
@@ -100,11 +100,11 @@
   EXPECT_EQ (2u, o.next (PU_ONCE_ANSWER).caller);
 }
 
-TEST (Once, EachAnswerOfTheLogHasItsAnswer)
+TEST (Once, MapsRepliesOfTheLogToAnswers)
 {
   const struct
   {
-    pu_once_claimed_t said;
+    pu_once_claimed_t reply;
     pu_once_answer_t answer;
   } rows[] = {
     { PU_ONCE_KEPT, PU_ONCE_ANSWER_RESULT },
@@ -120,14 +120,14 @@
       Once o;
 
       o.begin (1);
-      pu_once_claimed (o.c, o.next (PU_ONCE_CLAIM).handle, row.said, 7,
+      pu_once_claimed (o.c, o.next (PU_ONCE_CLAIM).handle, row.reply, 7,
                        &kResult, 0);
       EXPECT_EQ (row.answer, o.next (PU_ONCE_ANSWER).answer);
       EXPECT_EQ (0u, pu_once_busy (o.c));
     }
 }
 
-TEST (Once, AClaimThatTimedOutIsClosedAsNotRun)
+TEST (Once, TimedOutClaimIsRecordedAsNotRun)
 {
   Once o;
   pu_once_handle_t h;
@@ -144,7 +144,7 @@
   EXPECT_EQ (PU_ONCE_NOT_RUN, o.next (PU_ONCE_RECORD).outcome);
 }
 
-TEST (Once, ARefusalAfterATimeoutSettlesNothing)
+TEST (Once, RefusalAfterTimeoutIsRetried)
 {
   Once o;
   pu_once_handle_t h;
@@ -156,14 +156,15 @@
   pu_once_tick (o.c, 13);
   o.next (PU_ONCE_CLAIM);
   pu_once_claimed (o.c, h, PU_ONCE_REFUSED, 0, NULL, 20);
-  EXPECT_EQ (1u, pu_once_busy (o.c)) << "the first may have been recorded";
+  EXPECT_EQ (1u, pu_once_busy (o.c))
+      << "the first claim may have been recorded";
   pu_once_tick (o.c, 23);
   o.next (PU_ONCE_CLAIM);
   pu_once_claimed (o.c, h, PU_ONCE_GRANTED, 7, NULL, 30);
   EXPECT_EQ (PU_ONCE_NOT_RUN, o.next (PU_ONCE_RECORD).outcome);
 }
 
-TEST (Once, ARecordIsSentUntilItIsTaken)
+TEST (Once, RetriesARecordUntilAccepted)
 {
   Once o;
   pu_once_handle_t h;
@@ -182,26 +183,27 @@
   o.next (PU_ONCE_RECORD);
 }
 
-TEST (Once, AKeyOutOfItsWindowIsRefused)
+TEST (Once, RejectsAKeyOutsideItsWindow)
 {
   Once o;
   const char *key = "018f0000-0000-7000-8000-000000000000";
-  const guint64 made = pu_once_key_wall (key);
+  const guint64 key_time = pu_once_key_wall (key);
 
-  EXPECT_EQ (0x018f00000000u, made);
+  EXPECT_EQ (0x018f00000000u, key_time);
   EXPECT_EQ (0u, pu_once_key_wall ("018f0000-0000-4000-8000-000000000000"));
-  EXPECT_EQ (PU_ONCE_TOO_OLD, pu_once_begin (o.c, 1, "s", key, 1, made,
-                                             made + 600000, 600000, 0));
-  EXPECT_EQ (PU_ONCE_ACCEPTED, pu_once_begin (o.c, 1, "s", key, 1, made,
-                                              made + 500000, 600000, 0));
+  EXPECT_EQ (PU_ONCE_TOO_OLD, pu_once_begin (o.c, 1, "s", key, 1, key_time,
+                                             key_time + 600000, 600000, 0));
+  EXPECT_EQ (PU_ONCE_ACCEPTED, pu_once_begin (o.c, 1, "s", key, 1, key_time,
+                                              key_time + 500000, 600000, 0));
   EXPECT_EQ (600000u, o.next (PU_ONCE_CLAIM).window_ms);
 }
 
 namespace
 {
 
-/* The log as the oracle knows it: per key one owner, or an outcome.  */
-struct Claim
+/* The simulated log's record of one key: an open claim with its owner, or an
+   outcome.  */
+struct LogRecord
 {
   int owner = 0;
   guint64 attempt = 0;
@@ -210,11 +212,11 @@
   pu_once_outcome_t outcome = PU_ONCE_NOT_RUN;
 };
 
-/* Three entries, a log whose answers get lost or come late, and a backend
-   server that counts its runs.  */
-struct World
+/* Three entries, a log whose replies may be lost, and a backend server that
+   counts executions and replies late.  */
+struct Simulation
 {
-  explicit World (unsigned seed, guint breaks) : random (seed)
+  explicit Simulation (unsigned seed, guint breaks) : random (seed)
   {
     for (int i = 0; i < 3; i++)
       entries.push_back (std::make_unique<Once> (breaks));
@@ -229,7 +231,7 @@
   pu_once_claimed_t
   claim (int entry, const std::string &key, guint64 attempt)
   {
-    Claim &k = log[key];
+    LogRecord &k = log[key];
 
     if (k.attempt == attempt && k.owner == entry && (k.open || k.closed))
       return k.open ? PU_ONCE_GRANTED : PU_ONCE_CLOSED;
@@ -246,17 +248,18 @@
   void
   run (int entry, const pu_once_action_t &a)
   {
-    const int fate = pick (3);
+    const int run_result = pick (3);
     const std::string key = a.key;
 
-    pu_fuzz_report::get ().faults += fate == 2 ? 1 : 0;
-    if (fate != 0)
+    pu_fuzz_report::get ().faults += run_result == 2 ? 1 : 0;
+    if (run_result != 0)
       runs[key]++;
-    finished.push_back ({ entry, a.handle, fate, now + pick (5) });
+    pending_finishes.push_back (
+        { entry, a.handle, run_result, now + pick (5) });
   }
 
   void
-  carry_out (int entry, const pu_once_action_t &a)
+  execute (int entry, const pu_once_action_t &a)
   {
     pu_once_t *c = entries[entry]->c;
 
@@ -264,16 +267,16 @@
       {
       case PU_ONCE_CLAIM:
         {
-          pu_once_claimed_t said = PU_ONCE_REFUSED;
+          pu_once_claimed_t reply = PU_ONCE_REFUSED;
 
           if (pick (5) > 0)
-            said = claim (entry, a.key, a.attempt);
+            reply = claim (entry, a.key, a.attempt);
           if (pick (4) == 0)
             {
-              said = PU_ONCE_TIMEOUT;
+              reply = PU_ONCE_TIMEOUT;
               pu_fuzz_report::get ().faults++;
             }
-          pu_once_claimed (c, a.handle, said, 1, &kResult, now);
+          pu_once_claimed (c, a.handle, reply, 1, &kResult, now);
           break;
         }
       case PU_ONCE_DISPATCH:
@@ -281,24 +284,25 @@
         break;
       case PU_ONCE_RECORD:
         {
-          const bool reached = pick (3) > 0;
+          const bool committed = pick (3) > 0;
 
-          pu_fuzz_report::get ().faults += reached ? 0 : 1;
-          Claim &k = log[a.key];
+          pu_fuzz_report::get ().faults += committed ? 0 : 1;
+          LogRecord &k = log[a.key];
 
-          if (reached && k.open && k.owner == entry && k.attempt == a.attempt)
+          if (committed && k.open && k.owner == entry
+              && k.attempt == a.attempt)
             {
               k.open = false;
               k.closed = true;
               k.outcome = a.outcome;
             }
-          pu_once_recorded (c, a.handle, reached && pick (4) > 0, now);
+          pu_once_recorded (c, a.handle, committed && pick (4) > 0, now);
           break;
         }
       case PU_ONCE_ANSWER:
         answers[a.caller]++;
         if (a.answer == PU_ONCE_ANSWER_NOT_RUN)
-          told_not_run[a.caller] = a.key;
+          answered_not_run[a.caller] = a.key;
         break;
       }
   }
@@ -309,34 +313,34 @@
     pu_once_action_t a;
 
     while (pu_once_next (entries[entry]->c, &a))
-      carry_out (entry, a);
+      execute (entry, a);
   }
 
   void
-  finish_due ()
+  finish_due_runs ()
   {
-    for (size_t n = finished.size (); n > 0; n--)
+    for (size_t n = pending_finishes.size (); n > 0; n--)
       {
-        Finished f = finished.front ();
+        PendingFinish f = pending_finishes.front ();
 
-        finished.pop_front ();
+        pending_finishes.pop_front ();
         if (f.due > now)
           {
-            finished.push_back (f);
+            pending_finishes.push_back (f);
             continue;
           }
-        /* 0: did not run; 1: ran; 2: ran and the answer was lost.  */
+        /* Index: 0 did not run, 1 ran, 2 ran and the response was lost.  */
         const pu_once_outcome_t outcomes[]
             = { PU_ONCE_NOT_RUN, PU_ONCE_RAN, PU_ONCE_UNKNOWN };
-        pu_once_finished (entries[f.entry]->c, f.handle, outcomes[f.fate],
-                          &kResult, now);
+        pu_once_finished (entries[f.entry]->c, f.handle,
+                          outcomes[f.run_result], &kResult, now);
       }
   }
 
-  /* At most one run for a key; one answer for a caller; who was told that
-     its call did not run, alone with its key, was told the truth.  */
+  /* No key ran twice, no caller was answered twice, and no call that was the
+     only one with its key ran after its caller was answered as not run.  */
   bool
-  holds () const
+  invariants_hold () const
   {
     for (const auto &r : runs)
       {
@@ -348,7 +352,7 @@
         if (a.second != 1)
           return false;
       }
-    for (const auto &t : told_not_run)
+    for (const auto &t : answered_not_run)
       {
         auto r = runs.find (t.second);
 
@@ -359,7 +363,7 @@
   }
 
   bool
-  play (int steps)
+  run_steps (int steps)
   {
     for (guint64 caller = 1; (int)caller <= steps; caller++, now++)
       {
@@ -372,7 +376,7 @@
         pu_fuzz_report::get ().steps++;
         entries[entry]->begin (caller, key.c_str ());
         drain (entry);
-        finish_due ();
+        finish_due_runs ();
         if (pick (10) == 0)
           pu_once_give_up (entries[entry]->c, caller, now);
         for (int e = 0; e < 3; e++)
@@ -380,10 +384,10 @@
             pu_once_tick (entries[e]->c, now);
             drain (e);
           }
-        if (!holds ())
+        if (!invariants_hold ())
           return false;
       }
-    return settles ();
+    return becomes_idle ();
   }
 
   bool
@@ -397,14 +401,14 @@
     return false;
   }
 
-  /* Entries that live come to rest and leave no claim open: its key would be
-     blocked for as long as they live.  */
+  /* Live entries finish all work and leave no claim open: an open claim
+     would block its key for as long as its owner lives.  */
   bool
-  settles ()
+  becomes_idle ()
   {
     for (int n = 0; n < 1000 && busy (); n++, now++)
       {
-        finish_due ();
+        finish_due_runs ();
         for (int e = 0; e < 3; e++)
           {
             pu_once_tick (entries[e]->c, now);
@@ -416,34 +420,34 @@
         if (k.second.open)
           return false;
       }
-    return holds () && !busy ();
+    return invariants_hold () && !busy ();
   }
 
-  struct Finished
+  struct PendingFinish
   {
     int entry;
     pu_once_handle_t handle;
-    int fate;
+    int run_result;
     guint64 due;
   };
 
   std::mt19937 random;
   guint64 now = 1;
   std::vector<std::unique_ptr<Once> > entries;
-  std::map<std::string, Claim> log;
+  std::map<std::string, LogRecord> log;
   std::map<std::string, int> runs;
   std::map<std::string, int> callers_of;
   std::map<guint64, int> answers;
-  std::map<guint64, std::string> told_not_run;
-  std::deque<Finished> finished;
+  std::map<guint64, std::string> answered_not_run;
+  std::deque<PendingFinish> pending_finishes;
 };
 
 bool
-caught (guint breaks)
+is_detected (guint breaks)
 {
   for (unsigned seed = 1; seed <= 50; seed++)
     {
-      if (!World (seed, breaks).play (300))
+      if (!Simulation (seed, breaks).run_steps (300))
         return true;
     }
   return false;
@@ -451,15 +455,15 @@
 
 } // namespace
 
-RC_GTEST_PROP (OnceFuzz, RunsAtMostOnceAndTellsTheTruth, (unsigned seed))
+RC_GTEST_PROP (OnceFuzz, RunsAtMostOnceAndAnswersCorrectly, (unsigned seed))
 {
-  RC_ASSERT (World (seed, 0).play (300));
+  RC_ASSERT (Simulation (seed, 0).run_steps (300));
 }
 
-TEST (OnceFuzz, BrokenRulesAreCaught)
+TEST (OnceFuzz, DetectsEachBrokenRule)
 {
-  EXPECT_TRUE (caught (PU_ONCE_BREAK_DISPATCH_LATE));
-  EXPECT_TRUE (caught (PU_ONCE_BREAK_ONE_ATTEMPT));
-  EXPECT_TRUE (caught (PU_ONCE_BREAK_RAN_AS_NOT_RUN));
-  EXPECT_TRUE (caught (PU_ONCE_BREAK_FORGET_TIMEOUT));
+  EXPECT_TRUE (is_detected (PU_ONCE_BREAK_DISPATCH_LATE));
+  EXPECT_TRUE (is_detected (PU_ONCE_BREAK_SHARED_ATTEMPT));
+  EXPECT_TRUE (is_detected (PU_ONCE_BREAK_UNKNOWN_AS_NOT_RUN));
+  EXPECT_TRUE (is_detected (PU_ONCE_BREAK_IGNORE_TIMEOUT));
 }
