--- a/libplantainusher/log/group_test.cc
+++ b/libplantainusher/log/group_test.cc
@@ -14,9 +14,10 @@
   *(int *)data += kind == PU_OK;
 }
 
-/* Proposes N entries, waiting for each that the leader changes under.  */
+/* Proposes N entries once there is a leader and waits until all have been
+   committed.  */
 bool
-propose (FakeCluster &c, int n)
+propose_and_wait (FakeCluster &c, int n)
 {
   static int serial;
   int done = 0;
@@ -35,7 +36,7 @@
 }
 
 bool
-all_equal (FakeCluster &c)
+wait_until_equal (FakeCluster &c)
 {
   return c.run ([&] {
     for (auto &v : c.voters)
@@ -48,49 +49,49 @@
 }
 
 size_t
-voters (FakeCluster &c)
+voter_count (FakeCluster &c)
 {
   FakeVoter *l = c.leader ();
   return l == nullptr ? 0 : pu_log_config_voters (pu_group_config (l->group));
 }
 
-TEST (Group, AppliesAlikeOverSnapshotsAndRestarts)
+TEST (Group, VotersAgreeAcrossSnapshotsAndRestarts)
 {
   FakeCluster c (3);
   c.options.replica.snapshot_entries = 50;
   c.options.replica.keep_entries = 10;
   c.start_all ();
-  ASSERT_TRUE (propose (c, 300));
-  ASSERT_TRUE (all_equal (c));
+  ASSERT_TRUE (propose_and_wait (c, 300));
+  ASSERT_TRUE (wait_until_equal (c));
   for (auto &v : c.voters)
     c.stop (*v);
   c.start_all ();
-  ASSERT_TRUE (propose (c, 10));
-  ASSERT_TRUE (all_equal (c));
+  ASSERT_TRUE (propose_and_wait (c, 10));
+  ASSERT_TRUE (wait_until_equal (c));
   EXPECT_EQ (c.voters[0]->applied.size (), 310U);
   EXPECT_GT (c.voters[0]->restored, 200U);
 }
 
-TEST (Group, FollowerFarBehindGetsASnapshot)
+TEST (Group, LaggingFollowerInstallsASnapshot)
 {
   FakeCluster c (3);
   c.options.replica.snapshot_entries = 50;
   c.options.replica.keep_entries = 10;
   c.start_all ();
-  ASSERT_TRUE (propose (c, 5));
+  ASSERT_TRUE (propose_and_wait (c, 5));
   FakeVoter &v = *c.voters[c.leader () == c.voters[0].get () ? 1 : 0];
   c.stop (v);
-  ASSERT_TRUE (propose (c, 300));
+  ASSERT_TRUE (propose_and_wait (c, 300));
   c.start (v);
-  ASSERT_TRUE (all_equal (c));
+  ASSERT_TRUE (wait_until_equal (c));
   EXPECT_GT (v.restored, 100U);
 }
 
-TEST (Group, LostDiskIsReplacedAndASecondLossIsBorne)
+TEST (Group, ReplacesVotersThatLostTheirDisks)
 {
   FakeCluster c (3);
   c.start_all ();
-  ASSERT_TRUE (propose (c, 20));
+  ASSERT_TRUE (propose_and_wait (c, 20));
   for (int lost : { 1, 2, 0 })
     {
       FakeVoter &v = *c.voters[lost];
@@ -102,75 +103,75 @@
       ASSERT_TRUE (c.start (v));
       ASSERT_TRUE (c.run ([&] {
         FakeVoter *l = c.leader ();
-        if (l == nullptr || voters (c) != 3)
+        if (l == nullptr || voter_count (c) != 3)
           return false;
         json_t *t = pu_group_status (l->group);
         char *text = json_dumps (t, 0);
-        bool gone = strstr (text, id.c_str ()) == nullptr;
+        bool removed = strstr (text, id.c_str ()) == nullptr;
         free (text);
         json_decref (t);
-        return gone;
+        return removed;
       })) << lost;
-      ASSERT_TRUE (propose (c, 5));
+      ASSERT_TRUE (propose_and_wait (c, 5));
     }
-  ASSERT_TRUE (all_equal (c));
+  ASSERT_TRUE (wait_until_equal (c));
   EXPECT_EQ (c.voters[0]->applied.size (), 35U);
 }
 
-TEST (Group, FailedDiskFallsSilentAndTheOthersGoOn)
+TEST (Group, AnotherVoterLeadsAfterDiskFailure)
 {
   FakeCluster c (3);
   c.start_all ();
-  ASSERT_TRUE (propose (c, 5));
+  ASSERT_TRUE (propose_and_wait (c, 5));
   FakeVoter *l = c.leader ();
   l->fs.sync = [] (void *, int) { return -EIO; };
   int done = 0;
   ASSERT_TRUE (pu_group_propose (l->group, "x", 1, count_ok, &done, nullptr));
   ASSERT_TRUE (
       c.run ([&] { return c.leader () != nullptr && c.leader () != l; }));
-  ASSERT_TRUE (propose (c, 5));
+  ASSERT_TRUE (propose_and_wait (c, 5));
   json_t *s = pu_group_status (l->group);
   EXPECT_TRUE (json_is_true (json_object_get (s, "failed")));
   json_decref (s);
 }
 
-TEST (Group, LeaveHandsTheLeadOver)
+TEST (Group, LeaveTransfersLeadership)
 {
   FakeCluster c (3);
   c.start_all ();
-  ASSERT_TRUE (propose (c, 5));
+  ASSERT_TRUE (propose_and_wait (c, 5));
   FakeVoter *l = c.leader ();
   pu_group_leave (l->group);
   EXPECT_TRUE (
       c.run ([&] { return c.leader () != nullptr && c.leader () != l; }, 400));
 }
 
-TEST (Group, SpareIsAddedAndReplaces)
+TEST (Group, SpareJoinsAndIsMadeAVoter)
 {
   FakeCluster c (3);
   c.start_all ();
   FakeVoter &spare = c.add ();
   ASSERT_TRUE (c.start (spare));
-  ASSERT_TRUE (propose (c, 5));
-  auto joined = [&] {
+  ASSERT_TRUE (propose_and_wait (c, 5));
+  auto has_joined = [&] {
     FakeVoter *l = c.leader ();
     return l != nullptr
            && pu_group_config (l->group)->members.members_len == 4;
   };
-  ASSERT_TRUE (c.run (joined));
-  EXPECT_EQ (voters (c), 3U);
+  ASSERT_TRUE (c.run (has_joined));
+  EXPECT_EQ (voter_count (c), 3U);
   ASSERT_TRUE (c.run ([&] {
     FakeVoter *l = c.leader ();
     return l != nullptr && pu_group_voters_add (l->group, "d", nullptr);
   }));
-  EXPECT_TRUE (c.run ([&] { return voters (c) == 4; }));
+  EXPECT_TRUE (c.run ([&] { return voter_count (c) == 4; }));
 }
 
 TEST (Group, ReadsFromAPosition)
 {
   FakeCluster c (1);
   c.start_all ();
-  ASSERT_TRUE (propose (c, 5));
+  ASSERT_TRUE (propose_and_wait (c, 5));
   std::string read;
   auto collect = [] (uint64_t, const void *p, size_t n, void *data) {
     ((std::string *)data)->append ((const char *)p, n);
@@ -183,7 +184,7 @@
   EXPECT_EQ (pu_group_read_from (g, 99, 1000, collect, &read), 99U);
 }
 
-TEST (Group, MalformedMessagesAreRefused)
+TEST (Group, RejectsMalformedMessages)
 {
   FakeCluster c (1);
   c.start_all ();
--- a/libplantainusher/log/log_msg_fuzz.c
+++ b/libplantainusher/log/log_msg_fuzz.c
@@ -1,4 +1,4 @@
-/* libFuzzer target: whatever decodes is encoded again and given to a
+/* libFuzzer target: messages that decode are encoded again and passed to a
    replica.  */
 
 #include <string.h>
@@ -10,16 +10,16 @@
 static pu_replica_t *
 make_replica (void)
 {
-  pu_log_peer names[] = { { 0, "a", "a" }, { 0, "b", "b" } };
+  pu_log_peer voters[] = { { 0, "a", "a" }, { 0, "b", "b" } };
   pu_replica_options_t o;
   pu_disk_image_t image;
   pu_replica_t *r;
 
   pu_replica_options_init (&o);
   pu_disk_image_init (&image);
-  o.self = names[0];
-  o.initial = names;
-  o.n_initial = G_N_ELEMENTS (names);
+  o.self = voters[0];
+  o.initial = voters;
+  o.n_initial = G_N_ELEMENTS (voters);
   image.meta.id = 1;
   r = pu_replica_new (&o, &image, 0);
   pu_disk_image_clear (&image);
@@ -32,14 +32,14 @@
   pu_replica_t *r;
   pu_action_t a;
   pu_log_msg m;
-  GBytes *again;
+  GBytes *reencoded;
 
   if (!pu_log_msg_decode (&m, bytes, len, NULL))
     return 0;
-  again = pu_log_msg_encode (&m);
-  /* Shorter only where a string holds a zero byte.  */
-  g_assert (again != NULL && g_bytes_get_size (again) <= len);
-  g_bytes_unref (again);
+  reencoded = pu_log_msg_encode (&m);
+  /* The encoding is shorter only if a string holds a NUL byte.  */
+  g_assert (reencoded != NULL && g_bytes_get_size (reencoded) <= len);
+  g_bytes_unref (reencoded);
   r = make_replica ();
   m.to = 1;
   m.group = 0;
--- a/libplantainusher/log/replica_sim.h
+++ b/libplantainusher/log/replica_sim.h
@@ -2,8 +2,8 @@
 #define PU_LOG_REPLICA_SIM_H
 
 /*
- * replica_sim - replicas over a bag of messages, with faults, and the oracle.
- * For the tests of this slice alone.
+ * replica_sim - simulates replicas, their disks and a network with faults, and
+ * checks safety invariants.  Used only by the tests of this slice.
  */
 
 #include <algorithm>
@@ -30,16 +30,16 @@
   RESUME,
   ISOLATE,
   BLOCK,
-  CUT_NEXT, // isolates the next leader as it is elected
+  ISOLATE_NEXT_LEADER, // isolate the next leader when it is elected
   HEAL,
   LOSSY,
-  CALM,
+  RELIABLE,
   STALL_DISK,
-  WIPE,
+  WIPE_DISK,
   TRANSFER,
   REMOVE,
   REPLACE,
-  KINDS
+  EVENT_KINDS
 };
 
 struct Event
@@ -48,13 +48,13 @@
   unsigned a, b;
 };
 
-/* Broken by the harness itself: a wiped disk comes back under its old name. */
-constexpr unsigned KEEP_IDENTITY = 1U << 16;
+/* Rule that the simulator breaks: a wiped disk keeps its old identity.  */
+constexpr unsigned REUSE_IDENTITY = 1U << 16;
 constexpr uint64_t STEP_MS = 10;
 
 struct Packet
 {
-  uint64_t at;
+  uint64_t deliver_at_ms;
   unsigned from, to;
   GBytes *msg;
 };
@@ -62,9 +62,9 @@
 class Sim
 {
 public:
-  std::string broken; // the first violation
+  std::string violation; // the first violation
   unsigned faults = 0;
-  uint64_t steps = 0; // delivered messages
+  uint64_t delivered = 0; // messages
   uint64_t commits = 0;
 
   Sim (unsigned n, unsigned seed, unsigned breaks, unsigned spares = 0,
@@ -79,7 +79,7 @@
       {
         nodes_[i].rate = (int)(rand_ () % 21) - 10;
         nodes_[i].offset = rand_ () % 100000;
-        fresh (i);
+        reset_disk (i);
         start (i);
       }
   }
@@ -90,7 +90,7 @@
         stop (i);
         nodes_[i].disk.clear ();
       }
-    for (Packet &p : bag_)
+    for (Packet &p : packets_)
       g_bytes_unref (p.msg);
   }
   Sim (const Sim &) = delete;
@@ -99,14 +99,14 @@
   void
   run (uint64_t ms)
   {
-    for (uint64_t end = now_ + ms; now_ < end && broken.empty ();)
+    for (uint64_t end = now_ + ms; now_ < end && violation.empty ();)
       step ();
   }
 
   void
-  play (const Event &ev)
+  apply_event (const Event &ev)
   {
-    unsigned a = pick (ev.a), b = ev.b % nodes_.size ();
+    unsigned a = pick_node (ev.a), b = ev.b % nodes_.size ();
     Node &n = nodes_[a];
 
     faults += is_fault (ev.kind);
@@ -137,8 +137,8 @@
       case ISOLATE:
         isolate (a);
         break;
-      case CUT_NEXT:
-        cut_next_ = true;
+      case ISOLATE_NEXT_LEADER:
+        isolate_next_leader_ = true;
         break;
       case BLOCK:
         blocked_[a][b] = a != b;
@@ -150,14 +150,14 @@
       case LOSSY:
         lossy_ = true;
         break;
-      case CALM:
+      case RELIABLE:
         lossy_ = false;
         break;
       case STALL_DISK:
         n.stalled = !n.stalled;
         break;
-      case WIPE:
-        if (may_wipe (n.disk.meta.id))
+      case WIPE_DISK:
+        if (can_wipe (n.disk.meta.id))
           wipe (a);
         break;
       case TRANSFER:
@@ -186,18 +186,18 @@
     run (ev.kind == RUN ? 50 + ev.b % 3000 : ev.b % 200);
   }
 
-  /* Ends all faults; true when a proposal is then committed everywhere.  */
+  /* Ends all faults; true if the leader then commits a new proposal.  */
   bool
-  heals ()
+  recovers ()
   {
-    lossy_ = cut_next_ = false;
+    lossy_ = isolate_next_leader_ = false;
     heal_links ();
     for (unsigned i = 0; i < nodes_.size (); i++)
       {
         nodes_[i].paused = nodes_[i].stalled = false;
         start (i);
       }
-    for (int round = 0; round < 60 && broken.empty (); round++)
+    for (int round = 0; round < 60 && violation.empty (); round++)
       {
         run (1000);
         uint64_t index = propose ();
@@ -253,10 +253,10 @@
     Node &n = nodes_[i];
     if (n.r == nullptr)
       return;
-    /* Of what was not synced, a part from the front may have got there.  */
+    /* A prefix of the unsynced writes may have reached the disk.  */
     size_t keep = rand_ () % 4 == 0 ? rand_ () % (n.pending.size () + 1) : 0;
     for (; keep > 0; keep--)
-      sync_one (n, false);
+      sync_oldest (n, false);
     for (pu_action_t &a : n.pending)
       pu_action_clear (&a);
     n.pending.clear ();
@@ -296,7 +296,7 @@
     for (pu_record_t *e : n.disk.entries)
       g_ptr_array_add (d.entries, pu_record_ref (e));
     d.commit = n.disk.commit;
-    n.chain = n.disk.snapshot.index ? image (n.disk.snapshot.data) : 0;
+    n.chain = n.disk.snapshot.index ? read_chain (n.disk.snapshot.data) : 0;
     n.applied = n.disk.snapshot.index;
     n.r = pu_replica_new (&o, &d, clock (n));
     d.snapshot = pu_snapshot_t{};
@@ -307,13 +307,13 @@
   {
     uint64_t id = nodes_[i].disk.meta.id;
     stop (i);
-    dead_.insert (id);
-    fresh (i);
-    if (breaks_ & KEEP_IDENTITY)
+    lost_ids_.insert (id);
+    reset_disk (i);
+    if (breaks_ & REUSE_IDENTITY)
       nodes_[i].disk.meta.id = id;
     start (i);
   }
-  /* The disk of node I goes back to before its last N entries.  */
+  /* Removes the last N entries from the disk of node I and restarts it.  */
   void
   roll_back (unsigned i, uint64_t n)
   {
@@ -323,33 +323,34 @@
     d.commit = std::min (d.commit, d.last ());
     start (i);
   }
-  /* Whether the log of N lacks the newest committed configuration: then it
-     elects nobody.  */
+  /* Whether the log of N lacks the newest committed configuration.  N can then
+     elect no leader.  */
   bool
-  superseded (const Node &n) const
+  is_superseded (const Node &n) const
   {
-    const pu_record_t *e = n.r != nullptr ? pu_replica_entry (n.r, config_)
-                                          : n.disk.at (config_);
-    auto it = committed_.find (config_);
-    return n.config < config_
+    const pu_record_t *e = n.r != nullptr
+                               ? pu_replica_entry (n.r, committed_config_)
+                               : n.disk.at (committed_config_);
+    auto it = committed_.find (committed_config_);
+    return n.config < committed_config_
            || (e != nullptr && it != committed_.end ()
                && e->term != it->second.first);
   }
-  /* Whether, without ID, every configuration that can still elect has a living
-     quorum.  */
+  /* Whether every configuration that can still elect a leader keeps a quorum
+     of intact disks without ID.  */
   bool
-  may_wipe (uint64_t id) const
+  can_wipe (uint64_t id) const
   {
     for (const Node &n : nodes_)
       {
         size_t live = 0;
-        if (superseded (n)
+        if (is_superseded (n)
             || std::count (n.voters.begin (), n.voters.end (), id) == 0)
           continue;
         if (n.surplus)
-          return false; // a removal may be on its way
+          return false; // a voter may be about to be removed
         for (uint64_t v : n.voters)
-          live += v != id && dead_.count (v) == 0;
+          live += v != id && lost_ids_.count (v) == 0;
         if (live < n.voters.size () / 2 + 1)
           return false;
       }
@@ -363,26 +364,26 @@
   unsigned wanted_;
   std::vector<Node> nodes_;
   std::vector<std::vector<bool> > blocked_;
-  std::vector<Packet> bag_;
-  std::set<uint64_t> dead_;
+  std::vector<Packet> packets_;
+  std::set<uint64_t> lost_ids_;
   std::map<uint64_t, std::pair<uint64_t, uint64_t> > committed_; // term, chain
-  std::map<uint64_t, uint64_t> committed_in_; // term of its leader
-  std::map<uint64_t, uint64_t> leaders_;      // by term
+  std::map<uint64_t, uint64_t> commit_term_; // term it was committed in
+  std::map<uint64_t, uint64_t> leader_by_term_;
   std::map<std::pair<uint64_t, uint64_t>, uint64_t> votes_; // identity, term
   uint64_t now_ = 0;
   uint64_t proposed_ = 0;
-  uint64_t config_ = 0; // newest committed configuration
+  uint64_t committed_config_ = 0; // index of the newest one
   bool lossy_ = false;
-  bool cut_next_ = false;
+  bool isolate_next_leader_ = false;
 
   void
   fail (const std::string &what)
   {
-    if (broken.empty ())
-      broken = what;
+    if (violation.empty ())
+      violation = what;
   }
   void
-  fresh (unsigned i)
+  reset_disk (unsigned i)
   {
     nodes_[i].disk.clear ();
     nodes_[i].disk.meta.id = ((uint64_t)rand_ () << 32 | rand_ ()) | 1;
@@ -403,7 +404,7 @@
       row.assign (row.size (), false);
   }
   static uint64_t
-  image (GBytes *b)
+  read_chain (GBytes *b)
   {
     uint64_t chain;
     memcpy (&chain, g_bytes_get_data (b, nullptr), sizeof chain);
@@ -412,7 +413,7 @@
 
   /* Disk.  */
   void
-  sync_one (Node &n, bool tell)
+  sync_oldest (Node &n, bool notify)
   {
     pu_action_t a = n.pending.front ();
     uint64_t index = a.kind == PU_ACTION_SAVE ? a.save.snapshot.index : 0;
@@ -428,7 +429,7 @@
             auto *e = (pu_record_t *)g_ptr_array_index (a.write.entries, i);
             n.disk.cut (e->index);
             if (e->index != n.disk.last () + 1)
-              fail ("a gap in the journal");
+              fail ("entry written to the journal is not contiguous");
             n.disk.entries.push_back (pu_record_ref (e));
           }
         n.disk.commit = std::max (n.disk.commit, a.write.commit);
@@ -437,11 +438,11 @@
         save (n, a.save.snapshot, a.save.installed);
         break;
       }
-    if (tell && a.kind == PU_ACTION_SAVE)
+    if (notify && a.kind == PU_ACTION_SAVE)
       {
         pu_replica_saved (n.r, clock (n), index);
       }
-    else if (tell)
+    else if (notify)
       {
         pu_replica_synced (n.r, clock (n), a.ticket);
       }
@@ -475,25 +476,25 @@
       case PAUSE:
       case ISOLATE:
       case BLOCK:
-      case CUT_NEXT:
+      case ISOLATE_NEXT_LEADER:
       case STALL_DISK:
-      case WIPE:
+      case WIPE_DISK:
         return true;
       default:
         return false;
       }
   }
 
-  /* The leader half of the time: faults matter most there.  */
+  /* Picks the leader for large A, since faults of the leader matter most.  */
   unsigned
-  pick (unsigned a)
+  pick_node (unsigned a)
   {
     Node *l = a >= nodes_.size () ? leader () : nullptr;
     return l != nullptr ? (unsigned)(l - nodes_.data ())
                         : a % (unsigned)nodes_.size ();
   }
 
-  /* Actions of node I.  */
+  /* Execution of a replica's actions.  */
   void
   check_vote (GBytes *bytes)
   {
@@ -503,7 +504,7 @@
     uint64_t vote = 0;
     if (!pu_log_msg_decode (&m, p, len, nullptr))
       {
-        fail ("a malformed message was sent");
+        fail ("replica sent a malformed message");
         return;
       }
     if (m.body.kind == PU_LOG_VOTE && !m.body.pu_log_body_u.vote.pre)
@@ -530,13 +531,13 @@
         = lossy_ ? (rand_ () % 10 < 2 ? 0 : 1 + (rand_ () % 10 < 2)) : 1;
     if (to >= nodes_.size () || blocked_[i][to])
       return;
-    faults += copies != 1; // lost or doubled
+    faults += copies != 1; // lost or duplicated
     for (; copies > 0; copies--)
       {
-        uint64_t late = lossy_ && rand_ () % 20 == 0 ? rand_ () % 4000 : 0;
-        faults += late > 0;
-        bag_.push_back (
-            { now_ + rand_ () % 15 + late, i, to, g_bytes_ref (a.send.msg) });
+        uint64_t delay_ms = lossy_ && rand_ () % 20 == 0 ? rand_ () % 4000 : 0;
+        faults += delay_ms > 0;
+        packets_.push_back ({ now_ + rand_ () % 15 + delay_ms, i, to,
+                              g_bytes_ref (a.send.msg) });
       }
   }
   void
@@ -566,19 +567,19 @@
     if (it == committed_.end ())
       {
         committed_[i] = { e->term, chain };
-        committed_in_[i] = term;
+        commit_term_[i] = term;
         commits++;
         if (e->type == PU_LOG_CONFIG)
-          config_ = std::max (config_, i);
-        check_safe (i, e->term);
+          committed_config_ = std::max (committed_config_, i);
+        check_electability (i, e->term);
       }
     else if (it->second.second != chain)
-      fail ("a committed entry changed at " + std::to_string (i));
+      fail ("committed entry changed at " + std::to_string (i));
   }
-  /* A committed entry must be in every log that could still win a vote of the
-     disks as they are.  */
+  /* Every log that could win an election, given what is on the disks now, must
+     hold the committed entry.  */
   void
-  check_safe (uint64_t i, uint64_t term)
+  check_electability (uint64_t i, uint64_t term)
   {
     for (const Node &n : nodes_)
       {
@@ -590,10 +591,10 @@
           continue;
         for (const Node &m : nodes_)
           {
-            bool counts = std::count (n.voters.begin (), n.voters.end (),
-                                      m.disk.meta.id)
-                          > 0;
-            votes += counts
+            bool is_voter = std::count (n.voters.begin (), n.voters.end (),
+                                        m.disk.meta.id)
+                            > 0;
+            votes += is_voter
                      && std::make_pair (m.disk.last_term (), m.disk.last ())
                             <= std::make_pair (d.last_term (), d.last ());
           }
@@ -608,24 +609,23 @@
   check_leader (Node &n, uint64_t term)
   {
     uint64_t id = n.disk.meta.id;
-    if (leaders_.count (term) != 0)
+    if (leader_by_term_.count (term) != 0)
       fail ("two leaders of term " + std::to_string (term));
-    leaders_[term] = id;
+    leader_by_term_[term] = id;
     for (auto &c : committed_)
       {
         const pu_record_t *e = pu_replica_entry (n.r, c.first);
-        /* A late election of an earlier term may lack it: it commits
-           nothing.  */
-        if (c.first >= pu_replica_first (n.r) && committed_in_[c.first] < term
+        /* A leader of an earlier term than the one in which the entry was
+           committed may lack it, but cannot commit anything.  */
+        if (c.first >= pu_replica_first (n.r) && commit_term_[c.first] < term
             && (e == nullptr || e->term != c.second.first))
           {
-            fail ("a leader without committed entry "
-                  + std::to_string (c.first));
+            fail ("leader lacks committed entry " + std::to_string (c.first));
           }
       }
   }
   bool
-  act (unsigned i, pu_action_t &a)
+  execute (unsigned i, pu_action_t &a)
   {
     Node &n = nodes_[i];
     switch (a.kind)
@@ -636,10 +636,10 @@
       case PU_ACTION_SAVE:
         if (a.save.installed)
           {
-            n.chain = image (a.save.snapshot.data);
+            n.chain = read_chain (a.save.snapshot.data);
             n.applied = a.save.snapshot.index;
             if (committed_[n.applied].second != n.chain)
-              fail ("a wrong snapshot");
+              fail ("installed snapshot does not match the committed state");
           }
         n.pending.push_back (a);
         return true;
@@ -661,9 +661,9 @@
         if (a.role.leader)
           {
             check_leader (n, a.role.term);
-            if (cut_next_)
+            if (isolate_next_leader_)
               isolate (i);
-            cut_next_ = false;
+            isolate_next_leader_ = false;
           }
         break;
       case PU_ACTION_REJOIN:
@@ -677,24 +677,24 @@
   void
   rejoin (unsigned i)
   {
-    if (!may_wipe (nodes_[i].disk.meta.id))
-      fail ("told to rejoin while its disk is needed");
+    if (!can_wipe (nodes_[i].disk.meta.id))
+      fail ("replica told to rejoin while a quorum needs its disk");
     wipe (i);
   }
   void
-  drain (unsigned i)
+  run_actions (unsigned i)
   {
     pu_action_t a;
     while (nodes_[i].r != nullptr
            && pu_replica_next (nodes_[i].r, clock (nodes_[i]), &a))
       {
-        if (!act (i, a))
+        if (!execute (i, a))
           break;
       }
-    note_voters (nodes_[i]);
+    update_voters (nodes_[i]);
   }
   static void
-  note_voters (Node &n)
+  update_voters (Node &n)
   {
     const pu_log_config *c = pu_replica_config (n.r);
     n.voters.clear ();
@@ -711,9 +711,10 @@
   deliver ()
   {
     std::vector<Packet> due, later;
-    for (Packet &p : bag_)
-      (p.at <= now_ && !nodes_[p.to].paused ? due : later).push_back (p);
-    bag_.swap (later);
+    for (Packet &p : packets_)
+      (p.deliver_at_ms <= now_ && !nodes_[p.to].paused ? due : later)
+          .push_back (p);
+    packets_.swap (later);
     std::shuffle (due.begin (), due.end (), rand_);
     for (Packet &p : due)
       {
@@ -724,9 +725,9 @@
         if (n.r != nullptr && pu_log_msg_decode (&m, bytes, len, nullptr))
           {
             pu_replica_receive (n.r, clock (n), &m);
-            steps++;
+            delivered++;
             xdr_free ((xdrproc_t)xdr_pu_log_msg, (char *)&m);
-            drain (p.to);
+            run_actions (p.to);
           }
         g_bytes_unref (p.msg);
       }
@@ -734,7 +735,7 @@
   void
   step ()
   {
-    int holders = 0;
+    int lease_holders = 0;
     now_ += STEP_MS;
     deliver ();
     for (unsigned i = 0; i < nodes_.size (); i++)
@@ -742,19 +743,19 @@
         Node &n = nodes_[i];
         if (n.r == nullptr)
           continue;
-        holders += pu_replica_holds_lease (n.r, clock (n));
+        lease_holders += pu_replica_holds_lease (n.r, clock (n));
         if (n.paused)
           continue;
         if (!n.stalled && rand_ () % 2 == 0)
           {
             while (!n.pending.empty ())
-              sync_one (n, true);
+              sync_oldest (n, true);
           }
         pu_replica_tick (n.r, clock (n));
-        drain (i);
+        run_actions (i);
       }
-    if (holders > 1)
-      fail ("two leases at a time");
+    if (lease_holders > 1)
+      fail ("two replicas hold the lease at the same time");
   }
 };
 
--- a/libplantainusher/log/replica_test.cc
+++ b/libplantainusher/log/replica_test.cc
@@ -18,7 +18,7 @@
   arbitrary ()
   {
     return gen::build<Event> (
-        gen::set (&Event::kind, gen::inRange (0, (int)sim::KINDS)),
+        gen::set (&Event::kind, gen::inRange (0, (int)sim::EVENT_KINDS)),
         gen::set (&Event::a, gen::inRange (0U, 10U)),
         gen::set (&Event::b, gen::inRange (0U, 3000U)));
   }
@@ -35,53 +35,53 @@
 } // namespace sim
 
 static std::string
-violation (unsigned n, unsigned spares, unsigned seed, unsigned breaks,
-           const std::vector<Event> &events, unsigned wanted = 0)
+run_scenario (unsigned n, unsigned spares, unsigned seed, unsigned breaks,
+              const std::vector<Event> &events, unsigned wanted = 0)
 {
   Sim s (n, seed, breaks, spares, wanted);
   s.run (4000);
-  for (size_t i = 0; i < events.size () && s.broken.empty (); i++)
-    s.play (events[i]);
-  if (s.broken.empty () && !s.heals () && s.broken.empty ())
-    s.broken = "no proposal is committed after the faults";
-  pu_fuzz_report::get ().steps += s.steps;
+  for (size_t i = 0; i < events.size () && s.violation.empty (); i++)
+    s.apply_event (events[i]);
+  if (s.violation.empty () && !s.recovers () && s.violation.empty ())
+    s.violation = "no proposal is committed after all faults have ended";
+  pu_fuzz_report::get ().steps += s.delivered;
   pu_fuzz_report::get ().faults += s.faults;
-  return s.broken;
+  return s.violation;
 }
 
-RC_GTEST_PROP (ReplicaFuzz, KeepsItsPromises, ())
+RC_GTEST_PROP (ReplicaFuzz, PreservesInvariants, ())
 {
   const auto n = *rc::gen::inRange (3U, 6U);
   const auto spares = *rc::gen::inRange (0U, 2U);
   const auto seed = *rc::gen::arbitrary<unsigned> ();
   const auto events
       = *rc::gen::resize (200, rc::gen::arbitrary<std::vector<Event> > ());
-  const std::string broken = violation (n, spares, seed, 0, events);
-  if (!broken.empty ())
-    RC_FAIL (broken);
+  const std::string violation = run_scenario (n, spares, seed, 0, events);
+  if (!violation.empty ())
+    RC_FAIL (violation);
 }
 
-/* The same where spares become voters by themselves.  */
-RC_GTEST_PROP (ReplicaFuzz, KeepsItsPromisesAsItGrows, ())
+/* As above, with spares that become voters automatically.  */
+RC_GTEST_PROP (ReplicaFuzz, PreservesInvariantsWhileVotersAreAdded, ())
 {
   const auto seed = *rc::gen::arbitrary<unsigned> ();
   const auto spares = *rc::gen::inRange (1U, 5U);
   const auto events
       = *rc::gen::resize (200, rc::gen::arbitrary<std::vector<Event> > ());
-  const std::string broken = violation (3, spares, seed, 0, events, 7);
-  if (!broken.empty ())
-    RC_FAIL (broken);
+  const std::string violation = run_scenario (3, spares, seed, 0, events, 7);
+  if (!violation.empty ())
+    RC_FAIL (violation);
 }
 
-/* Voters of the configuration that the leader has.  */
+/* Number of voters in the leader's configuration.  */
 static unsigned
 voters (Sim &s)
 {
   return pu_log_config_voters (pu_replica_config (s.leader ()->r));
 }
 
-/* With five disks the loss of two has to be borne.  */
-TEST (Replica, SparesVoteUntilAsManyAsAreWanted)
+/* With five voters, the loss of two disks must not stop the log.  */
+TEST (Replica, SparesBecomeVotersUpToTheTarget)
 {
   for (auto [spares, wanted, expected] : { std::array<unsigned, 3>{ 2, 0, 3 },
                                            { 2, 7, 5 },
@@ -95,11 +95,11 @@
       s.run (12000);
       ASSERT_NE (nullptr, s.leader ());
       EXPECT_EQ (expected, voters (s)) << spares << " spares";
-      EXPECT_EQ (s.broken, "");
+      EXPECT_EQ (s.violation, "");
     }
 }
 
-TEST (Replica, TheLossOfTwoOfTheFirstThreeVotersIsBornWithTwoSpares)
+TEST (Replica, SurvivesLossOfTwoInitialVotersWithTwoSpares)
 {
   Sim s (3, 9, 0, 2, 7);
 
@@ -113,12 +113,12 @@
       s.stop (i);
     }
   s.run (3000);
-  EXPECT_TRUE (s.heals ()) << s.broken;
+  EXPECT_TRUE (s.recovers ()) << s.violation;
 }
 
-/* A disk that lost what it had acknowledged is refused, by the leader that saw
-   the acknowledgement and by the next one alike.  */
-TEST (Replica, RolledBackDiskComesBackAsANewVoter)
+/* A voter whose disk lost acknowledged entries is refused, both by the leader
+   that saw the acknowledgement and by the next leader.  */
+TEST (Replica, RolledBackDiskRejoinsWithANewIdentity)
 {
   for (bool leader_dies : { false, true })
     {
@@ -134,19 +134,19 @@
         s.stop (l);
       s.roll_back (f, 5);
       s.run (3000);
-      EXPECT_TRUE (s.heals ()) << s.broken;
+      EXPECT_TRUE (s.recovers ()) << s.violation;
       s.run (5000);
       EXPECT_NE (s.node (f).disk.meta.id, id);
-      EXPECT_EQ (s.broken, "");
+      EXPECT_EQ (s.violation, "");
     }
 }
 
-/* After a power cut connections come up one after the other, later than the
-   first election: the votes asked for until then are lost.  */
-TEST (Replica, VotesThatWereLostAreAskedForAgain)
+/* After a power failure connections come up one by one, after the first
+   election has started, so vote requests sent before that are lost.  */
+TEST (Replica, LostVoteRequestsAreRepeated)
 {
   const uint64_t election_ms = 1000;
-  unsigned led = 0;
+  unsigned elected = 0;
 
   for (unsigned seed = 1; seed <= 20; seed++)
     {
@@ -157,19 +157,20 @@
       for (unsigned i = 0; i < 3; i++)
         s.start (i);
       for (unsigned i = 0; i < 3; i++)
-        s.play ({ sim::ISOLATE, i, 0 });
+        s.apply_event ({ sim::ISOLATE, i, 0 });
       s.run (2 * election_ms);
-      s.play ({ sim::HEAL, 0, 0 });
+      s.apply_event ({ sim::HEAL, 0, 0 });
       s.run (election_ms / 3);
-      led += s.leader () != nullptr;
-      EXPECT_EQ (s.broken, "");
+      elected += s.leader () != nullptr;
+      EXPECT_EQ (s.violation, "");
     }
-  EXPECT_GE (led, 18U);
+  EXPECT_GE (elected, 18U);
 }
 
-/* Seeds 1 to LAST of one generator; the first that is caught, or 0.  */
+/* Runs scenarios with seeds 1 to LAST.  Returns the first seed that violates
+   an invariant, or 0.  */
 static unsigned
-first_caught (unsigned last, unsigned breaks, std::string *broken)
+first_detected_seed (unsigned last, unsigned breaks, std::string *violation)
 {
   for (unsigned seed = 1; seed <= last; seed++)
     {
@@ -178,12 +179,13 @@
       events.reserve (80);
       for (int i = 0; i < 80; i++)
         {
-          events.push_back ({ (int)(rand () % sim::KINDS),
+          events.push_back ({ (int)(rand () % sim::EVENT_KINDS),
                               (unsigned)rand () % 10,
                               (unsigned)rand () % 3000 });
         }
-      *broken = violation (3 + seed % 2 * 2, seed % 3, seed, breaks, events);
-      if (!broken->empty ())
+      *violation
+          = run_scenario (3 + seed % 2 * 2, seed % 3, seed, breaks, events);
+      if (!violation->empty ())
         return seed;
     }
   return 0;
@@ -191,28 +193,29 @@
 
 static const unsigned BREAK_SEEDS = 1000;
 
-/* Each rule, broken on purpose, is caught by seeds that the unbroken replica
-   passes.  */
-TEST (ReplicaFuzz, NothingBrokenNothingCaught)
+/* ReplicaBreaks breaks one rule at a time.  The same seeds must pass when no
+   rule is broken, so that each violation is due to the broken rule.  */
+TEST (ReplicaFuzz, PassesWithNoRuleBroken)
 {
-  std::string broken;
-  EXPECT_EQ (first_caught (BREAK_SEEDS, 0, &broken), 0U) << broken;
+  std::string violation;
+  EXPECT_EQ (first_detected_seed (BREAK_SEEDS, 0, &violation), 0U)
+      << violation;
 }
 
 class ReplicaBreaks : public ::testing::TestWithParam<unsigned>
 {
 };
 
-TEST_P (ReplicaBreaks, AreCaught)
+TEST_P (ReplicaBreaks, AreDetected)
 {
-  std::string broken;
-  unsigned seed = first_caught (BREAK_SEEDS, GetParam (), &broken);
+  std::string violation;
+  unsigned seed = first_detected_seed (BREAK_SEEDS, GetParam (), &violation);
   EXPECT_NE (seed, 0U);
-  printf ("caught by seed %u: %s\n", seed, broken.c_str ());
+  printf ("detected with seed %u: %s\n", seed, violation.c_str ());
 }
 
 INSTANTIATE_TEST_SUITE_P (
     Each, ReplicaBreaks,
     ::testing::Values (PU_BREAK_ACK_BEFORE_SYNC, PU_BREAK_VOTE_BEFORE_SYNC,
                        PU_BREAK_VOTE_IN_LEASE, PU_BREAK_COMMIT_OLD_TERM,
-                       sim::KEEP_IDENTITY | PU_BREAK_NO_FLOORS));
+                       sim::REUSE_IDENTITY | PU_BREAK_NO_FLOORS));
