--- a/libplantainusher/control/lead.c
+++ b/libplantainusher/control/lead.c
@@ -11,32 +11,33 @@
   uint64_t position;
   uint64_t heard;
   char *voter;
-} heard_t;
+} daemon_session_t;
 
 static void
 heard_free (gpointer p)
 {
-  heard_t *h = p;
+  daemon_session_t *h = p;
 
   g_free (h->voter);
   g_free (h);
 }
 
 void
-pu_control_lead_init (pu_control_t *c)
+pu_control_leadership_init (pu_control_t *c)
 {
   c->membership = pu_membership_new (&c->options.membership);
   c->heard
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, heard_free);
-  c->duties = g_array_new (FALSE, FALSE, sizeof (pu_control_duty_t));
+  c->leader_tasks
+      = g_array_new (FALSE, FALSE, sizeof (pu_control_leader_task_t));
 }
 
 void
-pu_control_lead_clear (pu_control_t *c)
+pu_control_leadership_clear (pu_control_t *c)
 {
   pu_membership_free (c->membership);
   g_hash_table_unref (c->heard);
-  g_array_unref (c->duties);
+  g_array_unref (c->leader_tasks);
 }
 
 /* --- sessions --- */
@@ -45,11 +46,11 @@
 heard_take (pu_control_t *c, const pu_session *s, const char *voter,
             uint64_t at)
 {
-  heard_t *h = g_hash_table_lookup (c->heard, s->name);
+  daemon_session_t *h = g_hash_table_lookup (c->heard, s->name);
 
   if (h == NULL)
     {
-      h = g_new0 (heard_t, 1);
+      h = g_new0 (daemon_session_t, 1);
       g_hash_table_insert (c->heard, g_strdup (s->name), h);
     }
   if (s->incarnation < h->incarnation || at < h->heard)
@@ -261,10 +262,10 @@
   pu_membership_begin (c->membership, now);
   g_hash_table_remove_all (c->heard);
   g_hash_table_remove_all (c->proposers);
-  for (guint i = 0; i < c->duties->len; i++)
+  for (guint i = 0; i < c->leader_tasks->len; i++)
     {
-      const pu_control_duty_t *d
-          = &g_array_index (c->duties, pu_control_duty_t, i);
+      const pu_control_leader_task_t *d
+          = &g_array_index (c->leader_tasks, pu_control_leader_task_t, i);
 
       if (d->begin != NULL)
         d->begin (d->data, now, c->term);
@@ -272,16 +273,16 @@
 }
 
 void
-pu_control_lead_end (pu_control_t *c)
+pu_control_leadership_end (pu_control_t *c)
 {
   if (!c->leading)
     return;
   c->leading = false;
   pu_log_note (PU_CONTROL_PART, "Leads no more.");
-  for (guint i = 0; i < c->duties->len; i++)
+  for (guint i = 0; i < c->leader_tasks->len; i++)
     {
-      const pu_control_duty_t *d
-          = &g_array_index (c->duties, pu_control_duty_t, i);
+      const pu_control_leader_task_t *d
+          = &g_array_index (c->leader_tasks, pu_control_leader_task_t, i);
 
       if (d->end != NULL)
         d->end (d->data);
@@ -289,12 +290,12 @@
 }
 
 void
-pu_control_lead_tick (pu_control_t *c, uint64_t now)
+pu_control_leadership_tick (pu_control_t *c, uint64_t now)
 {
   bool holds = pu_group_holds_lease (c->group);
 
   if (c->leading && (!holds || pu_group_term (c->group) != c->term))
-    pu_control_lead_end (c);
+    pu_control_leadership_end (c);
   if (!holds)
     return;
   if (!c->leading && !is_caught_up (c))
@@ -302,10 +303,10 @@
   if (!c->leading)
     lead_begin (c, now);
   membership_tick (c, now);
-  for (guint i = 0; i < c->duties->len; i++)
+  for (guint i = 0; i < c->leader_tasks->len; i++)
     {
-      const pu_control_duty_t *d
-          = &g_array_index (c->duties, pu_control_duty_t, i);
+      const pu_control_leader_task_t *d
+          = &g_array_index (c->leader_tasks, pu_control_leader_task_t, i);
 
       if (d->tick != NULL && pu_group_holds_lease (c->group))
         d->tick (d->data, now);
@@ -326,7 +327,7 @@
   g_hash_table_iter_init (&iter, c->heard);
   while (g_hash_table_iter_next (&iter, &key, &value))
     {
-      const heard_t *h = value;
+      const daemon_session_t *h = value;
       uint64_t silent = now - h->heard;
       uint64_t allowed = 0;
 
--- a/libplantainusher/control/proposals.c
+++ b/libplantainusher/control/proposals.c
@@ -174,7 +174,7 @@
 }
 
 void
-pu_control_keep_reply (pu_control_t *c, uint64_t position, const pu_reply *r)
+pu_control_store_reply (pu_control_t *c, uint64_t position, const pu_reply *r)
 {
   uint64_t *key;
 
--- a/libplantainusher/entry/claim.c
+++ b/libplantainusher/entry/claim.c
@@ -39,12 +39,14 @@
 static void
 begin_reject (pu_exchange_t *x, pu_once_begin_t why)
 {
-  static const pu_refusal_t too_old = { 410, "key_too_old", PU_NOT_RUN, 0 };
+  static const pu_refusal_t too_old
+      = { 410, "key_too_old", PU_RUN_OUTCOME_NOT_RUN, 0 };
   static const pu_refusal_t bad_key
-      = { 400, "invalid_request", PU_NOT_RUN, 0 };
-  static const pu_refusal_t key_reused = { 422, "key_reused", PU_NOT_RUN, 0 };
+      = { 400, "invalid_request", PU_RUN_OUTCOME_NOT_RUN, 0 };
+  static const pu_refusal_t key_reused
+      = { 422, "key_reused", PU_RUN_OUTCOME_NOT_RUN, 0 };
   static const pu_refusal_t overloaded
-      = { 503, "overloaded", PU_NOT_RUN, 1000 };
+      = { 503, "overloaded", PU_RUN_OUTCOME_NOT_RUN, 1000 };
 
   switch (why)
     {
@@ -75,7 +77,7 @@
   pu_entry_t *en = x->en;
   pu_once_begin_t begun;
 
-  x->phase = PU_X_CLAIMING;
+  x->phase = PU_EXCHANGE_CLAIMING;
   begun = pu_once_begin (en->once, x->number, x->q.service, x->key,
                          call_fingerprint (x), pu_once_key_wall (x->key),
                          wall_now (), x->window_ms, loop_now (en));
@@ -175,7 +177,7 @@
                    claimed == PU_ONCE_KEPT ? &result : NULL, loop_now (en));
   proposal_end (proposal);
   pu_claim_run_actions (en);
-  pu_entry_check (en);
+  pu_entry_check_stopped (en);
 }
 
 static void
@@ -190,7 +192,7 @@
   pu_once_recorded (en->once, proposal->handle, r != NULL, loop_now (en));
   proposal_end (proposal);
   pu_claim_run_actions (en);
-  pu_entry_check (en);
+  pu_entry_check_stopped (en);
 }
 
 /* --- actions --- */
@@ -209,8 +211,8 @@
   claim->attempt = a->attempt;
   claim->wall = wall_now ();
   claim->window_ms = a->window_ms;
-  en->o.hooks.propose (en->o.hooks.data, &c, en->o.propose_ms, on_claimed,
-                       proposal_new (en, a));
+  en->o.hooks.propose (en->o.hooks.data, &c, en->o.log_proposal_timeout_ms,
+                       on_claimed, proposal_new (en, a));
 }
 
 static pu_claim_phase
@@ -246,8 +248,8 @@
       done->result.result_val = (char *)a->result.body;
       done->result.result_len = (u_int)a->result.len;
     }
-  en->o.hooks.propose (en->o.hooks.data, &c, en->o.propose_ms, on_recorded,
-                       proposal_new (en, a));
+  en->o.hooks.propose (en->o.hooks.data, &c, en->o.log_proposal_timeout_ms,
+                       on_recorded, proposal_new (en, a));
 }
 
 /* Returns one of the exchanges that wait for the key; its request is sent for
@@ -259,7 +261,7 @@
     {
       pu_exchange_t *x = l->data;
 
-      if (x->once && x->phase == PU_X_CLAIMING && x->claim == 0
+      if (x->once && x->phase == PU_EXCHANGE_CLAIMING && x->claim == 0
           && strcmp (x->key, a->key) == 0
           && strcmp (x->q.service, a->service) == 0)
         return x;
@@ -301,10 +303,14 @@
 static void
 answer_send (pu_exchange_t *x, const pu_once_action_t *a)
 {
-  static const pu_refusal_t running = { 409, "running", PU_UNKNOWN, 1000 };
-  static const pu_refusal_t key_reused = { 422, "key_reused", PU_NOT_RUN, 0 };
-  static const pu_refusal_t unknown = { 502, "unknown", PU_UNKNOWN, 0 };
-  static const pu_refusal_t not_run = { 503, "not_run", PU_NOT_RUN, 1000 };
+  static const pu_refusal_t running
+      = { 409, "running", PU_RUN_OUTCOME_UNKNOWN, 1000 };
+  static const pu_refusal_t key_reused
+      = { 422, "key_reused", PU_RUN_OUTCOME_NOT_RUN, 0 };
+  static const pu_refusal_t unknown
+      = { 502, "unknown", PU_RUN_OUTCOME_UNKNOWN, 0 };
+  static const pu_refusal_t not_run
+      = { 503, "not_run", PU_RUN_OUTCOME_NOT_RUN, 1000 };
 
   switch (a->answer)
     {
@@ -312,19 +318,19 @@
       result_send (x, &a->result);
       break;
     case PU_ONCE_ANSWER_RUNNING:
-      pu_answer_error (x->http, x->q.id, &running,
-                       "A request with this Idempotency-Key is running.");
+      pu_respond_error (x->http, x->q.id, &running,
+                        "A request with this Idempotency-Key is running.");
       break;
     case PU_ONCE_ANSWER_CONFLICT:
-      pu_answer_error (x->http, x->q.id, &key_reused,
-                       "The Idempotency-Key was used for another request.");
+      pu_respond_error (x->http, x->q.id, &key_reused,
+                        "The Idempotency-Key was used for another request.");
       break;
     case PU_ONCE_ANSWER_UNKNOWN:
-      pu_answer_error (x->http, x->q.id, &unknown,
-                       "The request may have run; it will not be run again.");
+      pu_respond_error (x->http, x->q.id, &unknown,
+                        "The request may have run; it will not be run again.");
       break;
     case PU_ONCE_ANSWER_NOT_RUN:
-      pu_answer_error (
+      pu_respond_error (
           x->http, x->q.id, &not_run,
           "The request did not run; retry it with the same Idempotency-Key.");
       break;
@@ -343,7 +349,7 @@
   x->http = NULL;
   /* The request that was sent runs on, so that its outcome can be recorded. */
   if (x->claim == 0)
-    pu_exchange_done (x);
+    pu_exchange_finish (x);
 }
 
 void
@@ -390,8 +396,8 @@
   g_hash_table_remove (en->claims, GUINT_TO_POINTER (handle));
   x->claim = 0;
   pu_once_finished (en->once, handle, outcome, result, loop_now (en));
-  x->phase = PU_X_CLAIMING;
+  x->phase = PU_EXCHANGE_CLAIMING;
   if (x->http == NULL)
-    pu_exchange_done (x);
+    pu_exchange_finish (x);
   pu_claim_run_actions (en);
 }
--- a/libplantainusher/log/group.c
+++ b/libplantainusher/log/group.c
@@ -166,7 +166,7 @@
       pu_replica_fail (g->replica);
       return;
     }
-  pu_journal_save (g->journal, &a->save.snapshot, a->save.installed);
+  pu_journal_queue_snapshot (g->journal, &a->save.snapshot, a->save.installed);
 }
 
 static void
@@ -189,11 +189,11 @@
       g->o.send (&a->send.to, a->send.msg, g->o.data);
       break;
     case PU_ACTION_WRITE:
-      pu_journal_write (g->journal, a->ticket, a->write.entries,
-                        a->write.commit);
+      pu_journal_queue_entries (g->journal, a->ticket, a->write.entries,
+                                a->write.commit);
       break;
     case PU_ACTION_META:
-      pu_journal_meta (g->journal, a->ticket, &a->meta.meta);
+      pu_journal_queue_meta (g->journal, a->ticket, &a->meta.meta);
       break;
     case PU_ACTION_SAVE:
       save_snapshot (g, a);
@@ -330,7 +330,7 @@
         *e = why;
       return false;
     }
-  g->rejoined = pu_journal_held_before (g->folder, g->o.fs);
+  g->rejoined = pu_journal_had_identity (g->folder, g->o.fs);
   if (image->meta.id == 0)
     {
       image->meta.id = random_identity ();
@@ -731,7 +731,7 @@
 static const char *
 own_role (const pu_group_t *g)
 {
-  const pu_log_member *m = pu_log_config_find (
+  const pu_log_member *m = pu_log_config_find_member (
       pu_replica_config (g->replica), pu_replica_self (g->replica)->id);
 
   if (pu_replica_is_leader (g->replica))
--- a/libplantainusher/log/group_test.cc
+++ b/libplantainusher/log/group_test.cc
@@ -52,7 +52,9 @@
 voter_count (FakeCluster &c)
 {
   FakeVoter *l = c.leader ();
-  return l == nullptr ? 0 : pu_log_config_voters (pu_group_config (l->group));
+  return l == nullptr
+             ? 0
+             : pu_log_config_count_voters (pu_group_config (l->group));
 }
 
 TEST (Group, VotersAgreeAcrossSnapshotsAndRestarts)
--- a/libplantainusher/log/replica.c
+++ b/libplantainusher/log/replica.c
@@ -137,7 +137,7 @@
 
   if (r->silent)
     return;
-  m.protocol = PU_LOG_PROTOCOL;
+  m.protocol = PU_LOG_PROTOCOL_VERSION;
   m.group = r->o.group;
   m.cluster = r->cluster;
   m.term = r->term;
@@ -387,7 +387,8 @@
   pu_r_fetch_tick (r, now);
   if (!pu_r_may_campaign (r))
     return;
-  if (now >= r->timeout_at || pu_log_config_voters (pu_r_config (r)) == 1)
+  if (now >= r->timeout_at
+      || pu_log_config_count_voters (pu_r_config (r)) == 1)
     {
       pu_r_campaign (r, now, true, false);
     }
@@ -440,7 +441,7 @@
       return true;
     case PU_LOG_APPEND_REPLY:
     case PU_LOG_VOTE_REPLY:
-      return pu_log_config_find (pu_r_config (r), m->from.id) != NULL;
+      return pu_log_config_find_member (pu_r_config (r), m->from.id) != NULL;
     default:
       return false;
     }
--- a/libplantainusher/log/replica_append.c
+++ b/libplantainusher/log/replica_append.c
@@ -52,7 +52,7 @@
     {
       pu_progress_t *p = &g_array_index (r->progress, pu_progress_t, i);
 
-      if (pu_log_config_find (c, p->id) != NULL)
+      if (pu_log_config_find_member (c, p->id) != NULL)
         continue;
       g_queue_clear (&p->on_way);
       g_array_remove_index (r->progress, i);
@@ -176,7 +176,7 @@
       return;
     }
   pu_r_choose_seeder (r, p, now);
-  m = pu_log_config_find (pu_r_config (r), p->seeder);
+  m = pu_log_config_find_member (pu_r_config (r), p->seeder);
   if (m != NULL)
     a->seeder = m->peer;
 }
@@ -186,7 +186,7 @@
 send_append (pu_replica_t *r, pu_progress_t *p, uint64_t now,
              bool with_entries)
 {
-  const pu_log_member *to = pu_log_config_find (pu_r_config (r), p->id);
+  const pu_log_member *to = pu_log_config_find_member (pu_r_config (r), p->id);
   pu_log_body b = { .kind = PU_LOG_APPEND };
   pu_log_append *a = &b.pu_log_body_u.append;
   pu_log_floor floors[PU_LOG_MEMBERS_MAX];
@@ -238,7 +238,7 @@
 finish_transfer (pu_replica_t *r, uint64_t now)
 {
   const pu_log_member *to
-      = pu_log_config_find (pu_r_config (r), r->transfer_to);
+      = pu_log_config_find_member (pu_r_config (r), r->transfer_to);
   const pu_progress_t *p = pu_r_progress (r, r->transfer_to);
   pu_log_body b = { .kind = PU_LOG_TIMEOUT_NOW };
   pu_log_peer peer;
@@ -286,7 +286,7 @@
 static void
 beat (pu_replica_t *r, pu_progress_t *p, uint64_t now)
 {
-  const pu_log_member *m = pu_log_config_find (pu_r_config (r), p->id);
+  const pu_log_member *m = pu_log_config_find_member (pu_r_config (r), p->id);
 
   if (now < p->beat_at)
     return;
@@ -354,7 +354,7 @@
       const pu_log_member *m = &c->members.members_val[i];
       const pu_progress_t *p = pu_r_progress (r, m->peer.id);
 
-      if (!pu_log_counts (m->role))
+      if (!pu_log_role_is_voting (m->role))
         continue;
       if (m->peer.id == r->self.id)
         {
--- a/libplantainusher/log/replica_sim.h
+++ b/libplantainusher/log/replica_sim.h
@@ -699,11 +699,11 @@
     const pu_log_config *c = pu_replica_config (n.r);
     n.voters.clear ();
     n.config = pu_replica_config_index (n.r);
-    n.surplus = pu_log_config_voters (c) > c->target;
+    n.surplus = pu_log_config_count_voters (c) > c->target;
     n.rejoined = n.rejoined || c->members.members_len > 0;
     for (guint k = 0; k < c->members.members_len; k++)
       {
-        if (pu_log_counts (c->members.members_val[k].role))
+        if (pu_log_role_is_voting (c->members.members_val[k].role))
           n.voters.push_back (c->members.members_val[k].peer.id);
       }
   }
--- a/libplantainusher/log/replica_test.cc
+++ b/libplantainusher/log/replica_test.cc
@@ -77,7 +77,7 @@
 static unsigned
 voters (Sim &s)
 {
-  return pu_log_config_voters (pu_replica_config (s.leader ()->r));
+  return pu_log_config_count_voters (pu_replica_config (s.leader ()->r));
 }
 
 /* With five voters, the loss of two disks must not stop the log.  */
--- a/libplantainusher/log/replica_vote.c
+++ b/libplantainusher/log/replica_vote.c
@@ -37,7 +37,7 @@
 void
 pu_r_raise_floor (pu_replica_t *r, uint64_t id, uint64_t index)
 {
-  if (pu_log_config_find (pu_r_config (r), id) != NULL
+  if (pu_log_config_find_member (pu_r_config (r), id) != NULL
       && index > pu_r_floor (r, id))
     {
       g_hash_table_insert (r->floors, g_memdup2 (&id, sizeof id),
@@ -48,15 +48,16 @@
 bool
 pu_r_may_campaign (const pu_replica_t *r)
 {
-  const pu_log_member *m = pu_log_config_find (pu_r_config (r), r->self.id);
+  const pu_log_member *m
+      = pu_log_config_find_member (pu_r_config (r), r->self.id);
 
-  return m != NULL && pu_log_counts (m->role) && r->installing == 0;
+  return m != NULL && pu_log_role_is_voting (m->role) && r->installing == 0;
 }
 
 static uint32_t
 quorum (const pu_replica_t *r)
 {
-  return pu_log_config_voters (pu_r_config (r)) / 2 + 1;
+  return pu_log_config_count_voters (pu_r_config (r)) / 2 + 1;
 }
 
 static void
@@ -73,7 +74,7 @@
     {
       const pu_log_member *m = &c->members.members_val[i];
 
-      if (m->peer.id != r->self.id && pu_log_counts (m->role))
+      if (m->peer.id != r->self.id && pu_log_role_is_voting (m->role))
         pu_r_send (r, &m->peer, &b);
     }
 }
@@ -244,13 +245,14 @@
 {
   const pu_log_vote_reply *v = &m->body.pu_log_body_u.vote_reply;
   pu_role_t asked = v->pre ? PU_ROLE_PRECANDIDATE : PU_ROLE_CANDIDATE;
-  pu_log_member *from = pu_log_config_find (pu_r_config (r), m->from.id);
+  pu_log_member *from
+      = pu_log_config_find_member (pu_r_config (r), m->from.id);
 
   if (!v->granted || r->role != asked || m->term > r->term)
     return;
   if (!v->pre && m->term != r->term)
     return;
-  if (from == NULL || !pu_log_counts (from->role))
+  if (from == NULL || !pu_log_role_is_voting (from->role))
     return;
   for (guint i = 0; i < v->floors.floors_len; i++)
     {
@@ -289,7 +291,7 @@
       const pu_log_member *m = &c->members.members_val[i];
       const pu_progress_t *p = pu_r_progress (r, m->peer.id);
 
-      if (!pu_log_counts (m->role))
+      if (!pu_log_role_is_voting (m->role))
         continue;
       if (m->peer.id == r->self.id)
         {
--- a/libplantainusher/log/replica_voters.c
+++ b/libplantainusher/log/replica_voters.c
@@ -241,14 +241,14 @@
               int living)
 {
   const pu_log_config *c = pu_r_config (r);
-  int voters = (int)pu_log_config_voters (c) + extra - less;
+  int voters = (int)pu_log_config_count_voters (c) + extra - less;
   int live = extra - living;
 
   for (guint i = 0; i < c->members.members_len; i++)
     {
       const pu_log_member *m = &c->members.members_val[i];
 
-      live += pu_log_counts (m->role) && confirmed (r, m, now);
+      live += pu_log_role_is_voting (m->role) && confirmed (r, m, now);
     }
   return voters > 0 && live >= voters / 2 + 1;
 }
@@ -354,7 +354,7 @@
   const pu_log_config *c = pu_r_config (r);
   int i = surplus_voter (r, c, now);
 
-  if (pu_log_config_voters (c) <= c->target || i == NOBODY)
+  if (pu_log_config_count_voters (c) <= c->target || i == NOBODY)
     return false;
   if (c->members.members_val[i].peer.id == r->self.id)
     {
@@ -378,7 +378,7 @@
     {
       const pu_log_member *m = &c->members.members_val[k];
 
-      if (pu_log_counts (m->role) || !caught_up (r, m, now))
+      if (pu_log_role_is_voting (m->role) || !caught_up (r, m, now))
         continue;
       if (any || m->role == PU_LOG_CHOSEN || strcmp (m->peer.name, name) == 0)
         return true;
@@ -394,13 +394,13 @@
 {
   const pu_log_config *c = pu_r_config (r);
 
-  if (pu_log_config_voters (c) > c->target)
+  if (pu_log_config_count_voters (c) > c->target)
     return false;
   for (guint i = 0; i < c->members.members_len; i++)
     {
       const pu_log_member *m = &c->members.members_val[i];
 
-      if (!pu_log_counts (m->role) || !gone (r, m, now)
+      if (!pu_log_role_is_voting (m->role) || !gone (r, m, now)
           || !has_substitute (r, c, i, lost (r, m, now), now)
           || !quorum_after (r, now, 0, 1, 0))
         continue;
@@ -427,9 +427,9 @@
                 uint64_t now)
 {
   const pu_log_member *m = &c->members.members_val[i];
-  uint32_t voters = pu_log_config_voters (c);
+  uint32_t voters = pu_log_config_count_voters (c);
 
-  if (pu_log_counts (m->role) || !caught_up (r, m, now))
+  if (pu_log_role_is_voting (m->role) || !caught_up (r, m, now))
     return 0;
   if (voters >= c->target && !has_role (c, PU_LOG_LEAVING))
     return 0;
@@ -445,7 +445,7 @@
   int best = NOBODY;
   int best_rank = 0;
 
-  if (pu_log_config_voters (c) > c->target)
+  if (pu_log_config_count_voters (c) > c->target)
     return false;
   for (guint i = 0; i < c->members.members_len; i++)
     {
@@ -473,7 +473,7 @@
     {
       const pu_log_member *m = &c->members.members_val[i];
 
-      n += !pu_log_counts (m->role) && caught_up (r, m, now);
+      n += !pu_log_role_is_voting (m->role) && caught_up (r, m, now);
     }
   return n;
 }
@@ -487,7 +487,8 @@
   uint32_t step = c->target % 2 == 0 ? 1 : 2;
 
   if (c->target + step > r->o.voters_wanted
-      || pu_log_config_voters (c) < c->target || spares (r, c, now) < step)
+      || pu_log_config_count_voters (c) < c->target
+      || spares (r, c, now) < step)
     return false;
   change_target (r, now, (int)step);
   return true;
@@ -502,7 +503,7 @@
     {
       const pu_log_member *m = &c->members.members_val[i];
 
-      if (pu_log_counts (m->role) || !lost (r, m, now))
+      if (pu_log_role_is_voting (m->role) || !lost (r, m, now))
         continue;
       change_member (r, now, i, m->role, true, 0);
       return true;
@@ -540,7 +541,7 @@
     {
       pu_log_member *m = &c->members.members_val[i];
 
-      if (pu_log_counts (m->role) || strcmp (m->peer.name, name) != 0)
+      if (pu_log_role_is_voting (m->role) || strcmp (m->peer.name, name) != 0)
         continue;
       pu_log_peer_clear (&m->peer);
       memmove (m, m + 1,
@@ -584,7 +585,7 @@
 static void
 leader_on_hello (pu_replica_t *r, uint64_t now, const pu_log_msg *m)
 {
-  if (pu_log_config_find (pu_r_config (r), m->from.id) != NULL)
+  if (pu_log_config_find_member (pu_r_config (r), m->from.id) != NULL)
     return;
   if (m->body.pu_log_body_u.hello.fresh)
     {
@@ -642,7 +643,7 @@
 {
   for (guint i = c->members.members_len; i-- > 0;)
     {
-      if (pu_log_counts (c->members.members_val[i].role) == counts
+      if (pu_log_role_is_voting (c->members.members_val[i].role) == counts
           && strcmp (c->members.members_val[i].peer.name, name) == 0)
         return (int)i;
     }
