--- a/libplantainusher/log/group.h
+++ b/libplantainusher/log/group.h
@@ -73,7 +73,7 @@
   pu_group_restore_fn *restore;
   pu_group_role_fn *role;    /* may be NULL */
   pu_group_now_fn *now;      /* NULL: milliseconds of CLOCK_BOOTTIME */
-  bool sync_each;            /* one sync per entry: a benchmark's baseline */
+  bool sync_each_entry;      /* one sync per entry: a benchmark's baseline */
   const pu_journal_fs_t *fs; /* NULL: the operating system's */
   void *data;                /* passed to the callbacks */
 } pu_group_options_t;
@@ -129,27 +129,27 @@
    call into the group.  */
 const pu_log_config *pu_group_config (const pu_group_t *g);
 
-/* pu_group_config_at - returns the index of the configuration in force.  */
-uint64_t pu_group_config_at (const pu_group_t *g);
+/* pu_group_config_index - returns the index of the configuration in force.  */
+uint64_t pu_group_config_index (const pu_group_t *g);
 
-/* pu_group_meet - adds ADDRESS to the seeds, the peers that this voter asks
-   for a leader while it has none.  Ignored by an initial voter that may
+/* pu_group_add_seed - adds ADDRESS to the seeds, the peers that this voter
+   asks for a leader while it has none.  Ignored by an initial voter that may
    bootstrap the log.  */
-void pu_group_meet (pu_group_t *g, const char *address);
+void pu_group_add_seed (pu_group_t *g, const char *address);
 
-/* pu_group_behind_ms - returns for how many milliseconds the leader's commit
-   index has been ahead of this voter's, as after a restart or with a full
-   disk; 0 if it is not.  */
-uint64_t pu_group_behind_ms (const pu_group_t *g);
+/* pu_group_commit_lag_ms - returns for how many milliseconds the leader's
+   commit index has been ahead of this voter's, as after a restart or with a
+   full disk; 0 if it is not.  */
+uint64_t pu_group_commit_lag_ms (const pu_group_t *g);
 
-/* pu_group_committed - returns the commit index.  */
-uint64_t pu_group_committed (const pu_group_t *g);
+/* pu_group_commit_index - returns the commit index.  */
+uint64_t pu_group_commit_index (const pu_group_t *g);
 
-/* pu_group_leave - prepares a graceful stop: a leader waits until another
-   voter has the whole log and transfers leadership to it.  Proposals are
-   refused meanwhile.  Wait until pu_group_is_leader is false, for two seconds
-   at most, then close.  */
-void pu_group_leave (pu_group_t *g);
+/* pu_group_transfer_leadership - prepares a graceful stop: a leader waits
+   until another voter has the whole log and transfers leadership to it.
+   Proposals are refused meanwhile.  Wait until pu_group_is_leader is false,
+   for two seconds at most, then close.  */
+void pu_group_transfer_leadership (pu_group_t *g);
 
 /* pu_group_voters_* - changes the voters on the leader, as an operator asked.
    True means that the change is in the leader's log; pu_group_config shows the
--- a/libplantainusher/log/replica.h
+++ b/libplantainusher/log/replica.h
@@ -19,10 +19,10 @@
  * leader leases, single-server membership changes and snapshot transfer.
  *
  * The caller supplies the time, received messages, proposals and reports of
- * durable writes.  It takes actions with pu_replica_next and executes them in
- * order.  Writes carry a ticket; the caller calls pu_replica_synced with the
- * highest ticket up to which all writes are durable.  A message that depends
- * on a write is not sent before that write is durable.
+ * durable writes.  It takes actions with pu_replica_next_action and executes
+ * them in order.  Writes carry a ticket; the caller calls pu_replica_synced
+ * with the highest ticket up to which all writes are durable.  A message that
+ * depends on a write is not sent before that write is durable.
  *
  * `now` is a monotonic time in milliseconds.  It must be read from the clock
  * for each call, not taken from a cached loop time, because the lease depends
@@ -52,8 +52,8 @@
                                  is identified by its address; these are also
                                  asked for the leader */
   size_t n_initial;
-  bool rejoined;             /* the folder has held a log before: this voter
-                                does not bootstrap one */
+  bool had_log;              /* the folder has held a log before: this voter
+                                 does not bootstrap one */
   uint64_t seed;             /* for the random election timeouts */
   uint32_t election_ms;      /* default 1000: minimum election timeout; the
                                 maximum is twice this */
@@ -68,18 +68,18 @@
                                 odd */
   uint32_t snapshot_entries; /* default 4096: entries between snapshots */
   uint64_t snapshot_bytes;   /* default 16 MiB: bytes between snapshots */
-  bool snapshot_together;    /* all members take snapshots at the same index,
-                                not staggered; the baseline of a benchmark */
+  bool snapshot_unstaggered; /* all members take snapshots at the same index,
+                             not staggered; the baseline of a benchmark */
   uint32_t keep_entries;     /* default 1024: entries kept before a snapshot,
                                 for members that lag */
   uint32_t batch_bytes;      /* default 1 MiB: entries in one message; a larger
                                 entry is sent alone */
   uint32_t window;           /* default 8: in-flight messages with entries to
                                 one member */
-  uint32_t pending_entries;  /* default 8192: maximum of proposed entries that
-                                are not committed */
-  uint64_t pending_bytes;    /* default 64 MiB: the same in bytes */
-  unsigned breaks;           /* pu_replica_break_t flags; tests only */
+  uint32_t uncommitted_entries; /* default 8192: maximum of proposed entries
+                               that are not committed */
+  uint64_t uncommitted_bytes;   /* default 64 MiB: the same in bytes */
+  unsigned breaks;              /* pu_replica_break_t flags; tests only */
 } pu_replica_options_t;
 
 /* A snapshot of the state machine with its position and configuration.  */
@@ -106,20 +106,20 @@
 
 typedef enum
 {
-  PU_ACTION_SEND,   /* send send.msg to send.to */
-  PU_ACTION_WRITE,  /* write write.entries to the journal; an entry whose index
-                       is already there replaces it and truncates the entries
-                       after it */
-  PU_ACTION_META,   /* write meta.meta to the journal */
-  PU_ACTION_SAVE,   /* save save.snapshot; if save.installed, restore the state
-                       machine from it first and discard the journal's
-                       entries.  Report it with pu_replica_saved */
-  PU_ACTION_TAKE,   /* take a snapshot of the state machine at take.index and
-                       pass it to pu_replica_snapshot */
-  PU_ACTION_APPLY,  /* apply the committed entries from apply.first to
-                       apply.last */
-  PU_ACTION_ROLE,   /* this voter became leader (role.leader) or stopped
-                       leading, in role.term */
+  PU_ACTION_SEND,  /* send send.msg to send.to */
+  PU_ACTION_WRITE, /* write write.entries to the journal; an entry whose index
+                      is already there replaces it and truncates the entries
+                      after it */
+  PU_ACTION_WRITE_META,    /* write meta.meta to the journal */
+  PU_ACTION_SAVE_SNAPSHOT, /* save save.snapshot; if save.installed, restore
+                     the state machine from it first and discard the journal's
+                     entries.  Report it with pu_replica_snapshot_saved */
+  PU_ACTION_TAKE_SNAPSHOT, /* take a snapshot of the state machine at
+                     take.index and pass it to pu_replica_snapshot_taken */
+  PU_ACTION_APPLY,         /* apply the committed entries from apply.first to
+                              apply.last */
+  PU_ACTION_ROLE_CHANGED,  /* this voter became leader (role.leader) or stopped
+                      leading, in role.term */
   PU_ACTION_REJOIN, /* this identity is retired: restart the replica with a
                        new identity */
 } pu_action_kind_t;
@@ -127,7 +127,7 @@
 typedef struct
 {
   pu_action_kind_t kind;
-  uint64_t ticket; /* of PU_ACTION_WRITE and PU_ACTION_META */
+  uint64_t ticket; /* of PU_ACTION_WRITE and PU_ACTION_WRITE_META */
   union
   {
     struct
@@ -201,31 +201,33 @@
 /* pu_replica_synced - reports that all writes up to TICKET are durable.  */
 void pu_replica_synced (pu_replica_t *r, uint64_t now, uint64_t ticket);
 
-/* pu_replica_saved - reports that the snapshot at INDEX is durable.  */
-void pu_replica_saved (pu_replica_t *r, uint64_t now, uint64_t index);
+/* pu_replica_snapshot_saved - reports that the snapshot at INDEX is durable.
+ */
+void pu_replica_snapshot_saved (pu_replica_t *r, uint64_t now, uint64_t index);
 
-/* pu_replica_snapshot - supplies the snapshot that PU_ACTION_TAKE requested:
-   DATA is the state machine at INDEX, or NULL if none is available now.  */
-void pu_replica_snapshot (pu_replica_t *r, uint64_t index, GBytes *data);
+/* pu_replica_snapshot_taken - supplies the snapshot that
+   PU_ACTION_TAKE_SNAPSHOT requested: DATA is the state machine at INDEX, or
+   NULL if none is available now.  */
+void pu_replica_snapshot_taken (pu_replica_t *r, uint64_t index, GBytes *data);
 
 /* pu_replica_fail - reports that the disk failed: the replica permanently
    stops taking part.  */
 void pu_replica_fail (pu_replica_t *r);
 
-/* pu_replica_next - stores the next action in A and returns true, or returns
-   false if there is none.  Free it with pu_action_clear.  Calling this only at
-   the end of a loop iteration combines all proposals of that iteration into
-   one write and one message to each voter.  */
-bool pu_replica_next (pu_replica_t *r, uint64_t now, pu_action_t *a);
+/* pu_replica_next_action - stores the next action in A and returns true, or
+   returns false if there is none.  Free it with pu_action_clear.  Calling this
+   only at the end of a loop iteration combines all proposals of that iteration
+   into one write and one message to each voter.  */
+bool pu_replica_next_action (pu_replica_t *r, uint64_t now, pu_action_t *a);
 
 /* pu_replica_holds_lease - returns whether this voter is the leader and no
    other voter can be elected; see pu_group_holds_lease.  */
 bool pu_replica_holds_lease (const pu_replica_t *r, uint64_t now);
 
-/* pu_replica_transfer - transfers leadership to the reachable voter with the
-   highest match index as soon as it has the whole log.  Proposals are refused
-   meanwhile.  */
-void pu_replica_transfer (pu_replica_t *r, uint64_t now);
+/* pu_replica_transfer_leadership - transfers leadership to the reachable voter
+   with the highest match index as soon as it has the whole log.  Proposals are
+   refused meanwhile.  */
+void pu_replica_transfer_leadership (pu_replica_t *r, uint64_t now);
 
 typedef enum
 {
@@ -240,21 +242,23 @@
                                pu_voters_change_t change, const char *name,
                                const char *with, pu_error_t *e);
 
-/* pu_replica_meet - adds ADDRESS to the addresses to which a replica that has
-   no log or no leader sends hello messages.  Ignored on an initial voter,
+/* pu_replica_add_seed - adds ADDRESS to the addresses to which a replica that
+   has no log or no leader sends hello messages.  Ignored on an initial voter,
    which bootstraps with exactly the initial voters.  */
-void pu_replica_meet (pu_replica_t *r, const char *address);
+void pu_replica_add_seed (pu_replica_t *r, const char *address);
 
 bool pu_replica_is_leader (const pu_replica_t *r);
 bool pu_replica_failed (const pu_replica_t *r);
 uint64_t pu_replica_term (const pu_replica_t *r);
-uint64_t pu_replica_first (const pu_replica_t *r); /* first entry in memory */
-uint64_t pu_replica_last (const pu_replica_t *r);  /* last entry in memory */
-uint64_t pu_replica_commit (const pu_replica_t *r);
-/* pu_replica_behind_ms - returns for how long the commit index here has been
-   lower than the highest one that a leader reported; 0 if it is not.  */
-uint64_t pu_replica_behind_ms (const pu_replica_t *r, uint64_t now);
-uint64_t pu_replica_durable (const pu_replica_t *r);
+uint64_t
+pu_replica_first_index (const pu_replica_t *r); /* first entry in memory */
+uint64_t
+pu_replica_last_index (const pu_replica_t *r); /* last entry in memory */
+uint64_t pu_replica_commit_index (const pu_replica_t *r);
+/* pu_replica_commit_lag_ms - returns for how long the commit index here has
+   been lower than the highest one that a leader reported; 0 if it is not.  */
+uint64_t pu_replica_commit_lag_ms (const pu_replica_t *r, uint64_t now);
+uint64_t pu_replica_durable_index (const pu_replica_t *r);
 uint64_t pu_replica_snapshot_index (const pu_replica_t *r);
 const pu_log_peer *pu_replica_self (const pu_replica_t *r);
 const pu_log_peer *pu_replica_leader (const pu_replica_t *r); /* or NULL */
--- a/libplantainusher/log/replica_disk.h
+++ b/libplantainusher/log/replica_disk.h
@@ -67,11 +67,11 @@
   uint64_t offset = 0; // of its clock, ms
   bool paused = false;
   bool stalled = false;
-  uint64_t chain = 0; // the state machine: a hash of all data entries
+  uint64_t state_hash = 0; // the state machine: a hash of all data entries
   uint64_t applied = 0;
   std::vector<uint64_t> voters; // in the configuration of its log
   uint64_t config = 0;          // index of that configuration
-  bool rejoined = false;        // has been a member of a log
+  bool had_log = false;         // has been a member of a log
   bool surplus = false;         // more voters than the target
 };
 
--- a/libplantainusher/log/replica_private.h
+++ b/libplantainusher/log/replica_private.h
@@ -29,27 +29,27 @@
 typedef struct
 {
   uint64_t id;
-  uint64_t next;       /* next index to send */
-  uint64_t match;      /* match index: durable there and equal to this log */
-  uint64_t floor;      /* durable floor, learned from earlier leaders */
-  uint64_t seq;        /* of the last message sent */
-  uint64_t match_seq;  /* replies from this seq on must report at least match
-                          as synced */
+  uint64_t next;  /* next index to send */
+  uint64_t match; /* match index: durable there and equal to this log */
+  uint64_t floor; /* durable floor, learned from earlier leaders */
+  uint64_t seq;   /* of the last message sent */
+  uint64_t match_check_from_seq; /* replies from this seq on must report at
+                         least match as synced */
   uint64_t reject_seq; /* last seq sent when a rejection arrived; rejections
                           up to it are repeats */
-  uint64_t acked_sent; /* newest send time among the answered messages */
-  uint64_t heard;      /* time of the last reply */
-  uint64_t beat_at;    /* time of the next heartbeat */
-  bool probing;        /* next is not confirmed: send no entries */
-  bool refused;        /* lost entries that it had synced: not counted, told to
-                          rejoin */
-  GQueue on_way;       /* in-flight messages with entries: the last index of
-                          each */
-  uint64_t snapshot;   /* index of its newest snapshot */
-  uint64_t fetched;    /* bytes of a snapshot it has fetched */
-  uint64_t fetched_at; /* time of the last change of fetched */
-  uint64_t seeder;     /* member it fetches a snapshot from; 0: it needs
-                          none */
+  uint64_t acked_send_time; /* newest send time among the answered messages */
+  uint64_t heard;           /* time of the last reply */
+  uint64_t next_heartbeat_at; /* time of the next heartbeat */
+  bool probing;               /* next is not confirmed: send no entries */
+  bool refused; /* lost entries that it had synced: not counted, told to
+                   rejoin */
+  GQueue in_flight_appends; /* in-flight messages with entries: the last index
+                    of each */
+  uint64_t snapshot;        /* index of its newest snapshot */
+  uint64_t fetched;         /* bytes of a snapshot it has fetched */
+  uint64_t fetch_progress_at; /* time of the last change of fetched */
+  uint64_t seeder;            /* member it fetches a snapshot from; 0: it needs
+                                 none */
   uint32_t seeder_turn;
 } pu_progress_t;
 
@@ -94,7 +94,7 @@
   uint64_t hash;
   uint64_t asked_at; /* time of the last request */
   GByteArray *data;
-} pu_fetching_t;
+} pu_snapshot_fetch_t;
 
 struct pu_replica
 {
@@ -110,13 +110,13 @@
   uint64_t term;
   uint64_t vote;
   pu_role_t role;
-  pu_log_peer leader; /* id 0: not known */
-  uint64_t heard_at;  /* time of the last message from a leader, or of the
-                         start */
+  pu_log_peer leader;           /* id 0: not known */
+  uint64_t last_leader_contact; /* time of the last message from a leader, or
+                        of the start */
   uint64_t election_deadline;
   uint64_t vote_retry_at;    /* when a candidate repeats its vote requests */
   bool transfer_campaign;    /* the leader requested this campaign */
-  uint64_t hello_at;         /* time of the next hello messages */
+  uint64_t next_hello_at;    /* time of the next hello messages */
   GHashTable *votes_granted; /* by identity, in this campaign */
   GHashTable *floors;        /* identity -> uint64_t *, its durable floor */
 
@@ -126,7 +126,7 @@
   uint64_t bytes_since_snapshot; /* of the entries after it, approximately */
   GArray *configs; /* of pu_config_entry_t, by index, at least one */
   pu_snapshot_t snapshot;
-  uint64_t hashed; /* index of the snapshot that hash belongs to */
+  uint64_t hash_index; /* index of the snapshot that hash belongs to */
   uint64_t hash;
   pu_snapshot_t unsaved_snapshot; /* index 0: none */
   bool snapshot_requested;        /* and not durable yet */
@@ -134,14 +134,14 @@
                                  none until a later entry is applied */
   uint64_t installing;        /* index of the snapshot being installed, or 0 */
 
-  uint64_t commit;       /* commit index */
-  uint64_t heard_commit; /* highest commit index that a leader reported */
-  uint64_t behind_since; /* since when commit is lower than heard_commit; 0: it
-                            is not */
-  uint64_t applied;      /* last index passed on in PU_ACTION_APPLY */
-  uint64_t written;      /* last index passed on in PU_ACTION_WRITE */
-  uint64_t durable;      /* last durable index */
-  GQueue pending_writes; /* of pu_pending_write_t * */
+  uint64_t commit;            /* commit index */
+  uint64_t max_leader_commit; /* highest commit index that a leader reported */
+  uint64_t commit_lag_since;  /* since when commit is lower than
+                             max_leader_commit; 0: it  is not */
+  uint64_t applied;           /* last index passed on in PU_ACTION_APPLY */
+  uint64_t written;           /* last index passed on in PU_ACTION_WRITE */
+  uint64_t durable;           /* last durable index */
+  GQueue pending_writes;      /* of pu_pending_write_t * */
   uint64_t last_ticket;
   uint64_t meta_ticket;   /* of the last write of metadata */
   uint64_t synced_ticket; /* writes up to this ticket are durable */
@@ -153,32 +153,34 @@
                          term */
   uint64_t echo_seq;  /* seq and send time of the leader's newest message, */
   uint64_t echo_sent; /* returned in replies */
-  bool owes_reply;    /* reply as soon as more entries are durable */
-  pu_fetching_t fetching;
+  bool reply_pending; /* reply as soon as more entries are durable */
+  pu_snapshot_fetch_t fetching;
 
   /* As the leader.  */
   GArray *progress; /* of pu_progress_t, for each member but self */
-  uint64_t led_since;
-  uint64_t first_of_term;  /* index of the first entry of this leader's term */
-  uint64_t pending_bytes;  /* of the entries after commit */
-  uint64_t settled_index;  /* index of the configuration last seen to be */
-  uint64_t settled_at;     /* committed, and since when */
-  uint64_t transfer_until; /* deadline of a leadership transfer; 0: none */
-  uint64_t transfer_to;    /* identity that is to become leader */
+  uint64_t leader_since;
+  uint64_t
+      term_first_index; /* index of the first entry of this leader's term */
+  uint64_t uncommitted_bytes; /* of the entries after commit */
+  uint64_t
+      committed_config_index; /* index of the configuration last seen to be */
+  uint64_t settled_at;        /* committed, and since when */
+  uint64_t transfer_deadline; /* deadline of a leadership transfer; 0: none */
+  uint64_t transfer_target;   /* identity that is to become leader */
 };
 
 /* replica.c */
-pu_action_t *pu_r_action (pu_replica_t *r, pu_action_kind_t kind);
+pu_action_t *pu_r_push_action (pu_replica_t *r, pu_action_kind_t kind);
 void pu_r_send (pu_replica_t *r, const pu_log_peer *to, pu_log_body *body);
 void pu_r_save_meta (pu_replica_t *r);
 void pu_r_reset_timeout (pu_replica_t *r, uint64_t now);
-void pu_r_follow (pu_replica_t *r, uint64_t now, uint64_t term,
-                  const pu_log_peer *leader);
+void pu_r_become_follower (pu_replica_t *r, uint64_t now, uint64_t term,
+                           const pu_log_peer *leader);
 void pu_r_retire_identity (pu_replica_t *r);
 bool pu_r_drop_deferred_sends (pu_replica_t *r);
 
 /* replica_log.c */
-uint64_t pu_r_last (const pu_replica_t *r);
+uint64_t pu_r_last_index (const pu_replica_t *r);
 uint64_t pu_r_term_at (const pu_replica_t *r, uint64_t index, bool *known);
 uint64_t pu_r_last_term (const pu_replica_t *r);
 void pu_r_append (pu_replica_t *r, pu_record_t *n);
@@ -191,7 +193,7 @@
 uint64_t pu_r_config_index (const pu_replica_t *r);
 void pu_r_push_config (pu_replica_t *r, uint64_t index,
                        const pu_log_config *c);
-void pu_r_install (pu_replica_t *r, pu_snapshot_t *s);
+void pu_r_install_snapshot (pu_replica_t *r, pu_snapshot_t *s);
 void pu_snapshot_clear (pu_snapshot_t *s);
 void pu_snapshot_copy (pu_snapshot_t *to, const pu_snapshot_t *from);
 
@@ -204,35 +206,35 @@
 void pu_r_on_vote (pu_replica_t *r, uint64_t now, const pu_log_msg *m);
 void pu_r_on_vote_reply (pu_replica_t *r, uint64_t now, const pu_log_msg *m);
 void pu_r_count_votes (pu_replica_t *r, uint64_t now);
-uint64_t pu_r_quorum_sent (const pu_replica_t *r, uint64_t now);
+uint64_t pu_r_quorum_acked_send_time (const pu_replica_t *r, uint64_t now);
 uint64_t pu_r_floor (const pu_replica_t *r, uint64_t id);
 void pu_r_raise_floor (pu_replica_t *r, uint64_t id, uint64_t index);
 
 /* replica_append.c */
-void pu_r_lead (pu_replica_t *r, uint64_t now);
+void pu_r_become_leader (pu_replica_t *r, uint64_t now);
 void pu_r_leader_tick (pu_replica_t *r, uint64_t now);
 void pu_r_flush_sends (pu_replica_t *r, uint64_t now);
 void pu_r_on_append (pu_replica_t *r, uint64_t now, const pu_log_msg *m);
 void pu_r_on_append_reply (pu_replica_t *r, uint64_t now, const pu_log_msg *m);
 void pu_r_reply_append (pu_replica_t *r, bool ok, uint64_t last);
 void pu_r_update_commit (pu_replica_t *r);
-void pu_r_sync_progress (pu_replica_t *r, uint64_t now);
-pu_progress_t *pu_r_progress (const pu_replica_t *r, uint64_t id);
-uint64_t pu_r_append_own (pu_replica_t *r, pu_log_type type, const void *data,
-                          size_t len);
+void pu_r_reconcile_progress (pu_replica_t *r, uint64_t now);
+pu_progress_t *pu_r_find_progress (const pu_replica_t *r, uint64_t id);
+uint64_t pu_r_append_as_leader (pu_replica_t *r, pu_log_type type,
+                                const void *data, size_t len);
 
 /* replica_voters.c */
-void pu_r_say_hello (pu_replica_t *r, uint64_t now);
+void pu_r_send_hellos (pu_replica_t *r, uint64_t now);
 void pu_r_on_hello (pu_replica_t *r, uint64_t now, const pu_log_msg *m);
 void pu_r_on_welcome (pu_replica_t *r, uint64_t now, const pu_log_msg *m);
-void pu_r_start_log (pu_replica_t *r, uint64_t now);
-void pu_r_balance (pu_replica_t *r, uint64_t now);
-void pu_r_tell_rejoin (pu_replica_t *r, const pu_log_peer *to);
+void pu_r_bootstrap_log (pu_replica_t *r, uint64_t now);
+void pu_r_adjust_voters (pu_replica_t *r, uint64_t now);
+void pu_r_send_rejoin (pu_replica_t *r, const pu_log_peer *to);
 
 /* replica_fetch.c */
 void pu_r_choose_seeder (pu_replica_t *r, pu_progress_t *p, uint64_t now);
-void pu_r_fetch_from (pu_replica_t *r, uint64_t now,
-                      const pu_log_peer *seeder);
+void pu_r_fetch_start (pu_replica_t *r, uint64_t now,
+                       const pu_log_peer *seeder);
 void pu_r_fetch_tick (pu_replica_t *r, uint64_t now);
 void pu_r_fetch_stop (pu_replica_t *r);
 void pu_r_on_fetch (pu_replica_t *r, const pu_log_msg *m);
--- a/libplantainusher/log/replica_vote.c
+++ b/libplantainusher/log/replica_vote.c
@@ -71,7 +71,7 @@
 
   b.pu_log_body_u.vote.pre = pre;
   b.pu_log_body_u.vote.transfer = transfer;
-  b.pu_log_body_u.vote.last_index = pu_r_last (r);
+  b.pu_log_body_u.vote.last_index = pu_r_last_index (r);
   b.pu_log_body_u.vote.last_term = pu_r_last_term (r);
   for (guint i = 0; i < c->members.members_len; i++)
     {
@@ -102,14 +102,14 @@
 {
   g_hash_table_remove_all (r->votes_granted);
   add_vote (r, r->self.id);
-  pu_r_follow (r, now, r->term, NULL);
+  pu_r_become_follower (r, now, r->term, NULL);
   if (pre)
     {
       r->role = PU_ROLE_PRE_CANDIDATE;
     }
   else
     {
-      pu_r_follow (r, now, r->term + 1, NULL);
+      pu_r_become_follower (r, now, r->term + 1, NULL);
       r->role = PU_ROLE_CANDIDATE;
       r->vote = r->self.id;
       pu_r_save_meta (r);
@@ -147,7 +147,7 @@
     }
   else if (r->role == PU_ROLE_CANDIDATE && own_vote_durable (r))
     {
-      pu_r_lead (r, now);
+      pu_r_become_leader (r, now);
     }
 }
 
@@ -158,7 +158,7 @@
 
   if (v->last_term != term)
     return v->last_term > term;
-  return v->last_index >= pu_r_last (r);
+  return v->last_index >= pu_r_last_index (r);
 }
 
 static bool
@@ -166,7 +166,8 @@
 {
   if (r->o.breaks & PU_BREAK_VOTE_IN_LEASE)
     return false;
-  return r->role == PU_ROLE_LEADER || now < r->heard_at + r->o.election_ms;
+  return r->role == PU_ROLE_LEADER
+         || now < r->last_leader_contact + r->o.election_ms;
 }
 
 /* Stores the known durable floors of the members in OUT and returns their
@@ -199,7 +200,7 @@
 
   b.pu_log_body_u.vote_reply.pre = m->body.pu_log_body_u.vote.pre;
   b.pu_log_body_u.vote_reply.granted = granted;
-  b.pu_log_body_u.vote_reply.last_index = pu_r_last (r);
+  b.pu_log_body_u.vote_reply.last_index = pu_r_last_index (r);
   pu_r_send (r, &m->from, &b);
 }
 
@@ -235,7 +236,7 @@
   if (leader_lease_may_hold (r, now) && !v->transfer)
     return;
   if (m->term > r->term)
-    pu_r_follow (r, now, m->term, NULL);
+    pu_r_become_follower (r, now, m->term, NULL);
   granted = (r->vote == 0 || r->vote == m->from.id)
             && r->role != PU_ROLE_LEADER && candidate_up_to_date (r, v)
             && v->last_index >= pu_r_floor (r, m->from.id);
@@ -289,7 +290,7 @@
 /* Returns the latest time T for which each member of a quorum, including this
    leader, has answered a message sent at T or later; 0 if there is none.  */
 uint64_t
-pu_r_quorum_sent (const pu_replica_t *r, uint64_t now)
+pu_r_quorum_acked_send_time (const pu_replica_t *r, uint64_t now)
 {
   const pu_log_config *c = pu_r_config (r);
   uint64_t sent[PU_LOG_MEMBERS_MAX] = { 0 };
@@ -298,7 +299,7 @@
   for (guint i = 0; i < c->members.members_len; i++)
     {
       const pu_log_member *m = &c->members.members_val[i];
-      const pu_progress_t *p = pu_r_progress (r, m->peer.id);
+      const pu_progress_t *p = pu_r_find_progress (r, m->peer.id);
 
       if (!pu_log_role_is_voting (m->role))
         continue;
@@ -308,7 +309,7 @@
         }
       else
         {
-          sent[n++] = p != NULL && !p->refused ? p->acked_sent : 0;
+          sent[n++] = p != NULL && !p->refused ? p->acked_send_time : 0;
         }
     }
   if (n == 0)
@@ -325,9 +326,9 @@
   uint64_t lease = t * (PERMILLE - drift) / (PERMILLE + drift);
   uint64_t sent;
 
-  if (r->role != PU_ROLE_LEADER || r->commit < r->first_of_term
+  if (r->role != PU_ROLE_LEADER || r->commit < r->term_first_index
       || lease <= CLOCK_ROUNDING_MS)
     return false;
-  sent = pu_r_quorum_sent (r, now);
+  sent = pu_r_quorum_acked_send_time (r, now);
   return sent != 0 && now < sent + lease - CLOCK_ROUNDING_MS;
 }
--- a/libplantainusher/log/replica_voters.c
+++ b/libplantainusher/log/replica_voters.c
@@ -49,17 +49,18 @@
 }
 
 void
-pu_r_say_hello (pu_replica_t *r, uint64_t now)
+pu_r_send_hellos (pu_replica_t *r, uint64_t now)
 {
   const pu_log_config *c = pu_r_config (r);
   bool fresh = is_uninitialized (r);
 
-  if (now < r->hello_at)
+  if (now < r->next_hello_at)
     return;
   if (!fresh
-      && now < r->heard_at + DISCOVERY_ELECTIONS * (uint64_t)r->o.election_ms)
+      && now < r->last_leader_contact
+                   + DISCOVERY_ELECTIONS * (uint64_t)r->o.election_ms)
     return;
-  r->hello_at = now + r->o.election_ms / 2;
+  r->next_hello_at = now + r->o.election_ms / 2;
   for (guint i = 0; i < r->seeds->len; i++)
     send_hello (r, &g_array_index (r->seeds, pu_seed_t, i).peer);
   for (guint i = 0; i < c->members.members_len; i++)
@@ -93,7 +94,7 @@
 }
 
 void
-pu_replica_meet (pu_replica_t *r, const char *address)
+pu_replica_add_seed (pu_replica_t *r, const char *address)
 {
   const pu_log_peer peer = { .name = (char *)"", .address = (char *)address };
   pu_seed_t s = { 0 };
@@ -152,7 +153,7 @@
   if (b == NULL)
     return;
   p = g_bytes_get_data (b, &len);
-  pu_r_append_own (r, PU_LOG_CONFIG, p, len);
+  pu_r_append_as_leader (r, PU_LOG_CONFIG, p, len);
   g_bytes_unref (b);
 }
 
@@ -165,7 +166,7 @@
 }
 
 void
-pu_r_start_log (pu_replica_t *r, uint64_t now)
+pu_r_bootstrap_log (pu_replica_t *r, uint64_t now)
 {
   pu_log_member members[PU_LOG_MEMBERS_MAX] = { 0 };
   pu_log_config c = { 0 };
@@ -194,9 +195,9 @@
 static bool
 may_change_config (const pu_replica_t *r)
 {
-  return r->role == PU_ROLE_LEADER && r->transfer_until == 0
+  return r->role == PU_ROLE_LEADER && r->transfer_deadline == 0
          && pu_r_config_index (r) <= r->commit
-         && r->commit >= r->first_of_term;
+         && r->commit >= r->term_first_index;
 }
 
 /* Returns whether M has lost synced entries or has been silent so long that a
@@ -204,7 +205,7 @@
 static bool
 is_unresponsive (const pu_replica_t *r, const pu_log_member *m, uint64_t now)
 {
-  const pu_progress_t *p = pu_r_progress (r, m->peer.id);
+  const pu_progress_t *p = pu_r_find_progress (r, m->peer.id);
 
   return p != NULL
          && (p->refused
@@ -218,7 +219,7 @@
 static bool
 is_lost (const pu_replica_t *r, const pu_log_member *m, uint64_t now)
 {
-  const pu_progress_t *p = pu_r_progress (r, m->peer.id);
+  const pu_progress_t *p = pu_r_find_progress (r, m->peer.id);
 
   if (m->peer.id == r->self.id)
     return false;
@@ -231,23 +232,23 @@
 static bool
 is_confirmed (const pu_replica_t *r, const pu_log_member *m, uint64_t now)
 {
-  const pu_progress_t *p = pu_r_progress (r, m->peer.id);
+  const pu_progress_t *p = pu_r_find_progress (r, m->peer.id);
 
   if (m->peer.id == r->self.id)
     return true;
-  return p != NULL && !p->refused && p->acked_sent > r->settled_at
-         && now <= p->acked_sent
+  return p != NULL && !p->refused && p->acked_send_time > r->settled_at
+         && now <= p->acked_send_time
                        + CONFIRM_HEARTBEATS * (uint64_t)r->o.heartbeat_ms;
 }
 
 static bool
 is_caught_up (const pu_replica_t *r, const pu_log_member *m, uint64_t now)
 {
-  const pu_progress_t *p = pu_r_progress (r, m->peer.id);
+  const pu_progress_t *p = pu_r_find_progress (r, m->peer.id);
 
   return p != NULL && is_confirmed (r, m, now)
-         && p->match + CAUGHT_UP_LAG_ENTRIES >= pu_r_last (r)
-         && p->match >= r->first_of_term;
+         && p->match + CAUGHT_UP_LAG_ENTRIES >= pu_r_last_index (r)
+         && p->match >= r->term_first_index;
 }
 
 /* Returns whether the confirmed voters are a quorum after ADDED confirmed ones
@@ -292,7 +293,7 @@
     }
   append_config (r, &c);
   pu_log_config_clear (&c);
-  pu_r_sync_progress (r, now);
+  pu_r_reconcile_progress (r, now);
 }
 
 /* Appends a copy of the configuration with a target of STEP more voters.  */
@@ -305,7 +306,7 @@
   c.target += (u_int)step;
   append_config (r, &c);
   pu_log_config_clear (&c);
-  pu_r_sync_progress (r, now);
+  pu_r_reconcile_progress (r, now);
 }
 
 /* Returns whether a voter newer than member I has the same name.  */
@@ -376,7 +377,7 @@
     return false;
   if (c->members.members_val[i].peer.id == r->self.id)
     {
-      pu_replica_transfer (r, now);
+      pu_replica_transfer_leadership (r, now);
       return true;
     }
   change_member (r, now, (guint)i, PU_LOG_LEARNER, true, 0);
@@ -532,13 +533,13 @@
 }
 
 void
-pu_r_balance (pu_replica_t *r, uint64_t now)
+pu_r_adjust_voters (pu_replica_t *r, uint64_t now)
 {
   if (!may_change_config (r))
     return;
-  if (r->settled_index != pu_r_config_index (r))
+  if (r->committed_config_index != pu_r_config_index (r))
     {
-      r->settled_index = pu_r_config_index (r);
+      r->committed_config_index = pu_r_config_index (r);
       r->settled_at = now;
     }
   if (remove_surplus_voter (r, now))
@@ -589,13 +590,13 @@
       pu_log_peer_copy (&c.members.members_val[n].peer, peer);
       c.members.members_len = n + 1;
       append_config (r, &c);
-      pu_r_sync_progress (r, now);
+      pu_r_reconcile_progress (r, now);
     }
   pu_log_config_clear (&c);
 }
 
 void
-pu_r_tell_rejoin (pu_replica_t *r, const pu_log_peer *to)
+pu_r_send_rejoin (pu_replica_t *r, const pu_log_peer *to)
 {
   pu_log_body b = { .kind = PU_LOG_REJOIN };
 
@@ -619,11 +620,11 @@
   else if (m->term > r->term)
     {
       /* Step down, to be elected again above that term.  */
-      pu_r_follow (r, now, m->term, NULL);
+      pu_r_become_follower (r, now, m->term, NULL);
     }
   else
     {
-      pu_r_tell_rejoin (r, &m->from);
+      pu_r_send_rejoin (r, &m->from);
     }
 }
 
@@ -726,7 +727,7 @@
   c.members.members_val[k].role = PU_LOG_CHOSEN;
   append_config (r, &c);
   pu_log_config_clear (&c);
-  pu_r_sync_progress (r, now);
+  pu_r_reconcile_progress (r, now);
   return true;
 }
 
--- a/libplantainusher/membership/membership.h
+++ b/libplantainusher/membership/membership.h
@@ -19,12 +19,13 @@
  *
  * The suspicion timeout of a subject adapts to its heartbeats.  It is twice
  * the mean interval, so that one heartbeat may be lost, plus `deviations`
- * times the mean deviation of the intervals, clamped to least_ms and most_ms.
- * A slow instance thus gets more time, and no subject less than least_ms.
- * While the route of the subject (a voter for a session, the home entry for a
- * lease) has itself been silent for over route_ms, the timeout is most_ms,
- * because missing heartbeats then say nothing about the subject.  Time in
- * which the leader did not run does not count as silence.
+ * times the mean deviation of the intervals, clamped to min_timeout_ms and
+ * max_timeout_ms. A slow instance thus gets more time, and no subject less
+ * than min_timeout_ms. While the route of the subject (a voter for a session,
+ * the home entry for a lease) has itself been silent for over
+ * route_timeout_ms, the timeout is max_timeout_ms, because missing heartbeats
+ * then say nothing about the subject.  Time in which the leader did not run
+ * does not count as silence.
  */
 
 typedef struct pu_membership pu_membership_t;
@@ -38,17 +39,18 @@
 /* Rules broken on purpose; for tests alone.  */
 typedef enum
 {
-  PU_MEMBERSHIP_BREAK_NO_RESET = 1,      /* a new leader keeps old times */
-  PU_MEMBERSHIP_BREAK_FIXED_TIMEOUT = 2, /* the timeout is always least_ms */
-  PU_MEMBERSHIP_BREAK_IGNORE_ROUTE = 4,  /* silence of the route is ignored */
+  PU_MEMBERSHIP_BREAK_NO_RESET = 1, /* a new leader keeps old times */
+  PU_MEMBERSHIP_BREAK_FIXED_TIMEOUT
+  = 2, /* the timeout is always min_timeout_ms */
+  PU_MEMBERSHIP_BREAK_IGNORE_ROUTE = 4, /* silence of the route is ignored */
 } pu_membership_break_t;
 
 typedef struct
 {
-  guint32 least_ms[2];     /* by kind: lower bound of the timeout */
-  guint32 most_ms[2];      /* by kind: upper bound of the timeout */
-  double deviations;       /* 6; mean deviations in the timeout */
-  guint32 route_ms;        /* silence after which a route is suspected */
+  guint32 min_timeout_ms[2]; /* by kind: lower bound of the timeout */
+  guint32 max_timeout_ms[2]; /* by kind: upper bound of the timeout */
+  double deviations;         /* 6; mean deviations in the timeout */
+  guint32 route_timeout_ms;  /* silence after which a route is suspected */
   guint32 max_tick_gap_ms; /* time between ticks beyond this is not counted as
                               silence */
   guint32 report_interval_ms; /* between reports of the same failure */
@@ -62,9 +64,9 @@
 pu_membership_t *pu_membership_new (const pu_membership_options_t *o);
 void pu_membership_free (pu_membership_t *m);
 
-/* pu_membership_begin - this voter leads from NOW on.  Removes all subjects
+/* pu_membership_reset - this voter leads from NOW on.  Removes all subjects
    and routes, so that every subject gets a full timeout again.  */
-void pu_membership_begin (pu_membership_t *m, uint64_t now);
+void pu_membership_reset (pu_membership_t *m, uint64_t now);
 
 /* pu_membership_expect - the log has NAME as up in INCARNATION.  Must be
    called before each tick for all subjects that are up; the tick removes the
@@ -73,18 +75,20 @@
                            const char *name, uint64_t incarnation,
                            uint64_t now);
 
-/* pu_membership_heard - records a heartbeat or lease renewal of NAME in
-   INCARNATION that arrived at AT, not in the future, over ROUTE: the name of
-   the voter for a daemon, of the home entry for a backend server.  Ignored
-   unless NAME is expected in this incarnation.  */
-void pu_membership_heard (pu_membership_t *m, pu_subject_kind_t kind,
-                          const char *name, uint64_t incarnation,
-                          const char *route, uint64_t at);
-
-/* pu_membership_route_heard - records that voter NAME was heard at AT.  Home
-   entries are daemons and are recorded with pu_membership_heard.  */
-void pu_membership_route_heard (pu_membership_t *m, const char *name,
-                                uint64_t at);
+/* pu_membership_record_heartbeat - records a heartbeat or lease renewal of
+   NAME in INCARNATION that arrived at AT, not in the future, over ROUTE: the
+   name of the voter for a daemon, of the home entry for a backend server.
+   Ignored unless NAME is expected in this incarnation.  */
+void pu_membership_record_heartbeat (pu_membership_t *m,
+                                     pu_subject_kind_t kind, const char *name,
+                                     uint64_t incarnation, const char *route,
+                                     uint64_t at);
+
+/* pu_membership_record_route_heartbeat - records that voter NAME was heard at
+   AT.  Home entries are daemons and are recorded with
+   pu_membership_record_heartbeat.  */
+void pu_membership_record_route_heartbeat (pu_membership_t *m,
+                                           const char *name, uint64_t at);
 
 /* A failed subject; NAME is valid until the next call.  */
 typedef struct
@@ -93,19 +97,21 @@
   const char *name;
   uint64_t incarnation;
   uint64_t silent_ms;
-} pu_membership_verdict_t;
+} pu_membership_failure_t;
 
-/* pu_membership_tick - appends to VERDICTS (pu_membership_verdict_t) the
+/* pu_membership_tick - appends to VERDICTS (pu_membership_failure_t) the
    subjects that have failed at NOW.  The caller proposes the failure to the
    log; it is reported again after report_interval_ms while the subject is
    expected.  */
 void pu_membership_tick (pu_membership_t *m, uint64_t now, GArray *verdicts);
 
-/* pu_membership_silent - stores how long NAME has been silent in *SILENT and
-   its suspicion timeout in *ALLOWED, in ms.  False if NAME is not known.  */
-bool pu_membership_silent (const pu_membership_t *m, pu_subject_kind_t kind,
-                           const char *name, uint64_t now, uint64_t *silent,
-                           uint64_t *allowed);
+/* pu_membership_get_silence - stores how long NAME has been silent in *SILENT
+   and its suspicion timeout in *ALLOWED, in ms.  False if NAME is not known.
+ */
+bool pu_membership_get_silence (const pu_membership_t *m,
+                                pu_subject_kind_t kind, const char *name,
+                                uint64_t now, uint64_t *silent,
+                                uint64_t *allowed);
 
 G_END_DECLS
 
--- a/libplantainusher/membership/membership_test.cc
+++ b/libplantainusher/membership/membership_test.cc
@@ -31,7 +31,7 @@
     pu_membership_options_init (&o);
     o.breaks = breaks;
     m = pu_membership_new (&o);
-    pu_membership_begin (m, now);
+    pu_membership_reset (m, now);
   }
 
   ~Membership () { pu_membership_free (m); }
@@ -45,7 +45,7 @@
     for (uint64_t end = now + ms; now < end;)
       {
         GArray *v
-            = g_array_new (FALSE, FALSE, sizeof (pu_membership_verdict_t));
+            = g_array_new (FALSE, FALSE, sizeof (pu_membership_failure_t));
         now += step_ms;
         for (auto &[name, incarnation] : members)
           pu_membership_expect (m, PU_SUBJECT_MEMBER, name.c_str (),
@@ -56,7 +56,7 @@
         pu_membership_tick (m, now, v);
         for (guint i = 0; i < v->len; i++)
           down.emplace_back (
-              g_array_index (v, pu_membership_verdict_t, i).name);
+              g_array_index (v, pu_membership_failure_t, i).name);
         g_array_free (v, TRUE);
       }
     return down;
@@ -65,14 +65,15 @@
   void
   heartbeat (const char *name, uint64_t incarnation = 1, const char *via = "v")
   {
-    pu_membership_heard (m, PU_SUBJECT_MEMBER, name, incarnation, via, now);
-    pu_membership_route_heard (m, via, now);
+    pu_membership_record_heartbeat (m, PU_SUBJECT_MEMBER, name, incarnation,
+                                    via, now);
+    pu_membership_record_route_heartbeat (m, via, now);
   }
 
   void
   renew_lease (const char *name, const char *home)
   {
-    pu_membership_heard (m, PU_SUBJECT_BACKEND, name, 1, home, now);
+    pu_membership_record_heartbeat (m, PU_SUBJECT_BACKEND, name, 1, home, now);
   }
 };
 
@@ -94,7 +95,7 @@
     }
   while (t.now - last < 60000)
     {
-      pu_membership_route_heard (t.m, "v", t.now);
+      pu_membership_record_route_heartbeat (t.m, "v", t.now);
       if (!t.advance (100).empty ())
         return t.now - last;
     }
@@ -127,7 +128,7 @@
         {
           for (uint64_t i = 0; i < gap / 100; i++)
             {
-              pu_membership_route_heard (t.m, "v", t.now);
+              pu_membership_record_route_heartbeat (t.m, "v", t.now);
               auto d = t.advance (100);
               down.insert (down.end (), d.begin (), d.end ());
             }
@@ -147,7 +148,7 @@
       t.backends = { { "b", 1 } };
       t.advance (100);
       t.now += 60000; /* another voter leads meanwhile */
-      pu_membership_begin (t.m, t.now);
+      pu_membership_reset (t.m, t.now);
       EXPECT_EQ (t.advance (4900).empty (), breaks == 0);
     }
 }
@@ -245,10 +246,11 @@
       for (auto &[name, incarnation] : t.members)
         heard.emplace (name, t.now - 900);
       for (auto &name : down)
-        RC_ASSERT (t.now - heard[name] > t.o.least_ms[PU_SUBJECT_MEMBER]);
+        RC_ASSERT (t.now - heard[name]
+                   > t.o.min_timeout_ms[PU_SUBJECT_MEMBER]);
       reported.insert (down.begin (), down.end ());
       for (auto &[name, at] : heard)
-        RC_ASSERT (t.now - at <= t.o.most_ms[PU_SUBJECT_MEMBER]
+        RC_ASSERT (t.now - at <= t.o.max_timeout_ms[PU_SUBJECT_MEMBER]
                    || reported.count (name) > 0);
       if (event < 3)
         {
--- a/libplantainusher/once/once.h
+++ b/libplantainusher/once/once.h
@@ -59,18 +59,19 @@
 /* What the user of this module must do next.  */
 typedef enum
 {
-  PU_ONCE_CLAIM,    /* propose the claim: handle, attempt */
-  PU_ONCE_DISPATCH, /* send the call, once: handle */
-  PU_ONCE_RECORD,   /* propose the outcome: handle, position, phase, result */
-  PU_ONCE_ANSWER    /* answer the caller: caller, answer, result */
+  PU_ONCE_ACTION_CLAIM,    /* propose the claim: handle, attempt */
+  PU_ONCE_ACTION_DISPATCH, /* send the call, once: handle */
+  PU_ONCE_ACTION_RECORD,   /* propose the outcome: handle, position, phase,
+                              result */
+  PU_ONCE_ACTION_ANSWER    /* answer the caller: caller, answer, result */
 } pu_once_action_type_t;
 
 /* How a call ended, as in the X-Outcome header.  */
 typedef enum
 {
-  PU_ONCE_RAN,
-  PU_ONCE_NOT_RUN,
-  PU_ONCE_UNKNOWN
+  PU_ONCE_OUTCOME_RAN,
+  PU_ONCE_OUTCOME_NOT_RUN,
+  PU_ONCE_OUTCOME_UNKNOWN
 } pu_once_outcome_t;
 
 typedef enum
@@ -113,53 +114,56 @@
    the claim record).  */
 typedef enum
 {
-  PU_ONCE_GRANTED,  /* this attempt may be dispatched */
-  PU_ONCE_KEPT,     /* it ran earlier; RESULT is its result */
-  PU_ONCE_OPEN,     /* another attempt is running it */
-  PU_ONCE_MISMATCH, /* the key was used for another request */
-  PU_ONCE_LOST,     /* the owner failed; the outcome stays unknown */
-  PU_ONCE_CLOSED,   /* this attempt is already closed */
-  PU_ONCE_REFUSED,  /* not recorded, e.g. no quorum or not a member */
-  PU_ONCE_TIMEOUT   /* may or may not have been recorded */
-} pu_once_claimed_t;
+  PU_ONCE_CLAIM_GRANTED,     /* this attempt may be dispatched */
+  PU_ONCE_CLAIM_COMPLETED,   /* it ran earlier; RESULT is its result */
+  PU_ONCE_CLAIM_IN_PROGRESS, /* another attempt is running it */
+  PU_ONCE_CLAIM_KEY_REUSED,  /* the key was used for another request */
+  PU_ONCE_CLAIM_OWNER_LOST,  /* the owner failed; the outcome stays unknown */
+  PU_ONCE_CLAIM_ALREADY_CLOSED, /* this attempt is already closed */
+  PU_ONCE_CLAIM_REFUSED,  /* not recorded, e.g. no quorum or not a member */
+  PU_ONCE_CLAIM_TIMED_OUT /* may or may not have been recorded */
+} pu_once_claim_result_t;
 
 /* pu_once_new - creates an empty table.  Attempts are numbered from 1 within
    the entry's incarnation.  Free with pu_once_free.  */
 pu_once_t *pu_once_new (const pu_once_options_t *o);
 void pu_once_free (pu_once_t *c);
 
-/* Whether a call is accepted; all but PU_ONCE_ACCEPTED leave it unclaimed.  */
+/* Whether a call is accepted; all but PU_ONCE_BEGIN_ACCEPTED leave it
+ * unclaimed.  */
 typedef enum
 {
-  PU_ONCE_ACCEPTED,
-  PU_ONCE_TOO_OLD,      /* the key's timestamp is outside the window */
-  PU_ONCE_BAD_KEY,      /* empty or too long */
-  PU_ONCE_KEY_MISMATCH, /* in progress here for another request */
-  PU_ONCE_FULL          /* keys_max or waiters_max is reached */
-} pu_once_begin_t;
+  PU_ONCE_BEGIN_ACCEPTED,
+  PU_ONCE_BEGIN_KEY_EXPIRED, /* the key's timestamp is outside the window */
+  PU_ONCE_BEGIN_INVALID_KEY, /* empty or too long */
+  PU_ONCE_BEGIN_KEY_REUSED,  /* in progress here for another request */
+  PU_ONCE_BEGIN_OVERLOADED   /* keys_max or waiters_max is reached */
+} pu_once_begin_result_t;
 
 /* pu_once_begin - starts or joins the call with KEY of SERVICE for CALLER, a
    number that the user chooses.  FINGERPRINT is the hash of method, path and
-   body.  KEY_WALL is the timestamp in the key (pu_once_key_wall) or 0 and WALL
-   is the current time, both in ms since 1970; WINDOW_MS is how long results of
-   the service are kept; NOW is monotonic, in ms.  On PU_ONCE_ACCEPTED actions
-   follow, among them exactly one ANSWER for CALLER.  Otherwise returns why the
-   call was refused.  Keys and service names are 1 to PU_ONCE_NAME_MAX bytes
-   long.  */
-pu_once_begin_t pu_once_begin (pu_once_t *c, guint64 caller,
-                               const char *service, const char *key,
-                               guint64 fingerprint, guint64 key_wall,
-                               guint64 wall, guint64 window_ms, guint64 now);
+   body.  KEY_WALL is the timestamp in the key (pu_once_key_time_ms) or 0 and
+   WALL is the current time, both in ms since 1970; WINDOW_MS is how long
+   results of the service are kept; NOW is monotonic, in ms.  On
+   PU_ONCE_BEGIN_ACCEPTED actions follow, among them exactly one ANSWER for
+   CALLER.  Otherwise returns why the call was refused.  Keys and service names
+   are 1 to PU_ONCE_NAME_MAX bytes long.  */
+pu_once_begin_result_t pu_once_begin (pu_once_t *c, guint64 caller,
+                                      const char *service, const char *key,
+                                      guint64 fingerprint, guint64 key_wall,
+                                      guint64 wall, guint64 window_ms,
+                                      guint64 now);
 
 /* pu_once_claimed - reports the log's REPLY to the claim of HANDLE.  POSITION
-   is the log position of the claim; RESULT is used with PU_ONCE_KEPT.  */
+   is the log position of the claim; RESULT is used with
+   PU_ONCE_CLAIM_COMPLETED.  */
 void pu_once_claimed (pu_once_t *c, pu_once_handle_t handle,
-                      pu_once_claimed_t reply, guint64 position,
+                      pu_once_claim_result_t reply, guint64 position,
                       const pu_once_result_t *result, guint64 now);
 
 /* pu_once_finished - reports that the dispatched call of HANDLE ended.  RESULT
-   is used with PU_ONCE_RAN.  The callers are answered before the outcome is
-   recorded.  */
+   is used with PU_ONCE_OUTCOME_RAN.  The callers are answered before the
+   outcome is recorded.  */
 void pu_once_finished (pu_once_t *c, pu_once_handle_t handle,
                        pu_once_outcome_t outcome,
                        const pu_once_result_t *result, guint64 now);
@@ -169,10 +173,10 @@
 void pu_once_recorded (pu_once_t *c, pu_once_handle_t handle, bool ok,
                        guint64 now);
 
-/* pu_once_give_up - answers CALLER, whose deadline has passed, as not run, or
-   as unknown if the call was dispatched, and removes it.  Returns false if
-   CALLER is not waiting.  */
-bool pu_once_give_up (pu_once_t *c, guint64 caller, guint64 now);
+/* pu_once_remove_caller - answers CALLER, whose deadline has passed, as not
+   run, or as unknown if the call was dispatched, and removes it.  Returns
+   false if CALLER is not waiting.  */
+bool pu_once_remove_caller (pu_once_t *c, guint64 caller, guint64 now);
 
 /* pu_once_tick - retries claims and records whose backoff has ended.  */
 void pu_once_tick (pu_once_t *c, guint64 now);
@@ -181,14 +185,15 @@
    pointers in *A are valid until the next pu_once_next or pu_once_free.  */
 bool pu_once_next (pu_once_t *c, pu_once_action_t *a);
 
-/* pu_once_key_wall - returns the timestamp in KEY, in ms since 1970, if KEY is
-   a UUID of version 7 (RFC 9562), else 0.  */
-guint64 pu_once_key_wall (const char *key);
+/* pu_once_key_time_ms - returns the timestamp in KEY, in ms since 1970, if KEY
+   is a UUID of version 7 (RFC 9562), else 0.  */
+guint64 pu_once_key_time_ms (const char *key);
 
-/* pu_once_busy - returns the number of keys in progress, for the state dump
-   and for a planned stop: a daemon stops only when every outcome is recorded.
+/* pu_once_count_active - returns the number of keys in progress, for the state
+   dump and for a planned stop: a daemon stops only when every outcome is
+   recorded.
  */
-guint pu_once_busy (const pu_once_t *c);
+guint pu_once_count_active (const pu_once_t *c);
 
 G_END_DECLS
 
--- a/libplantainusher/state/apply_claims.c
+++ b/libplantainusher/state/apply_claims.c
@@ -195,7 +195,7 @@
 {
   bool same = is_same_attempt (old, c);
 
-  if (pu_apply_has_break (a->state, PU_STATE_BREAK_LATE_COPY))
+  if (pu_apply_has_break (a->state, PU_STATE_BREAK_REOPEN_CLAIM))
     return false;
   if (!same && !is_closed_attempt (old, c))
     return false;
--- a/libplantainusher/state/state.h
+++ b/libplantainusher/state/state.h
@@ -23,27 +23,27 @@
 typedef struct pu_state pu_state_t;
 
 /* The incarnation of a backend server whose reports give none.  */
-#define PU_INCARNATION_UNTOLD 1
+#define PU_INCARNATION_UNREPORTED 1
 
 /* Faults that tests inject to show that their checks can fail.  */
 typedef enum
 {
   PU_STATE_BREAK_REGRANT_UNKNOWN = 1,    /* grant a claim of unknown outcome */
-  PU_STATE_BREAK_LATE_COPY = 2,          /* a late duplicate reopens a claim */
-  PU_STATE_BREAK_BASE_VERSION = 4,       /* accept any base version */
+  PU_STATE_BREAK_REOPEN_CLAIM = 2,       /* a late duplicate reopens a claim */
+  PU_STATE_BREAK_NO_BASE_CHECK = 4,      /* accept any base version */
   PU_STATE_BREAK_NO_CHANGE_ID_CHECK = 8, /* accept a change id again */
-  PU_STATE_BREAK_DELTA_BASE = 16,        /* apply a delta to any record */
-  PU_STATE_BREAK_RANK = 32               /* accept a rank that is not higher */
+  PU_STATE_BREAK_NO_DELTA_CHECK = 16,    /* apply a delta to any record */
+  PU_STATE_BREAK_NO_RANK_CHECK = 32      /* accept a rank that is not higher */
 } pu_state_break_t;
 
 typedef struct
 {
-  uint32_t history_max;       /* documents kept in the history */
-  uint64_t claim_window_ms;   /* retention of a claim that sets none */
-  uint64_t suspect_window_ms; /* age of the last strike after which the next
+  uint32_t history_max;      /* documents kept in the history */
+  uint64_t claim_window_ms;  /* retention of a claim that sets none */
+  uint64_t strike_window_ms; /* age of the last strike after which the next
                                  one starts a new count; a conviction stays */
-  uint32_t convict_strikes;   /* strikes that convict a suspect */
-  uint32_t test_breaks;       /* pu_state_break_t; 0 outside tests */
+  uint32_t convict_strikes;  /* strikes that convict a suspect */
+  uint32_t test_breaks;      /* pu_state_break_t; 0 outside tests */
 } pu_state_options_t;
 
 /* pu_state_options_init - sets the defaults: 10000 documents in the history,
@@ -63,10 +63,10 @@
 bool pu_state_apply (pu_state_t *s, uint64_t position, const pu_command *c,
                      pu_reply *r);
 
-/* pu_state_skip - raises the position to POSITION without applying a command,
-   for log entries that are not applied to this copy.  A lower POSITION has no
-   effect.  */
-void pu_state_skip (pu_state_t *s, uint64_t position);
+/* pu_state_skip_to - raises the position to POSITION without applying a
+   command, for log entries that are not applied to this copy.  A lower
+   POSITION has no effect.  */
+void pu_state_skip_to (pu_state_t *s, uint64_t position);
 
 /* pu_state_encode - returns a snapshot of the state (pu_state_image) as XDR
    bytes.  PUBLIC_ONLY leaves out the history, the claims and the orders.  */
@@ -81,14 +81,15 @@
 /* pu_state_position - returns the last applied position of the log.  */
 uint64_t pu_state_position (const pu_state_t *s);
 
-/* pu_state_view - returns the number of changes of members so far.  Copies
-   with the same number have the same members.  */
-uint64_t pu_state_view (const pu_state_t *s);
+/* pu_state_membership_version - returns the number of changes of members so
+   far.  Copies with the same number have the same members.  */
+uint64_t pu_state_membership_version (const pu_state_t *s);
 
-/* pu_state_changes - returns how often documents, members, backend servers or
-   suspects have changed in this copy.  A reader may cache what it read until
-   the number rises.  The numbers of different copies are unrelated.  */
-uint64_t pu_state_changes (const pu_state_t *s);
+/* pu_state_change_count - returns how often documents, members, backend
+   servers or suspects have changed in this copy.  A reader may cache what it
+   read until the number rises.  The numbers of different copies are unrelated.
+ */
+uint64_t pu_state_change_count (const pu_state_t *s);
 
 /* pu_state_document - returns the document in force, or NULL before the
    first.  */
@@ -112,7 +113,7 @@
 void pu_state_each_backend (const pu_state_t *s, pu_backend_fn *fn,
                             void *data);
 /* pu_state_each_changed_backend - calls FN for each backend server that has
-   changed since pu_state_changes returned SINCE, in no specified order.
+   changed since pu_state_change_count returned SINCE, in no specified order.
    Returns false, without a call, when this copy cannot name them: since then a
    snapshot was loaded, or a backend server was removed.  */
 bool pu_state_each_changed_backend (const pu_state_t *s, uint64_t since,
@@ -125,8 +126,8 @@
 /* Documents are visited newest first; only the newest has its text.  */
 void pu_state_each_document (const pu_state_t *s, pu_doc_fn *fn, void *data);
 
-/* pu_state_claims - returns the number of claims in the table.  */
-uint32_t pu_state_claims (const pu_state_t *s);
+/* pu_state_claim_count - returns the number of claims in the table.  */
+uint32_t pu_state_claim_count (const pu_state_t *s);
 
 /* Lookups; NULL when there is no such record.  */
 const pu_member_record *pu_state_member (const pu_state_t *s,
@@ -144,20 +145,20 @@
    when BACKEND is unknown.  */
 uint64_t pu_state_committed_mb (const pu_state_t *s, const char *backend);
 
-/* pu_state_shrink_submit - turns C into a delta against the document in force
-   when C is based on it; else C stays unchanged.  C's text, from malloc, is
-   shortened in place.  Applied to the same document, the delta gives the same
-   text.  */
-void pu_state_shrink_submit (const pu_state_t *s, pu_submit *c);
+/* pu_state_delta_encode_submit - turns C into a delta against the document in
+   force when C is based on it; else C stays unchanged.  C's text, from malloc,
+   is shortened in place.  Applied to the same document, the delta gives the
+   same text.  */
+void pu_state_delta_encode_submit (const pu_state_t *s, pu_submit *c);
 
-/* pu_state_apply_delta - as pu_state_apply, for a report (BACKEND_UP).  *DELTA
+/* pu_state_apply_report - as pu_state_apply, for a report (BACKEND_UP). *DELTA
    is set to the encoded BACKEND_DELTA that makes the same change in public
    copies, or to NULL when the report changed nothing or a delta cannot express
    the change.  *CHANGED is set to whether the report changed the state; if
    not, public copies do not need the report.  */
-bool pu_state_apply_delta (pu_state_t *s, uint64_t position,
-                           const pu_command *c, pu_reply *r, GBytes **delta,
-                           bool *changed);
+bool pu_state_apply_report (pu_state_t *s, uint64_t position,
+                            const pu_command *c, pu_reply *r, GBytes **delta,
+                            bool *changed);
 
 /* pu_command_encode, pu_command_decode - convert a command to XDR bytes and
    back.  The caller clears a decoded command with pu_command_clear.  Errors:
--- a/libplantainusher/state/tables.h
+++ b/libplantainusher/state/tables.h
@@ -18,7 +18,7 @@
   pu_state_options_t options;
   uint64_t position;
   uint64_t membership_version; /* number of changes of members */
-  uint64_t changes;            /* see pu_state_changes */
+  uint64_t changes;            /* see pu_state_change_count */
   /* Number of the last change that recent_backends does not list: a snapshot
      was loaded, or a record was removed.  */
   uint64_t last_unlisted_change;
