--- a/libplantainusher/settings/checks.c
+++ b/libplantainusher/settings/checks.c
@@ -2,47 +2,49 @@
 
 #include <string.h>
 
-/* A rule between two times: the first is at least FACTOR times the second.  */
+/* Requires that the timing field LARGER be at least FACTOR times the field
+   SMALLER.  */
 typedef struct
 {
   const char *larger;
-  size_t larger_at;
+  size_t larger_offset;
   const char *smaller;
-  size_t smaller_at;
+  size_t smaller_offset;
   guint32 factor;
-  const char *why;
+  const char *why; /* consequence of a violation, for the finding */
 } time_rule_t;
 
-#define RULE(larger, factor, smaller, why)                                    \
+#define TIME_RULE(larger, factor, smaller, why)                               \
   {                                                                           \
 #larger, offsetof(pu_settings_timing_t, larger), #smaller,                \
         offsetof(pu_settings_timing_t, smaller), factor, why                  \
   }
 
 static const time_rule_t time_rules[] = {
-  RULE (election_ms, 4, heartbeat_ms,
-        "two lost heartbeats would cost the leader its lease"),
-  RULE (replace_after_ms, 4, election_ms,
-        "a change of the leader could cost a living voter its place"),
-  RULE (session_ms, 2, poll_wait_ms, "one lost poll would end the session"),
-  RULE (order_life_ms, 4, backend_lease_ms,
-        "a silent backend server could be taken to have reported"),
+  TIME_RULE (election_ms, 4, heartbeat_ms,
+             "two lost heartbeats would cost the leader its lease"),
+  TIME_RULE (replace_after_ms, 4, election_ms,
+             "a change of the leader could cost a living voter its place"),
+  TIME_RULE (session_ms, 2, poll_wait_ms,
+             "one lost poll would end the session"),
+  TIME_RULE (order_life_ms, 4, backend_lease_ms,
+             "a silent backend server could be taken to have reported"),
 };
 
 static guint32
-time_at (const pu_settings_timing_t *t, size_t offset)
+time_ms (const pu_settings_timing_t *t, size_t offset)
 {
   return *(const guint32 *)((const char *)t + offset);
 }
 
 static void
-check_times (const pu_settings_timing_t *t, pu_findings_t *f)
+check_time_ratios (const pu_settings_timing_t *t, pu_findings_t *f)
 {
   for (size_t i = 0; i < G_N_ELEMENTS (time_rules); i++)
     {
       const time_rule_t *r = &time_rules[i];
-      guint32 larger = time_at (t, r->larger_at);
-      guint32 smaller = time_at (t, r->smaller_at);
+      guint32 larger = time_ms (t, r->larger_offset);
+      guint32 smaller = time_ms (t, r->smaller_offset);
       char *path;
 
       if (larger / r->factor >= smaller)
@@ -55,8 +57,9 @@
     }
 }
 
-/* A backend server's report reaches the leader with its entry's next poll and
-   that voter's next message.  One report may be lost on the way.  */
+/* A backend server's report reaches the leader with the next poll of its entry
+   and then the next message of the polled voter.  The lease must outlast that
+   delay and the loss of one report.  */
 static void
 check_backend_lease (const pu_settings_timing_t *t, pu_findings_t *f)
 {
@@ -74,8 +77,9 @@
                    t->poll_wait_ms, t->sessions_ms);
 }
 
-/* Adds VALUE at the printf-style path; a finding when it was there before.
-   The value itself is not told: it may be a key.  */
+/* Records VALUE under the path that FORMAT gives; adds a finding when SEEN
+   already has VALUE.  The finding names the paths and omits the value, which
+   may be a secret key.  */
 static void G_GNUC_PRINTF (4, 5)
     check_unique (GHashTable *seen, const char *value, pu_findings_t *f,
                   const char *format, ...)
@@ -164,7 +168,7 @@
 }
 
 static const pu_settings_voter_t *
-own_voter (const pu_settings_t *s)
+find_own_voter (const pu_settings_t *s)
 {
   const pu_settings_voter_t *voters = s->voters.items;
 
@@ -180,7 +184,7 @@
 check_voters (const pu_settings_t *s, pu_findings_t *f)
 {
   const pu_settings_voter_t *voters = s->voters.items;
-  const pu_settings_voter_t *own = own_voter (s);
+  const pu_settings_voter_t *own = find_own_voter (s);
   GHashTable *names = seen_new ();
   GHashTable *addresses = seen_new ();
 
@@ -216,7 +220,7 @@
     {
       pu_findings_add (f, "/join", "is required without role control");
     }
-  else if (own_voter (s) == NULL)
+  else if (find_own_voter (s) == NULL)
     {
       pu_findings_add (
           f, "/join",
@@ -224,7 +228,8 @@
     }
 }
 
-/* The four addresses of an instance of the platform go together.  */
+/* An instance of the platform needs the addresses ready, control and directory
+   together, and the role entry, which has the callers' address.  */
 static void
 check_platform (const pu_settings_t *s, pu_findings_t *f)
 {
@@ -245,7 +250,7 @@
 }
 
 static void
-check_found (const pu_settings_t *s, pu_findings_t *f)
+check_founding (const pu_settings_t *s, pu_findings_t *f)
 {
   if (s->found && s->seeds.n == 0)
     pu_findings_add (f, "/seeds", "is required where found is true");
@@ -260,8 +265,8 @@
   check_addresses (s, f);
   check_keys (s, f);
   check_voters (s, f);
-  check_found (s, f);
+  check_founding (s, f);
   check_platform (s, f);
-  check_times (&s->timing, f);
+  check_time_ratios (&s->timing, f);
   check_backend_lease (&s->timing, f);
 }
--- a/libplantainusher/settings/checks.h
+++ b/libplantainusher/settings/checks.h
@@ -5,8 +5,8 @@
 
 G_BEGIN_DECLS
 
-/* pu_settings_check - adds a finding for each rule between fields that S
-   breaks.  Private to the slice.  */
+/* pu_settings_check - adds a finding to F for each constraint between fields
+   that S violates.  Private to the slice.  */
 void pu_settings_check (const pu_settings_t *s, pu_findings_t *f);
 
 G_END_DECLS
--- a/libplantainusher/settings/schema.c
+++ b/libplantainusher/settings/schema.c
@@ -4,11 +4,12 @@
 
 #include "settings/settings.h"
 
-/* Names longer than this do not fit the messages between daemons.  */
-#define TEXT_MAX 64
+/* Longest name or address, in bytes, that fits the messages between
+   daemons.  */
+#define NAME_MAX_BYTES 64
 #define PATH_MAX_BYTES 4000
-#define KEY_MAX 256
-#define LIST_MAX 1024
+#define KEY_MAX_BYTES 256
+#define LIST_MAX_ITEMS 1024
 
 #define KB 1024.0
 #define MB (1024.0 * KB)
@@ -21,7 +22,8 @@
     table, G_N_ELEMENTS (table), sizeof (row), 0, NULL                        \
   }
 
-/* A whole number in the struct ROW, from MIN to MAX in UNIT.  */
+/* An integer field of the struct ROW, from LEAST to MOST in the unit OF, with
+   the default START.  */
 #define INT(row, field, least, most, start, of)                               \
   {                                                                           \
     .name = #field, .type = PU_FIELD_INT, .offset = offsetof (row, field),    \
@@ -32,7 +34,7 @@
     = { "warn", "note", "info", "debug", NULL };
 
 /* Index of "info".  */
-#define LOG_LEVEL_START 2
+#define LOG_LEVEL_DEFAULT 2
 
 static const char *
 check_role (const char *s)
@@ -53,7 +55,7 @@
   return "is not an IP number and a port, such as 127.0.0.1:8080";
 }
 
-/* A key travels in a header.  */
+/* A key is sent in an HTTP header, so it may hold printable ASCII only.  */
 static const char *
 check_key (const char *s)
 {
@@ -69,24 +71,24 @@
   { .name = "callers",
     .type = PU_FIELD_STRING,
     .offset = offsetof (pu_settings_addresses_t, callers),
-    .max = TEXT_MAX,
+    .max = NAME_MAX_BYTES,
     .check = check_address },
   { .name = "operators",
     .type = PU_FIELD_STRING,
     .flags = PU_FIELD_REQUIRED,
     .offset = offsetof (pu_settings_addresses_t, operators),
-    .max = TEXT_MAX,
+    .max = NAME_MAX_BYTES,
     .check = check_address },
   { .name = "peers",
     .type = PU_FIELD_STRING,
     .flags = PU_FIELD_REQUIRED,
     .offset = offsetof (pu_settings_addresses_t, peers),
-    .max = TEXT_MAX,
+    .max = NAME_MAX_BYTES,
     .check = check_address },
   { .name = "metrics",
     .type = PU_FIELD_STRING,
     .offset = offsetof (pu_settings_addresses_t, metrics),
-    .max = TEXT_MAX,
+    .max = NAME_MAX_BYTES,
     .check = check_address },
 };
 static const pu_schema_t address_schema
@@ -96,7 +98,7 @@
   { .name = "peers",
     .type = PU_FIELD_STRING,
     .offset = offsetof (pu_settings_listen_t, peers),
-    .max = TEXT_MAX,
+    .max = NAME_MAX_BYTES,
     .check = check_address },
 };
 static const pu_schema_t listen_schema
@@ -107,14 +109,14 @@
     .type = PU_FIELD_STRING,
     .flags = PU_FIELD_REQUIRED,
     .offset = offsetof (pu_settings_operator_t, name),
-    .max = TEXT_MAX,
+    .max = NAME_MAX_BYTES,
     .check = pu_json_check_name },
   { .name = "key",
     .type = PU_FIELD_STRING,
     .flags = PU_FIELD_REQUIRED | PU_FIELD_SECRET,
     .offset = offsetof (pu_settings_operator_t, key),
     .min = PU_SETTINGS_KEY_MIN,
-    .max = KEY_MAX,
+    .max = KEY_MAX_BYTES,
     .check = check_key },
 };
 static const pu_schema_t operator_schema
@@ -126,20 +128,20 @@
     .flags = PU_FIELD_REQUIRED,
     .offset = offsetof (pu_settings_keys_t, operators),
     .min = 1,
-    .max = LIST_MAX,
+    .max = LIST_MAX_ITEMS,
     .schema = &operator_schema },
   { .name = "backends",
     .type = PU_FIELD_STRINGS,
     .flags = PU_FIELD_SECRET,
     .offset = offsetof (pu_settings_keys_t, backends),
-    .max = LIST_MAX,
+    .max = LIST_MAX_ITEMS,
     .check = check_key },
   { .name = "peers",
     .type = PU_FIELD_STRING,
     .flags = PU_FIELD_REQUIRED | PU_FIELD_SECRET,
     .offset = offsetof (pu_settings_keys_t, peers),
     .min = PU_SETTINGS_KEY_MIN,
-    .max = KEY_MAX,
+    .max = KEY_MAX_BYTES,
     .check = check_key },
 };
 static const pu_schema_t key_schema = SCHEMA (key_fields, pu_settings_keys_t);
@@ -149,13 +151,13 @@
     .type = PU_FIELD_STRING,
     .flags = PU_FIELD_REQUIRED,
     .offset = offsetof (pu_settings_voter_t, name),
-    .max = TEXT_MAX,
+    .max = NAME_MAX_BYTES,
     .check = pu_json_check_name },
   { .name = "peers",
     .type = PU_FIELD_STRING,
     .flags = PU_FIELD_REQUIRED,
     .offset = offsetof (pu_settings_voter_t, peers),
-    .max = TEXT_MAX,
+    .max = NAME_MAX_BYTES,
     .check = check_address },
 };
 static const pu_schema_t voter_schema
@@ -214,12 +216,12 @@
 #define PLATFORM_ADDRESS(field)                                               \
   {                                                                           \
     .name = #field, .type = PU_FIELD_STRING,                                  \
-    .offset = offsetof (pu_settings_platform_t, field), .max = TEXT_MAX,      \
-    .check = check_address                                                    \
+    .offset = offsetof (pu_settings_platform_t, field),                       \
+    .max = NAME_MAX_BYTES, .check = check_address                             \
   }
-/* A bound of the platform may have a fraction.  Rounded down: it ends sooner,
-   or allows less, than the platform does.  */
-#define PLATFORM_BOUND(field, least, most, start, of)                         \
+/* A limit of the platform may have a fraction.  It is rounded down, so that
+   the daemon's limit is never longer or larger than the platform's.  */
+#define PLATFORM_LIMIT(field, least, most, start, of)                         \
   {                                                                           \
     .name = #field, .type = PU_FIELD_INT, .flags = PU_FIELD_ROUND_DOWN,       \
     .offset = offsetof (pu_settings_platform_t, field), .min = (least),       \
@@ -236,46 +238,46 @@
   PLATFORM_ADDRESS (ready),
   PLATFORM_ADDRESS (control),
   PLATFORM_ADDRESS (directory),
-  PLATFORM_BOUND (memory_mb, 16, 1000000, 256, "MB"),
-  PLATFORM_BOUND (descriptors, 64, 1000000, 4096, "descriptors"),
-  PLATFORM_BOUND (report_ms, 50, MINUTE_MS, 1000, "ms"),
-  PLATFORM_BOUND (drain_ms, 50, MINUTE_MS, 2000, "ms"),
-  PLATFORM_BOUND (in_force_ms, 50, MINUTE_MS, 2000, "ms"),
+  PLATFORM_LIMIT (memory_mb, 16, 1000000, 256, "MB"),
+  PLATFORM_LIMIT (descriptors, 64, 1000000, 4096, "descriptors"),
+  PLATFORM_LIMIT (report_ms, 50, MINUTE_MS, 1000, "ms"),
+  PLATFORM_LIMIT (drain_ms, 50, MINUTE_MS, 2000, "ms"),
+  PLATFORM_LIMIT (in_force_ms, 50, MINUTE_MS, 2000, "ms"),
   PLATFORM_NUMBER (grace_s, 0, 3600, 8, "s"),
-  PLATFORM_BOUND (reuse_s, 0, 3600, 2, "s"),
-  PLATFORM_BOUND (lease_ms, 50, MINUTE_MS, 3000, "ms"),
-  PLATFORM_BOUND (ttl_s, 0, 3600, 5, "s"),
+  PLATFORM_LIMIT (reuse_s, 0, 3600, 2, "s"),
+  PLATFORM_LIMIT (lease_ms, 50, MINUTE_MS, 3000, "ms"),
+  PLATFORM_LIMIT (ttl_s, 0, 3600, 5, "s"),
   { .name = "fenced",
     .type = PU_FIELD_BOOL,
     .offset = offsetof (pu_settings_platform_t, fenced),
     .fallback = 0 },
   PLATFORM_NUMBER (retry_ratio, 0, 10, 0.1, "retries a request"),
-  PLATFORM_BOUND (retry_slack, 0, 1000000, 10, "retries"),
-  PLATFORM_BOUND (retry_window_s, 1, 3600, 10, "s"),
+  PLATFORM_LIMIT (retry_slack, 0, 1000000, 10, "retries"),
+  PLATFORM_LIMIT (retry_window_s, 1, 3600, 10, "s"),
   PLATFORM_NUMBER (store_overage, 0.1, 10, 1, NULL),
-  PLATFORM_BOUND (store_window_s, 1, 3600, 5, "s"),
+  PLATFORM_LIMIT (store_window_s, 1, 3600, 5, "s"),
 };
 static const pu_schema_t platform_schema
     = SCHEMA (platform_fields, pu_settings_platform_t);
 
-static const pu_field_t fields[] = {
+static const pu_field_t settings_fields[] = {
   { .name = "name",
     .type = PU_FIELD_STRING,
     .flags = PU_FIELD_REQUIRED,
     .offset = offsetof (pu_settings_t, name),
-    .max = TEXT_MAX,
+    .max = NAME_MAX_BYTES,
     .check = pu_json_check_name },
   { .name = "region",
     .type = PU_FIELD_STRING,
     .flags = PU_FIELD_REQUIRED,
     .offset = offsetof (pu_settings_t, region),
-    .max = TEXT_MAX,
+    .max = NAME_MAX_BYTES,
     .check = pu_json_check_name },
   { .name = "zone",
     .type = PU_FIELD_STRING,
     .flags = PU_FIELD_REQUIRED,
     .offset = offsetof (pu_settings_t, zone),
-    .max = TEXT_MAX,
+    .max = NAME_MAX_BYTES,
     .check = pu_json_check_name },
   { .name = "roles",
     .type = PU_FIELD_STRINGS,
@@ -306,7 +308,7 @@
   { .name = "join",
     .type = PU_FIELD_STRINGS,
     .offset = offsetof (pu_settings_t, join),
-    .max = LIST_MAX,
+    .max = LIST_MAX_ITEMS,
     .check = check_address },
   { .name = "voters",
     .type = PU_FIELD_LIST,
@@ -316,7 +318,7 @@
   { .name = "seeds",
     .type = PU_FIELD_STRINGS,
     .offset = offsetof (pu_settings_t, seeds),
-    .max = LIST_MAX,
+    .max = LIST_MAX_ITEMS,
     .check = check_address },
   { .name = "found",
     .type = PU_FIELD_BOOL,
@@ -337,11 +339,11 @@
   { .name = "log_level",
     .type = PU_FIELD_WORD,
     .offset = offsetof (pu_settings_t, log_level),
-    .fallback = LOG_LEVEL_START,
+    .fallback = LOG_LEVEL_DEFAULT,
     .words = log_levels },
 };
 
-const pu_schema_t pu_settings_schema = SCHEMA (fields, pu_settings_t);
+const pu_schema_t pu_settings_schema = SCHEMA (settings_fields, pu_settings_t);
 
 const char *
 pu_settings_log_level (const pu_settings_t *s)
--- a/libplantainusher/settings/settings.c
+++ b/libplantainusher/settings/settings.c
@@ -10,9 +10,9 @@
 
 #define PORT_MAX 65535
 
-/* Fields that may change at run time; all others need a restart.  Keep it in
-   step with pu_settings_keep_fixed.  */
-static const char *const reloadable[] = {
+/* Fields that can be reloaded at run time; all others need a restart.
+   pu_settings_keep_fixed must take the same fields from the new settings.  */
+static const char *const reloadable_paths[] = {
   "/limits/max_header_bytes",
   "/limits/max_body_bytes",
   "/limits/max_announcement_bytes",
@@ -27,9 +27,10 @@
   "/join",
 };
 
-/* Splits at the colon before the port; brackets go with version 6.  */
+/* Copies the host part of ADDRESS, which ends at COLON, to HOST without
+   brackets and sets FAMILY: a bracketed host is IPv6.  */
 static bool
-split_host (const char *address, const char *colon, char *host, int *family)
+parse_host (const char *address, const char *colon, char *host, int *family)
 {
   size_t n = (size_t)(colon - address);
 
@@ -55,7 +56,7 @@
   guint64 value;
   int family;
 
-  if (colon == NULL || !split_host (address, colon, host, &family))
+  if (colon == NULL || !parse_host (address, colon, host, &family))
     return false;
   if (inet_pton (family, host, &number) != 1)
     return false;
@@ -100,8 +101,8 @@
   return NULL;
 }
 
-/* Reads the file at PATH, one byte more than is allowed at most; the parser
-   refuses a text of that length.  */
+/* Reads the file at PATH up to one byte past PU_SETTINGS_TEXT_MAX, so that the
+   parser rejects a file that is too long.  */
 static char *
 read_file (const char *path, size_t *len, pu_findings_t *f)
 {
@@ -176,24 +177,24 @@
   return list;
 }
 
-/* Bytes of the host in ADDRESS.  */
+/* Returns the length in bytes of the host part of ADDRESS.  */
 static gsize
-host_len (const char *address)
+host_length (const char *address)
 {
   const char *colon = strrchr (address, ':');
 
   return colon != NULL ? (gsize)(colon - address) : strlen (address);
 }
 
-/* Whether the seed at INDEX stands at this instance: ports differ, as a seed
-   is known by the address of another listener.  */
+/* Returns whether the seed at INDEX is this instance.  Only the hosts are
+   compared: a seed's port belongs to another listener of the instance.  */
 static bool
 is_own_seed (const pu_settings_t *s, guint index)
 {
   const char *seed = s->seeds.items[index];
-  gsize len = host_len (seed);
+  gsize len = host_length (seed);
 
-  return len == host_len (s->addresses.peers)
+  return len == host_length (s->addresses.peers)
          && strncmp (seed, s->addresses.peers, len) == 0;
 }
 
@@ -219,11 +220,11 @@
 static bool
 is_reloadable (const char *path)
 {
-  for (size_t i = 0; i < G_N_ELEMENTS (reloadable); i++)
+  for (size_t i = 0; i < G_N_ELEMENTS (reloadable_paths); i++)
     {
-      size_t n = strlen (reloadable[i]);
+      size_t n = strlen (reloadable_paths[i]);
 
-      if (strncmp (path, reloadable[i], n) == 0
+      if (strncmp (path, reloadable_paths[i], n) == 0
           && (path[n] == '\0' || path[n] == '/'))
         return true;
     }
--- a/libplantainusher/settings/settings.h
+++ b/libplantainusher/settings/settings.h
@@ -11,37 +11,37 @@
 G_BEGIN_DECLS
 
 /*
- * settings - what one daemon is told by its settings file.
+ * settings - the settings file of one daemon.
  *
  * The file is JSON with comments; docs/DOCUMENT.md lists every field.  The
- * strings live as long as the settings.  Addresses are "IP:port" with an IP
- * number, "[IP]:port" for version 6.
+ * strings live as long as the settings.  Addresses are numeric: "IP:port" for
+ * IPv4, "[IP]:port" for IPv6.
  */
 
-/* Longest settings file, in bytes.  */
+/* Maximum size of a settings file, in bytes.  */
 #define PU_SETTINGS_TEXT_MAX ((size_t)1048576)
 
-/* Shortest key, in bytes.  */
+/* Minimum length of a key, in bytes.  */
 #define PU_SETTINGS_KEY_MIN 16
 
-/* Most voters of the replicated log.  */
+/* Maximum number of voters of the replicated log.  */
 #define PU_SETTINGS_VOTERS_MAX 7
 
 typedef struct
 {
   const char *callers;   /* entries only; else "" */
   const char *operators; /* of every daemon */
-  const char *metrics;   /* "": counters are on the operators' address alone */
+  const char *metrics;   /* "": metrics on the operators' address only */
   const char *peers;     /* of every daemon */
 } pu_settings_addresses_t;
 
-/* Where the daemon listens when that is not what it tells others.  */
+/* Listen addresses that differ from the advertised ones.  */
 typedef struct
 {
   const char *peers; /* "": at addresses.peers */
 } pu_settings_listen_t;
 
-/* The key of one operator; the name goes into the history.  */
+/* The key of one operator; the history records the name.  */
 typedef struct
 {
   const char *name;
@@ -51,8 +51,8 @@
 typedef struct
 {
   pu_json_rows_t operators;   /* pu_settings_operator_t */
-  pu_json_strings_t backends; /* any of them opens the announce path */
-  const char *peers;          /* one for all daemons */
+  pu_json_strings_t backends; /* each permits announcements */
+  const char *peers;          /* shared by all daemons */
 } pu_settings_keys_t;
 
 typedef struct
@@ -70,84 +70,86 @@
   guint32 max_open_streams;       /* requests in progress at once */
   guint32 max_peer_message_bytes; /* one record between daemons */
   guint32 max_claims;             /* at-most-once keys kept by a voter */
-  guint32 snapshot_entries;       /* log entries between two snapshots */
-  double drain_s; /* a planned stop waits this long for its requests */
-  guint32 voters; /* control takes in spare instances until it has so many
-                     voters; 0: only operators add them */
+  guint32 snapshot_entries;       /* log entries between snapshots */
+  double drain_s; /* longest wait for requests in flight at a planned stop */
+  guint32 voters; /* spare instances are added as voters up to this
+                     number; 0: only operators add voters */
 } pu_settings_limits_t;
 
 typedef struct
 {
-  guint32 heartbeat_ms;        /* leader to voters */
-  guint32 election_ms;         /* least silence before an election;
-                                  the leader's lease follows from it */
-  guint32 replace_after_ms;    /* a voter silent for longer gives its place
-                                  to a spare, if there is one */
-  guint32 poll_wait_ms;        /* an empty poll is answered after this */
-  guint32 leave_ms;            /* a leaving entry takes callers for so long; 0:
-                                  entries_ttl_s */
-  guint32 loads_ms;            /* an entry tells another of loads this often,
-                                  at most */
-  guint32 gather_ms;           /* a change of copies waits for others for so
-                                  long before daemons are told */
-  guint32 sessions_ms;         /* a voter tells the leader of its daemons,
-                                  backend servers and demand this often */
-  guint32 session_ms;          /* a silent daemon is down after this */
-  guint32 backend_lease_ms;    /* a silent backend server is down after */
-  guint32 report_interval_ms;  /* asked of backend servers */
-  guint32 order_life_ms;       /* an order takes effect no later */
-  guint32 rpc_timeout_ms;      /* one call between daemons */
-  guint32 connect_timeout_ms;  /* any new connection */
-  guint32 progress_timeout_ms; /* a stream without a byte is silent */
-  guint32 probe_timeout_ms;    /* second opinion on a new connection */
-  guint32 idle_connection_ms;  /* life of an idle pooled connection */
-  guint32 entries_ttl_s;       /* how long callers keep an answer */
+  guint32 heartbeat_ms;       /* interval, leader to voters */
+  guint32 election_ms;        /* minimum silence before an election;
+                                 the leader's lease is derived from it */
+  guint32 replace_after_ms;   /* a voter silent for longer is replaced by a
+                                 spare instance, if there is one */
+  guint32 poll_wait_ms;       /* a long poll without news ends after this */
+  guint32 leave_ms;           /* how long a leaving entry accepts callers; 0:
+                                 entries_ttl_s */
+  guint32 loads_ms;           /* minimum interval between an entry's messages
+                                 about loads to another entry */
+  guint32 gather_ms;          /* delay of changes of copies, to notify daemons
+                                 of several at once */
+  guint32 sessions_ms;        /* interval of a voter's messages to the leader
+                                 on daemons, backend servers and demand */
+  guint32 session_ms;         /* a daemon silent for longer is down */
+  guint32 backend_lease_ms;   /* a backend server silent for longer is down */
+  guint32 report_interval_ms; /* requested of backend servers */
+  guint32 order_life_ms;      /* lifetime of an order */
+  guint32 rpc_timeout_ms;     /* of one call between daemons */
+  guint32 connect_timeout_ms; /* of any new connection */
+  guint32
+      progress_timeout_ms;  /* a stream without a byte for longer is silent */
+  guint32 probe_timeout_ms; /* of a health probe, on a new connection */
+  guint32 idle_connection_ms; /* lifetime of an idle pooled connection */
+  guint32 entries_ttl_s;      /* how long callers cache an answer */
 } pu_settings_timing_t;
 
-/* What the platform of the users says of this instance, when it runs there.
-   platform/settings.c derives times and limits from it.  */
+/* The platform's parameters for an instance that runs on it;
+   platform/settings.c derives times and limits from them.  */
 typedef struct
 {
-  const char *ready;     /* where it asks whether this instance is ready; "":
-                            this is no instance of the platform */
-  const char *control;   /* where backend servers and operators call */
-  const char *directory; /* where callers ask for addresses */
-  guint32 memory_mb;     /* of this process, at most */
-  guint32 descriptors;   /* of this process, at most */
-  guint32 report_ms;     /* a backend server reports so often */
-  guint32 drain_ms;      /* a leaving backend server may get work so long */
-  guint32 in_force_ms;   /* an accepted document is in force everywhere */
-  double grace_s;        /* from the signal to stop until the kill */
-  guint32 reuse_s;       /* an address may be given to another after this */
+  const char *ready;     /* address of the platform's readiness checks; "":
+                            this instance is not on the platform */
+  const char *control;   /* address for backend servers and operators */
+  const char *directory; /* address for callers' directory queries */
+  guint32 memory_mb;     /* limit of this process */
+  guint32 descriptors;   /* limit of this process */
+  guint32 report_ms;     /* interval of a backend server's reports */
+  guint32 drain_ms;      /* a leaving backend server may get work this long */
+  guint32 in_force_ms;   /* an accepted document is in force everywhere
+                            after this */
+  double grace_s;        /* from the stop signal to the kill */
+  guint32 reuse_s;       /* an address may be reassigned after this */
   guint32 lease_ms;      /* of a sender of orders */
-  guint32 ttl_s;         /* callers keep an answer about addresses so long */
-  bool fenced;           /* engines refuse an order with an old token */
-  double retry_ratio;    /* retries for each first attempt, all instances */
-  guint32 retry_slack;   /* retries beyond that in one window */
+  guint32 ttl_s;         /* callers cache a directory answer this long */
+  bool fenced;           /* engines reject orders with an old fencing token */
+  double retry_ratio;    /* retries per first attempt, over all instances */
+  guint32 retry_slack;   /* retries allowed beyond that in one window */
   guint32 retry_window_s;
-  double store_overage; /* loads in a window, against the store's rate */
+  double store_overage; /* loads in a window, relative to the store's rate */
   guint32 store_window_s;
 } pu_settings_platform_t;
 
 typedef struct
 {
-  const char *name; /* of the instance, one in the whole system */
+  const char *name; /* of the instance, unique in the system */
   const char *region;
   const char *zone; /* availability zone */
-  bool entry;       /* role: meets callers and backend servers */
+  bool entry;       /* role: serves callers and backend servers */
   bool control;     /* role: votes in the replicated log */
   pu_json_strings_t roles;
-  pu_settings_addresses_t addresses; /* as told to others */
+  pu_settings_addresses_t addresses; /* as advertised to others */
   pu_settings_listen_t listen;
   const char *data_folder; /* control only; else may be "" */
   pu_settings_keys_t keys;
   pu_json_strings_t join;  /* peers' addresses of control daemons */
-  pu_json_rows_t voters;   /* pu_settings_voter_t: the first set, used only
-                              while the data folder is fresh */
-  pu_json_strings_t seeds; /* addresses of control instances of which only the
-                              host counts: their peers' port is our own */
-  bool found;              /* the seeds are the first voters, while the data
-                              folder is fresh */
+  pu_json_rows_t voters;   /* pu_settings_voter_t: the initial set, used only
+                              while the data folder is new */
+  pu_json_strings_t seeds; /* addresses of control instances; only the host is
+                              used, with the port of addresses.peers */
+  bool found;              /* the seeds are the initial voters, while the data
+                              folder is new */
   pu_settings_platform_t platform;
   pu_settings_limits_t limits;
   pu_settings_timing_t timing;
@@ -155,51 +157,51 @@
   pu_json_arena_t *arena; /* holds the strings and lists above */
 } pu_settings_t;
 
-/* pu_settings_parse - reads LEN bytes of TEXT.  Adds a finding to F for each
-   fault.  Returns new settings, or NULL when there is a finding.  */
+/* pu_settings_parse - parses LEN bytes of TEXT.  Adds a finding to F for each
+   error.  Returns new settings, or NULL when it added a finding.  */
 pu_settings_t *pu_settings_parse (const char *text, size_t len,
                                   pu_findings_t *f);
 
-/* pu_settings_load - the same from the file at PATH; a file that cannot be
-   read is a finding too.  */
+/* pu_settings_load - as pu_settings_parse, from the file at PATH; an
+   unreadable file is a finding too.  */
 pu_settings_t *pu_settings_load (const char *path, pu_findings_t *f);
 
 void pu_settings_free (pu_settings_t *s);
 
-/* pu_settings_to_json - a new object with every field, defaults included and
-   keys hidden; for the dump.  The caller owns it.  */
+/* pu_settings_to_json - returns a new object, for the dump, with every field,
+   defaults included and keys hidden.  The caller owns it.  */
 json_t *pu_settings_to_json (const pu_settings_t *s);
 
-/* pu_settings_peers_listen - the address to listen on for peers; the source
-   of connections to them too.  */
+/* pu_settings_peers_listen - returns the address to listen on for peers, which
+   is also the source address of connections to them.  */
 const char *pu_settings_peers_listen (const pu_settings_t *s);
 
-/* pu_settings_on_platform - whether the settings are of an instance of the
-   users' platform.  */
+/* pu_settings_on_platform - returns whether the instance runs on the
+   platform.  */
 bool pu_settings_on_platform (const pu_settings_t *s);
 
-/* pu_settings_seeds - the peers' addresses of the seeds, as a new list that
-   ends in NULL; free it with g_strfreev.  */
+/* pu_settings_seeds - returns the peers' addresses of the seeds as a new,
+   NULL-terminated array; free it with g_strfreev.  */
 char **pu_settings_seeds (const pu_settings_t *s);
 
-/* pu_settings_founds - whether this instance is one of the first voters by
-   its seeds: `found` is set and it is a seed with the role control.  */
+/* pu_settings_founds - returns whether this instance is an initial voter: it
+   has the role control, `found` is set and its address is among the seeds.  */
 bool pu_settings_founds (const pu_settings_t *s);
 
-/* pu_settings_log_level - "warn", "note", "info" or "debug".  */
+/* pu_settings_log_level - returns "warn", "note", "info" or "debug".  */
 const char *pu_settings_log_level (const pu_settings_t *s);
 
-/* pu_settings_reloadable_diff - the fields that differ between OLDER and
-   NEWER and need a restart: a new list of JSON pointers, empty when all that
-   differs may change at run time: log_level, keys but for that of the peers,
-   limits but for max_peer_message_bytes and snapshot_entries.  Free it with
-   g_strfreev.  */
+/* pu_settings_reloadable_diff - returns the fields that differ between OLDER
+   and NEWER and need a restart, as a new, NULL-terminated array of JSON
+   pointers.  The array is empty when every difference can be reloaded at run
+   time: log_level, join, seeds, the keys of operators and backend servers, and
+   limits except max_peer_message_bytes, snapshot_entries and voters.  Free it
+   with g_strfreev.  */
 char **pu_settings_reloadable_diff (const pu_settings_t *older,
                                     const pu_settings_t *newer);
 
-/* pu_settings_keep_fixed - puts the fields of OLDER that need a restart into
-   NEWER in place of its own.  Their strings stay those of OLDER, which must
-   live longer.  */
+/* pu_settings_keep_fixed - copies the fields that need a restart from OLDER to
+   NEWER.  Their strings still belong to OLDER, which must outlive NEWER.  */
 void pu_settings_keep_fixed (pu_settings_t *newer, const pu_settings_t *older);
 
 /* pu_settings_split_address - splits "IP:port" or "[IP]:port" into HOST (of
--- a/libplantainusher/settings/settings_fuzz.cc
+++ b/libplantainusher/settings/settings_fuzz.cc
@@ -1,12 +1,12 @@
-/* Any text gives settings or findings, and what is shown of settings holds no
-   key.  */
+/* Arbitrary text must yield either settings or findings, and the JSON form of
+   settings must hide the peers' key.  */
 #include <stdint.h>
 #include <string.h>
 
 #include "settings/settings.h"
 
 static bool
-is_hidden (const json_t *shown)
+peers_key_is_hidden (const json_t *shown)
 {
   const json_t *keys = json_object_get (shown, "keys");
   const char *peers = json_string_value (json_object_get (keys, "peers"));
@@ -27,7 +27,7 @@
     {
       json_t *shown = pu_settings_to_json (s);
 
-      if (!is_hidden (shown))
+      if (!peers_key_is_hidden (shown))
         __builtin_trap ();
       json_decref (shown);
     }
--- a/libplantainusher/settings/settings_test.cc
+++ b/libplantainusher/settings/settings_test.cc
@@ -12,7 +12,7 @@
 namespace
 {
 
-/* JSON in the tests has ' for ".  */
+/* JSON in these tests is written with ' in place of ".  */
 std::string
 quoted (std::string text)
 {
@@ -47,7 +47,8 @@
   return text.replace (at, from.size (), to);
 }
 
-/* The findings of TEXT as "path: message" lines.  */
+/* Returns the findings of SINGLY, JSON with single quotes, as "path: message"
+   lines.  */
 std::string
 findings_of (const std::string &singly)
 {
@@ -94,7 +95,8 @@
   pu_settings_free (s);
 }
 
-/* An instance that refused such bounds did not start at all.  */
+/* The platform may give limits with fractions; an instance that rejected them
+   would not start.  */
 TEST (Settings, TakeFractionsOfThePlatformsBoundsRoundedDown)
 {
   const std::string platform
@@ -132,17 +134,17 @@
   pu_settings_free (s);
 }
 
-struct change
+struct fault_case
 {
   const char *text;
   const char *from;
   const char *to;
-  const char *finding; /* a line that must be told; nothing else may be */
+  const char *finding; /* all findings expected, one per line */
 };
 
 TEST (Settings, FindEachFaultAtItsPlace)
 {
-  const change cases[] = {
+  const fault_case cases[] = {
     { control, "'data_folder': '/d',", "",
       "/data_folder: is required for role control\n" },
     { control, "'voters': [{'name': 'c1'", "'voters': [{'name': 'x'",
@@ -212,7 +214,7 @@
       "/keys/backends/0: has 4 bytes; at least 16 are needed\n" },
   };
 
-  for (const change &c : cases)
+  for (const fault_case &c : cases)
     {
       EXPECT_EQ (quoted (c.finding),
                  findings_of (replaced (c.text, c.from, c.to)));
@@ -284,7 +286,7 @@
   pu_settings_free (older);
 }
 
-/* With what needs a restart kept, nothing is left that needs one.  */
+/* After pu_settings_keep_fixed, no difference needs a restart.  */
 TEST (Settings, KeepWhatNeedsARestart)
 {
   pu_settings_t *older = parse (entry);
