--- a/libplantainusher/settings/checks.c
+++ b/libplantainusher/settings/checks.c
@@ -24,7 +24,7 @@
   TIME_RULE (election_ms, 4, heartbeat_ms,
              "two lost heartbeats would cost the leader its lease"),
   TIME_RULE (replace_after_ms, 4, election_ms,
-             "a change of the leader could cost a living voter its place"),
+             "a change of the leader could get a live voter replaced"),
   TIME_RULE (session_ms, 2, poll_wait_ms,
              "one lost poll would end the session"),
   TIME_RULE (order_life_ms, 4, backend_lease_ms,
@@ -72,7 +72,7 @@
                    "is %u; it must be at least %" G_GUINT64_FORMAT
                    ": 2 times report_interval_ms (%u), poll_wait_ms (%u) and "
                    "%u ms between voters, else a live backend server is "
-                   "taken for dead",
+                   "considered down",
                    t->backend_lease_ms, least, t->report_interval_ms,
                    t->poll_wait_ms, t->sessions_ms);
 }
--- a/libplantainusher/settings/settings_test.cc
+++ b/libplantainusher/settings/settings_test.cc
@@ -190,20 +190,20 @@
     { control, "'name': 'c1'",
       "'timing': {'replace_after_ms': 3999}, 'name': 'c1'",
       "/timing/replace_after_ms: is 3999; it must be at least 4 times "
-      "election_ms (1000), else a change of the leader could cost a living "
-      "voter its place\n" },
+      "election_ms (1000), else a change of the leader could get a live "
+      "voter replaced\n" },
     { control, "'name': 'c1'",
       "'timing': {'poll_wait_ms': 5000}, 'name': 'c1'",
       "/timing/session_ms: is 8000; it must be at least 2 times poll_wait_ms "
       "(5000), else one lost poll would end the session\n"
       "/timing/backend_lease_ms: is 5000; it must be at least 8000: 2 times "
       "report_interval_ms (1000), poll_wait_ms (5000) and 1000 ms between "
-      "voters, else a live backend server is taken for dead\n" },
+      "voters, else a live backend server is considered down\n" },
     { control, "'name': 'c1'",
       "'timing': {'backend_lease_ms': 4999}, 'name': 'c1'",
       "/timing/backend_lease_ms: is 4999; it must be at least 5000: 2 times "
       "report_interval_ms (1000), poll_wait_ms (2000) and 1000 ms between "
-      "voters, else a live backend server is taken for dead\n" },
+      "voters, else a live backend server is considered down\n" },
     { entry, "'callers': '127.0.0.1:4',", "",
       "/addresses/callers: is required for role entry\n" },
     { entry, "'join': ['127.0.0.1:3']", "'log_level': 'info'",
