--- a/libplantainusher/directory/directory.c
+++ b/libplantainusher/directory/directory.c
@@ -4,13 +4,13 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define SET_MIN 2
-#define ENTRY_CAPACITY 200
-#define TTL_S 10
-#define WEIGHT_ZONE 100
-#define WEIGHT_REGION 10
-#define WEIGHT_FAR 1
-#define CACHE_MAX 4096
+#define DEFAULT_SET_MIN 2
+#define DEFAULT_ENTRY_CAPACITY_PER_S 200
+#define DEFAULT_TTL_S 10
+#define DEFAULT_WEIGHT_ZONE 100
+#define DEFAULT_WEIGHT_REGION 10
+#define DEFAULT_WEIGHT_OTHER 1
+#define DEFAULT_CACHE_MAX 4096
 
 typedef struct
 {
@@ -18,16 +18,16 @@
   char *address;
   char *region;
   char *zone;
-  guint64 hash; /* of the name */
-  guint place;  /* number of its (region, zone) in this view */
+  guint64 hash;     /* of the name */
+  guint zone_index; /* index of its (region, zone) in this view */
 } member_t;
 
-/* One member's place in a ranking, before and after it is ordered.  */
+/* One member in a ranking.  */
 typedef struct
 {
   guint64 score;
   guint member;
-  guint round; /* how many of its zone come before it */
+  guint zone_rank; /* members of its zone with a higher score */
 } rank_t;
 
 struct pu_directory
@@ -35,8 +35,8 @@
   pu_directory_options_t options;
   char *self;
   guint64 view;
-  GArray *members; /* of member_t, entries that do not leave */
-  guint places;
+  GArray *members; /* of member_t: entries that are not leaving */
+  guint n_zones;
   GHashTable *rankings; /* key -> GArray of guint, members in order */
 };
 
@@ -45,13 +45,13 @@
 {
   *o = (pu_directory_options_t){
     .self = "",
-    .set_min = SET_MIN,
-    .entry_capacity = ENTRY_CAPACITY,
-    .ttl_s = TTL_S,
-    .weight_zone = WEIGHT_ZONE,
-    .weight_region = WEIGHT_REGION,
-    .weight_far = WEIGHT_FAR,
-    .cache_max = CACHE_MAX,
+    .set_min = DEFAULT_SET_MIN,
+    .entry_capacity_per_s = DEFAULT_ENTRY_CAPACITY_PER_S,
+    .ttl_s = DEFAULT_TTL_S,
+    .weight_zone = DEFAULT_WEIGHT_ZONE,
+    .weight_region = DEFAULT_WEIGHT_REGION,
+    .weight_other = DEFAULT_WEIGHT_OTHER,
+    .cache_max = DEFAULT_CACHE_MAX,
   };
 }
 
@@ -104,9 +104,9 @@
   return &g_array_index (d->members, member_t, i);
 }
 
-/* The number of M's zone: that of an earlier member there, or a new one.  */
+/* The index of M's zone; a new one when no earlier member is in that zone.  */
 static guint
-place_of (pu_directory_t *d, const pu_directory_member_t *m)
+zone_index_of (pu_directory_t *d, const pu_directory_member_t *m)
 {
   for (guint i = 0; i < d->members->len; i++)
     {
@@ -114,9 +114,9 @@
 
       if (strcmp (other->zone, m->zone) == 0
           && strcmp (other->region, m->region) == 0)
-        return other->place;
+        return other->zone_index;
     }
-  return d->places++;
+  return d->n_zones++;
 }
 
 static void
@@ -128,7 +128,7 @@
     .region = g_strdup (m->region),
     .zone = g_strdup (m->zone),
     .hash = XXH64 (m->name, strlen (m->name), 0),
-    .place = place_of (d, m),
+    .zone_index = zone_index_of (d, m),
   };
 
   g_array_append_val (d->members, copy);
@@ -141,7 +141,7 @@
   if (view < d->view)
     return false;
   d->view = view;
-  d->places = 0;
+  d->n_zones = 0;
   g_array_set_size (d->members, 0);
   g_hash_table_remove_all (d->rankings);
   for (guint i = 0; i < n; i++)
@@ -155,7 +155,7 @@
 guint
 pu_directory_size (const pu_directory_t *d, double rate)
 {
-  double capacity = MAX (d->options.entry_capacity, 1);
+  double capacity = MAX (d->options.entry_capacity_per_s, 1);
   double need = ceil (MAX (rate, 0) / capacity);
   guint most = d->members->len;
   guint size;
@@ -166,8 +166,8 @@
   return MIN (MAX (size, d->options.set_min), most);
 }
 
-/* Highest score first; the member's name decides between equal ones, so that
-   the order of the view does not matter.  */
+/* Highest score first; ties are ordered by member name, so that the
+   result does not depend on the order of the view.  */
 static gint
 compare_scores (gconstpointer a, gconstpointer b, gpointer data)
 {
@@ -182,25 +182,25 @@
 }
 
 static gint
-compare_rounds (gconstpointer a, gconstpointer b, gpointer data)
+compare_zone_ranks (gconstpointer a, gconstpointer b, gpointer data)
 {
   const rank_t *x = a;
   const rank_t *y = b;
 
-  if (x->round != y->round)
-    return x->round < y->round ? -1 : 1;
+  if (x->zone_rank != y->zone_rank)
+    return x->zone_rank < y->zone_rank ? -1 : 1;
   return compare_scores (a, b, data);
 }
 
-/* Ranks all members for KEY: by score inside a zone, and the zones in
-   turns.  */
+/* Ranks all members for KEY: the best of each zone, then the second best of
+   each zone, and so on, by score within each of these groups.  */
 static GArray *
 rank_members (const pu_directory_t *d, const char *key)
 {
   guint n = d->members->len;
   guint64 seed = XXH64 (key, strlen (key), 0);
   rank_t *ranks = g_new (rank_t, n + 1);
-  guint *seen = g_new0 (guint, d->places + 1);
+  guint *n_ranked = g_new0 (guint, d->n_zones + 1);
   GArray *order = g_array_sized_new (FALSE, FALSE, sizeof (guint), n);
 
   for (guint i = 0; i < n; i++)
@@ -212,12 +212,13 @@
   g_qsort_with_data (ranks, (gint)n, sizeof *ranks, compare_scores,
                      (gpointer)d);
   for (guint i = 0; i < n; i++)
-    ranks[i].round = seen[member_at (d, ranks[i].member)->place]++;
-  g_qsort_with_data (ranks, (gint)n, sizeof *ranks, compare_rounds,
+    ranks[i].zone_rank
+        = n_ranked[member_at (d, ranks[i].member)->zone_index]++;
+  g_qsort_with_data (ranks, (gint)n, sizeof *ranks, compare_zone_ranks,
                      (gpointer)d);
   for (guint i = 0; i < n; i++)
     g_array_append_val (order, ranks[i].member);
-  g_free (seen);
+  g_free (n_ranked);
   g_free (ranks);
   return order;
 }
@@ -238,19 +239,19 @@
 
 typedef enum
 {
-  NEAR_ZONE,
-  NEAR_REGION,
-  FAR,
+  SAME_ZONE,
+  SAME_REGION,
+  OTHER_REGION,
 } distance_t;
 
 static distance_t
 distance (const member_t *m, const char *region, const char *zone)
 {
   if (region && strcmp (m->region, region) != 0)
-    return FAR;
+    return OTHER_REGION;
   if (zone && strcmp (m->zone, zone) == 0)
-    return NEAR_ZONE;
-  return NEAR_REGION;
+    return SAME_ZONE;
+  return SAME_REGION;
 }
 
 static guint
@@ -258,14 +259,14 @@
 {
   switch (at)
     {
-    case NEAR_ZONE:
+    case SAME_ZONE:
       return d->options.weight_zone;
-    case NEAR_REGION:
+    case SAME_REGION:
       return d->options.weight_region;
-    case FAR:
+    case OTHER_REGION:
       break;
     }
-  return d->options.weight_far;
+  return d->options.weight_other;
 }
 
 static pu_directory_entry_t
@@ -281,7 +282,7 @@
   const GArray *order = ranking (d, key);
   guint n = MIN (size, order->len);
 
-  for (distance_t at = NEAR_ZONE; at <= FAR; at++)
+  for (distance_t at = SAME_ZONE; at <= OTHER_REGION; at++)
     {
       for (guint i = 0; i < n; i++)
         {
@@ -319,7 +320,7 @@
 }
 
 static bool
-avoided (const char *name, const char *const *avoid, guint n)
+is_avoided (const char *name, const char *const *avoid, guint n)
 {
   for (guint i = 0; i < n; i++)
     {
@@ -348,7 +349,7 @@
   const GArray *order = ranking (d, key);
   const member_t *self = find_member (d, d->self);
   const member_t *best = NULL;
-  distance_t best_at = FAR;
+  distance_t best_at = OTHER_REGION;
 
   if (hops > 0 || pu_directory_contains (d, key, size, d->self))
     return false;
@@ -356,9 +357,9 @@
     {
       const member_t *m = member_at (d, g_array_index (order, guint, i));
       distance_t at
-          = self ? distance (m, self->region, self->zone) : NEAR_REGION;
+          = self ? distance (m, self->region, self->zone) : SAME_REGION;
 
-      if (avoided (m->name, avoid, n_avoid))
+      if (is_avoided (m->name, avoid, n_avoid))
         continue;
       if (best && at >= best_at)
         continue;
--- a/libplantainusher/directory/directory_test.cc
+++ b/libplantainusher/directory/directory_test.cc
@@ -105,7 +105,7 @@
   EXPECT_GT (list[0].weight, list[2].weight);
 }
 
-TEST (Directory, LeavingMembersAndOthersThanEntriesAreInNoSet)
+TEST (Directory, LeavingMembersAndNonEntriesAreExcluded)
 {
   auto list = members (4, 2);
   list[1].leaving = true;
@@ -122,7 +122,7 @@
   EXPECT_EQ (d.names ("chat", 9).size (), 3u);
 }
 
-TEST (Directory, NextHopIsInTheSetNearAndTakenOnce)
+TEST (Directory, NextHopIsNearestInSetAndTakenOnce)
 {
   auto list = members (9, 3);
   Directory probe (list);
@@ -147,8 +147,8 @@
     }
 }
 
-/* What is checked of a loss: the sets without the member stay, the sets with
-   it lose it and gain at most one.  */
+/* Whether the loss of a member changed a set as little as possible: the other
+   members stay, and at most one member replaces the lost one.  */
 bool
 loss_is_minimal (const std::set<std::string> &before,
                  const std::set<std::string> &after, const std::string &lost)
@@ -161,7 +161,7 @@
   return after.size () <= before.size () && after.count (lost) == 0;
 }
 
-RC_GTEST_PROP (DirectoryProperty, LossMovesOnlyTheLostShare, ())
+RC_GTEST_PROP (DirectoryProperty, LossChangesOnlySetsOfTheLostMember, ())
 {
   auto list = members (*rc::gen::inRange (1, 30), *rc::gen::inRange (1, 5));
   auto size = *rc::gen::inRange<guint> (1, 8);
@@ -178,7 +178,7 @@
         before[k], d.names ("s" + std::to_string (k), size), name));
 }
 
-RC_GTEST_PROP (DirectoryProperty, OrderOfTheViewDoesNotMatterAndHeadsNest, ())
+RC_GTEST_PROP (DirectoryProperty, SetsIgnoreMemberOrderAndNest, ())
 {
   auto list = members (*rc::gen::inRange (1, 30), 3);
   auto size = *rc::gen::inRange<guint> (1, 8);
@@ -203,9 +203,9 @@
   RC_ASSERT (zones.size () == 3u);
 }
 
-/* The check of a loss can fail: hashing modulo the number of members, the
-   usual mistake, does not pass it.  */
-TEST (DirectoryBreak, ModuloHashingIsCaught)
+/* loss_is_minimal rejects hashing modulo the number of members, a common
+   mistake.  */
+TEST (DirectoryBreak, ModuloHashingIsDetected)
 {
   auto modulo = [] (int n, guint key) {
     std::set<std::string> set;
@@ -213,10 +213,10 @@
       set.insert ("e" + std::to_string ((key * 7 + i) % n));
     return set;
   };
-  int caught = 0;
+  int detected = 0;
   for (guint key = 0; key < 40; key++)
-    caught += !loss_is_minimal (modulo (10, key), modulo (9, key), "e9");
-  EXPECT_GT (caught, 0);
+    detected += !loss_is_minimal (modulo (10, key), modulo (9, key), "e9");
+  EXPECT_GT (detected, 0);
 }
 
 TEST (Directory, LoadIsEven)
--- a/libplantainusher/document/check.c
+++ b/libplantainusher/document/check.c
@@ -1,23 +1,24 @@
 #include "document/internal.h"
 
-/* Names proposed for one that is not declared.  */
+/* Most similar names listed for a name that is not declared.  */
 #define NEAR_MAX 3
 
 typedef struct
 {
   const pu_document_t *d;
   pu_findings_t *f;
-  guint found;
+  guint n_findings;
 } checker_t;
 
-/* Adds a finding at PATH, which it frees.  */
+/* Adds a finding at PATH and frees PATH.  Counts findings beyond the limit
+   without adding them.  */
 static void G_GNUC_PRINTF (3, 4)
-    find (checker_t *c, char *path, const char *format, ...)
+    add_finding (checker_t *c, char *path, const char *format, ...)
 {
   va_list ap;
   char *message;
 
-  if (c->found < PU_DOCUMENT_FINDINGS_MAX)
+  if (c->n_findings < PU_DOCUMENT_FINDINGS_MAX)
     {
       va_start (ap, format);
       message = g_strdup_vprintf (format, ap);
@@ -25,14 +26,14 @@
       pu_findings_add (c->f, path, "%s", message);
       g_free (message);
     }
-  c->found++;
+  c->n_findings++;
   g_free (path);
 }
 
-/* The JSON pointer "/TABLE/NAME" and REST; a name that is no name was found
-   by the schema, so that escaping matters for the place only.  */
+/* The JSON pointer "/TABLE/NAME" and REST; NAME may be invalid, which
+   the schema check reports, and is escaped for the pointer.  */
 static char *
-place (const char *table, const char *name, const char *rest)
+row_pointer (const char *table, const char *name, const char *rest)
 {
   GString *path = g_string_new (NULL);
 
@@ -43,11 +44,11 @@
 }
 
 static void
-find_undeclared (checker_t *c, char *path, const char *what, const char *name)
+add_undeclared (checker_t *c, char *path, const char *what, const char *name)
 {
   char *near;
 
-  if (c->found >= PU_DOCUMENT_FINDINGS_MAX)
+  if (c->n_findings >= PU_DOCUMENT_FINDINGS_MAX)
     {
       g_free (path);
       return;
@@ -55,18 +56,18 @@
   near = pu_document_near_models (c->d, name);
   if (*near == '\0')
     {
-      find (c, path, "%s \"%s\" is not declared", what, name);
+      add_finding (c, path, "%s \"%s\" is not declared", what, name);
     }
   else
     {
-      find (c, path, "%s \"%s\" is not declared; near it: %s", what, name,
-            near);
+      add_finding (c, path, "%s \"%s\" is not declared; near it: %s", what,
+                   name, near);
     }
   g_free (near);
 }
 
 static void
-check_listed (checker_t *c, const pu_service_t *s)
+check_listed_models (checker_t *c, const pu_service_t *s)
 {
   for (guint i = 0; i < s->model_names.n; i++)
     {
@@ -75,8 +76,8 @@
       if (s->models[i] != PU_HANDLE_NONE)
         continue;
       g_snprintf (rest, sizeof rest, "/models/%u", i);
-      find_undeclared (c, place ("services", s->name, rest), "the model",
-                       s->model_names.items[i]);
+      add_undeclared (c, row_pointer ("services", s->name, rest), "the model",
+                      s->model_names.items[i]);
     }
 }
 
@@ -85,18 +86,18 @@
 {
   if (s->model_names.n == 0)
     {
-      find (c, place ("services", s->name, "/models"),
-            "is required for kind model: at least one");
+      add_finding (c, row_pointer ("services", s->name, "/models"),
+                   "is required for kind model: at least one");
     }
   if (s->targets.answer_ms != 0)
     {
-      find (c, place ("services", s->name, "/targets/answer_ms"),
-            "is for kind plain only");
+      add_finding (c, row_pointer ("services", s->name, "/targets/answer_ms"),
+                   "is for kind plain only");
     }
   if (s->not_repeatable.n != 0)
     {
-      find (c, place ("services", s->name, "/not_repeatable"),
-            "is for kind plain only");
+      add_finding (c, row_pointer ("services", s->name, "/not_repeatable"),
+                   "is for kind plain only");
     }
 }
 
@@ -104,16 +105,19 @@
 check_plain_service (checker_t *c, const pu_service_t *s)
 {
   if (s->model_names.n != 0)
-    find (c, place ("services", s->name, "/models"), "is for kind model only");
+    add_finding (c, row_pointer ("services", s->name, "/models"),
+                 "is for kind model only");
   if (s->targets.first_token_ms != 0)
     {
-      find (c, place ("services", s->name, "/targets/first_token_ms"),
-            "is for kind model only; plain has answer_ms");
+      add_finding (
+          c, row_pointer ("services", s->name, "/targets/first_token_ms"),
+          "is for kind model only; plain has answer_ms");
     }
   if (s->targets.per_token_ms != 0)
     {
-      find (c, place ("services", s->name, "/targets/per_token_ms"),
-            "is for kind model only; plain has answer_ms");
+      add_finding (c,
+                   row_pointer ("services", s->name, "/targets/per_token_ms"),
+                   "is for kind model only; plain has answer_ms");
     }
 }
 
@@ -129,7 +133,7 @@
       check_plain_service (c, s);
       break;
     }
-  check_listed (c, s);
+  check_listed_models (c, s);
 }
 
 static void
@@ -141,27 +145,27 @@
     return;
   if (m->base == PU_HANDLE_NONE)
     {
-      find_undeclared (c, place ("adapters", m->name, "/base"), "the base",
-                       m->base_name);
+      add_undeclared (c, row_pointer ("adapters", m->name, "/base"),
+                      "the base", m->base_name);
       return;
     }
   base = &c->d->models[m->base];
   if (base->kind == PU_MODEL_ADAPTER)
     {
-      find (c, place ("adapters", m->name, "/base"),
-            "\"%s\" is an adapter; a base is a model", m->base_name);
+      add_finding (c, row_pointer ("adapters", m->name, "/base"),
+                   "\"%s\" is an adapter; a base is a model", m->base_name);
     }
   else if (m->min_copies > base->max_copies)
     {
-      find (c, place ("adapters", m->name, "/min_copies"),
-            "is %u; its base \"%s\" has at most %u copies", m->min_copies,
-            m->base_name, base->max_copies);
+      add_finding (c, row_pointer ("adapters", m->name, "/min_copies"),
+                   "is %u; its base \"%s\" has at most %u copies",
+                   m->min_copies, m->base_name, base->max_copies);
     }
 }
 
 /* Rows are sorted by name, a model before an adapter.  */
 static bool
-is_doubled (const pu_document_t *d, pu_model_handle_t h)
+is_duplicate (const pu_document_t *d, pu_model_handle_t h)
 {
   return h > 0 && g_str_equal (d->models[h - 1].name, d->models[h].name);
 }
@@ -172,34 +176,35 @@
   const pu_model_t *m = &c->d->models[h];
   const char *table = m->kind == PU_MODEL_BASE ? "models" : "adapters";
 
-  if (is_doubled (c->d, h))
+  if (is_duplicate (c->d, h))
     {
-      find (c, place (table, m->name, ""),
-            "is a model too; models and adapters share their names");
+      add_finding (c, row_pointer (table, m->name, ""),
+                   "is a model too; models and adapters share their names");
       return;
     }
   if (m->min_copies > m->max_copies)
     {
-      find (c, place (table, m->name, "/min_copies"),
-            "is %u; max_copies is %u copies", m->min_copies, m->max_copies);
+      add_finding (c, row_pointer (table, m->name, "/min_copies"),
+                   "is %u; max_copies is %u copies", m->min_copies,
+                   m->max_copies);
     }
   if (*m->version != '\0' && g_str_equal (m->version, m->previous_version))
     {
-      find (c, place (table, m->name, "/previous_version"),
-            "is the same as version");
+      add_finding (c, row_pointer (table, m->name, "/previous_version"),
+                   "is the same as version");
     }
   if (m->kind == PU_MODEL_ADAPTER)
     check_base (c, m);
   if (c->d->default_service[h] == PU_HANDLE_NONE)
     {
-      find (c, place (table, m->name, ""),
-            "is in no service, so that no caller can reach it");
+      add_finding (c, row_pointer (table, m->name, ""),
+                   "is in no service, so that no caller can reach it");
     }
   /* Rows are sorted by name, a model before an adapter.  */
   if (h > 0 && g_str_equal (c->d->models[h - 1].name, m->name))
     {
-      find (c, place (table, m->name, ""),
-            "is a model too; models and adapters share their names");
+      add_finding (c, row_pointer (table, m->name, ""),
+                   "is a model too; models and adapters share their names");
     }
 }
 
@@ -215,39 +220,41 @@
       if (parts[i].service != PU_HANDLE_NONE)
         continue;
       g_snprintf (rest, sizeof rest, "/to/%u/service", i);
-      find (c, place ("routes", r->name, rest),
-            "the service \"%s\" is not declared", parts[i].service_name);
+      add_finding (c, row_pointer ("routes", r->name, rest),
+                   "the service \"%s\" is not declared",
+                   parts[i].service_name);
     }
   if (r->parts.n > 0 && r->weights == 0)
-    find (c, place ("routes", r->name, "/to"), "has weights that add up to 0");
+    add_finding (c, row_pointer ("routes", r->name, "/to"),
+                 "has weights that add up to 0");
 }
 
 static void
-check_route (checker_t *c, const pu_route_t *r, GHashTable *places)
+check_route (checker_t *c, const pu_route_t *r, GHashTable *by_prefix)
 {
   char *key = g_strconcat (r->host, r->path_prefix, NULL);
-  const char *first = g_hash_table_lookup (places, key);
+  const char *first = g_hash_table_lookup (by_prefix, key);
 
   check_parts (c, r);
   if (first != NULL)
     {
-      find (c, place ("routes", r->name, ""),
-            "has the same host and path_prefix as \"%s\"", first);
+      add_finding (c, row_pointer ("routes", r->name, ""),
+                   "has the same host and path_prefix as \"%s\"", first);
       g_free (key);
       return;
     }
-  g_hash_table_insert (places, key, (gpointer)r->name);
+  g_hash_table_insert (by_prefix, key, (gpointer)r->name);
 }
 
 static void
 check_routes (checker_t *c)
 {
-  GHashTable *places
+  GHashTable *by_prefix
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
 
   for (guint h = 0; h < pu_document_routes (c->d); h++)
-    check_route (c, pu_document_route (c->d, h), places);
-  g_hash_table_destroy (places);
+    check_route (c, pu_document_route (c->d, h), by_prefix);
+  g_hash_table_destroy (by_prefix);
 }
 
 void
--- a/libplantainusher/document/document.c
+++ b/libplantainusher/document/document.c
@@ -2,10 +2,10 @@
 
 #include <string.h>
 
-/* Targets of a service that gives none, in milliseconds.  */
-#define FIRST_TOKEN_MS 1000
-#define PER_TOKEN_MS 100
-#define ANSWER_MS 500
+/* Default targets of a service.  */
+#define DEFAULT_FIRST_TOKEN_MS 1000
+#define DEFAULT_PER_TOKEN_MS 100
+#define DEFAULT_ANSWER_MS 500
 
 static gint
 compare_models (gconstpointer a, gconstpointer b)
@@ -33,7 +33,7 @@
 }
 
 static void
-make_models (pu_document_t *d)
+build_model_table (pu_document_t *d)
 {
   d->n_models = d->bases.n + d->adapters.n;
   d->models = g_new0 (pu_model_t, d->n_models + 1);
@@ -54,13 +54,14 @@
 static void
 add_name (GHashTable *names, const char *name, guint32 h)
 {
-  /* Of a doubled name, which the checks refuse, the first counts.  */
+  /* The first row of a duplicate name is used; pu_document_check reports the
+     duplicate.  */
   if (!g_hash_table_contains (names, name))
     g_hash_table_insert (names, (gpointer)name, GUINT_TO_POINTER (h + 1));
 }
 
 static void
-make_names (pu_document_t *d)
+build_name_tables (pu_document_t *d)
 {
   const pu_service_t *services = d->services.items;
 
@@ -72,9 +73,10 @@
     add_name (d->model_names, d->models[i].name, i);
 }
 
-/* Resolves the models that service S lists.  */
+/* Resolves the models that service S lists.  S becomes the default service of
+   those that have none yet.  */
 static void
-resolve_service (pu_document_t *d, pu_service_handle_t s)
+resolve_service_models (pu_document_t *d, pu_service_handle_t s)
 {
   pu_service_t *service = (pu_service_t *)d->services.items + s;
   guint n = service->model_names.n;
@@ -106,14 +108,14 @@
     }
 }
 
-/* Groups the adapters by their base: a counting sort.  */
+/* Groups the adapters by their base with a counting sort.  */
 static void
 group_adapters (pu_document_t *d)
 {
   guint *next = g_new0 (guint, d->n_models + 1);
 
   d->first_adapter = g_new0 (guint, d->n_models + 1);
-  d->by_base = g_new0 (pu_model_handle_t, d->n_models + 1);
+  d->adapters_by_base = g_new0 (pu_model_handle_t, d->n_models + 1);
   for (guint h = 0; h < d->n_models; h++)
     {
       if (d->models[h].base != PU_HANDLE_NONE)
@@ -125,24 +127,24 @@
   for (guint h = 0; h < d->n_models; h++)
     {
       if (d->models[h].base != PU_HANDLE_NONE)
-        d->by_base[next[d->models[h].base]++] = h;
+        d->adapters_by_base[next[d->models[h].base]++] = h;
     }
   g_free (next);
 }
 
 static void
-make_tables (pu_document_t *d)
+build_tables (pu_document_t *d)
 {
-  make_models (d);
-  make_names (d);
+  build_model_table (d);
+  build_name_tables (d);
   d->default_service = g_new (pu_service_handle_t, d->n_models + 1);
   for (guint h = 0; h < d->n_models; h++)
     d->default_service[h] = PU_HANDLE_NONE;
   for (guint s = 0; s < d->services.n; s++)
-    resolve_service (d, s);
+    resolve_service_models (d, s);
   resolve_bases (d);
   group_adapters (d);
-  pu_routes_make (d);
+  pu_routes_build (d);
 }
 
 static void
@@ -152,9 +154,10 @@
     *value = fallback;
 }
 
-/* Targets left out, once the checks have seen which were given.  */
+/* Fills in omitted targets.  Runs after the checks, which use 0 to recognize
+   a target that was omitted.  */
 static void
-set_targets (pu_document_t *d)
+set_default_targets (pu_document_t *d)
 {
   pu_service_t *services = d->services.items;
 
@@ -165,17 +168,18 @@
       switch ((pu_service_kind_t)services[i].kind)
         {
         case PU_SERVICE_MODEL:
-          set_default (&t->first_token_ms, FIRST_TOKEN_MS);
-          set_default (&t->per_token_ms, PER_TOKEN_MS);
+          set_default (&t->first_token_ms, DEFAULT_FIRST_TOKEN_MS);
+          set_default (&t->per_token_ms, DEFAULT_PER_TOKEN_MS);
           break;
         case PU_SERVICE_PLAIN:
-          set_default (&t->answer_ms, ANSWER_MS);
+          set_default (&t->answer_ms, DEFAULT_ANSWER_MS);
           break;
         }
     }
 }
 
-/* With a table that is no object, every name would seem undeclared.  */
+/* Whether the tables in VALUE are JSON objects.  If one is not, its names
+   cannot be read and the checks would report each of them as undeclared.  */
 static bool
 tables_are_objects (const json_t *value)
 {
@@ -193,7 +197,7 @@
 }
 
 static void
-keep_text (pu_document_t *d, const json_t *value, pu_findings_t *f)
+store_text (pu_document_t *d, const json_t *value, pu_findings_t *f)
 {
   d->text = pu_json_text (value);
   if (strlen (d->text) > PU_DOCUMENT_TEXT_MAX)
@@ -209,14 +213,15 @@
 read_value (pu_document_t *d, const json_t *value, pu_findings_t *f)
 {
   pu_json_read (value, &pu_document_schema, d, d->arena, f);
-  make_tables (d);
+  build_tables (d);
   if (!tables_are_objects (value))
     return;
   pu_document_check (d, f);
-  set_targets (d);
+  set_default_targets (d);
 }
 
-/* The document of VALUE, with its text when WITH_TEXT.  */
+/* Creates the document of VALUE and stores its canonical text when WITH_TEXT
+   is true.  Returns NULL when there is a finding.  */
 static pu_document_t *
 document_new (const json_t *value, bool with_text, pu_findings_t *f)
 {
@@ -227,7 +232,7 @@
   d->arena = pu_json_arena_new ();
   read_value (d, value, f);
   if (with_text && pu_findings_count (f) == before)
-    keep_text (d, value, f);
+    store_text (d, value, f);
   if (pu_findings_count (f) == before)
     return d;
   pu_document_unref (d);
@@ -282,7 +287,7 @@
   g_hash_table_destroy (d->model_names);
   g_free (d->models);
   g_free (d->default_service);
-  g_free (d->by_base);
+  g_free (d->adapters_by_base);
   g_free (d->first_adapter);
   g_free (d->text);
   pu_json_arena_free (d->arena);
@@ -385,7 +390,7 @@
 {
   g_assert (h < d->n_models);
   *n = d->first_adapter[h + 1] - d->first_adapter[h];
-  return *n == 0 ? NULL : &d->by_base[d->first_adapter[h]];
+  return *n == 0 ? NULL : &d->adapters_by_base[d->first_adapter[h]];
 }
 
 guint32
--- a/libplantainusher/document/document.h
+++ b/libplantainusher/document/document.h
@@ -11,7 +11,7 @@
 G_BEGIN_DECLS
 
 /*
- * document - the whole intended state, as operators submit it.
+ * document - the desired configuration of the system, as operators submit it.
  *
  * The text is one strict JSON object; docs/DOCUMENT.md lists every field:
  *
@@ -42,18 +42,18 @@
  *     "version_change": {"watch_s": 60, "max_failures": 3}
  *   }
  *
- * A parsed document never changes and is shared by reference.  Services and
- * models are rows of tables, named by small handles that are valid for that
- * document only.  Rows are sorted by name, so that the same text gives the
- * same handles everywhere.  Models and adapters share one table and one name
- * space, since a caller names either in `model`.
+ * A parsed document is immutable and reference-counted.  Services, models and
+ * routes are rows of tables.  A handle is the index of a row and is valid for
+ * that document only.  Rows are sorted by name, so that the same text gives
+ * the same handles on every daemon.  Models and adapters share one table and
+ * one name space, since a caller names either in `model`.
  */
 
 typedef struct pu_document pu_document_t;
 typedef guint32 pu_model_handle_t;
 typedef guint32 pu_service_handle_t;
 
-/* The handle of nothing.  */
+/* The handle that stands for no row.  */
 #define PU_HANDLE_NONE G_MAXUINT32
 
 /* Longest name of a service, model, adapter or version, in bytes.  */
@@ -62,9 +62,9 @@
 /* Longest document, in bytes; the same as PU_DOCUMENT_MAX of the log.  */
 #define PU_DOCUMENT_TEXT_MAX ((size_t)4194304)
 
-/* A text of so many bytes or more takes tens of milliseconds to read, a second
-   where the share of a processor is small: not to be done on an event loop.
-   Reading touches nothing but its arguments.  */
+/* Texts of at least this many bytes take tens of milliseconds to parse, or a
+   second on a small processor share, and must not be parsed on an event loop.
+   Parsing accesses only its arguments and can run on another thread.  */
 #define PU_DOCUMENT_LONG ((size_t)65536)
 
 typedef enum
@@ -75,24 +75,25 @@
 
 typedef enum
 {
-  PU_MODEL_BASE,   /* a whole model */
-  PU_MODEL_ADAPTER /* loaded beside its base on the same engine */
+  PU_MODEL_BASE,   /* a complete model */
+  PU_MODEL_ADAPTER /* loaded on an engine that holds its base */
 } pu_model_kind_t;
 
-/* Targets by which a request counts as answered in time, in milliseconds.  */
+/* Latency targets in milliseconds.  A request that meets them counts as
+   answered within target.  */
 typedef struct
 {
   guint32 first_token_ms; /* model services; else 0 */
-  guint32 per_token_ms;   /* model services: mean between tokens; else 0 */
-  guint32 answer_ms;      /* plain services: the whole answer; else 0 */
+  guint32 per_token_ms; /* model services: mean time between tokens; else 0 */
+  guint32 answer_ms;    /* plain services: the complete answer; else 0 */
 } pu_targets_t;
 
-/* The engines of a service, where they are all alike.  */
+/* Properties of a service's engines, which are all of one type.  */
 typedef struct
 {
-  guint32 slots;          /* requests that one batches; 0: not told */
-  guint32 kv_tokens;      /* that its KV cache holds; 0: not told */
-  guint32 adapter_places; /* adapters in its memory at once; 0: no limit */
+  guint32 slots;          /* requests in one engine's batch; 0: unknown */
+  guint32 kv_tokens;      /* capacity of its KV cache; 0: unknown */
+  guint32 adapter_places; /* adapters loaded at once; 0: no limit */
   guint32 memory_mb;      /* for weights and adapters; 0: as announced */
   guint32 host_mb;        /* for copies of weights in host memory */
   guint32 disk_mb;        /* for copies of weights on its own disk */
@@ -106,11 +107,11 @@
   guint32 importance; /* 1..10, 10 first */
   pu_targets_t targets;
   guint32 timeout_ms;      /* when the caller gives none */
-  guint32 max_concurrency; /* requests running at once, whole system */
+  guint32 max_concurrency; /* requests running at once in the whole system */
   guint32 max_queue;       /* requests waiting at once at one entry */
   guint32 claim_window_s;  /* how long an at-most-once key is kept */
-  guint32 connections;     /* that one backend server takes; 0: no limit */
-  const char *health_path; /* of its liveness check; "": none */
+  guint32 connections;     /* per backend server; 0: no limit */
+  const char *health_path; /* path of the health check; "": none */
   pu_engine_class_t engine;
   pu_json_strings_t model_names;    /* as listed */
   pu_json_strings_t not_repeatable; /* "METHOD /path-prefix" */
@@ -126,25 +127,26 @@
   const char *version;
   const char *previous_version; /* to roll back to; "" for none */
   guint32 memory_mb;            /* weights, on each accelerator it uses */
-  guint32 kv_cache_mb;          /* reserve, on each accelerator; adapters: 0 */
+  guint32 kv_cache_mb;          /* reserved on each accelerator; adapters: 0 */
   guint32 accelerators; /* tensor-parallel width; adapters: the base's */
   guint32 min_copies;   /* >= 1 */
   guint32 max_copies;   /* >= min_copies */
-  guint32 load_ms; /* from the weights store; 0 here and below: not told */
+  guint32 load_ms; /* from the weights store; here and below, 0: unknown */
   guint32 disk_load_ms; /* from the engine's own disk */
   guint32 host_load_ms; /* from its host's memory */
-  bool on_demand;       /* adapters: loaded when asked for, where their base is
-                           ready; no copy is kept otherwise */
+  bool on_demand;       /* adapters: loaded on a request, where their base is
+                           ready; no minimum number of copies is kept */
 } pu_model_t;
 
-/* How the answers of a route look.  */
+/* The form of a route's answers.  */
 typedef enum
 {
-  PU_ROUTE_WHOLE,
+  PU_ROUTE_WHOLE, /* one complete response */
   PU_ROUTE_STREAM /* numbered server-sent events */
 } pu_route_answer_t;
 
-/* A part of a route's requests.  */
+/* A destination of a route, which gets a share of the requests in proportion
+   to its weight.  */
 typedef struct
 {
   const char *service_name;
@@ -152,29 +154,30 @@
   pu_service_handle_t service;
 } pu_route_part_t;
 
-/* Requests that are told by host and path, and not by an interface of ours. */
+/* Requests that are matched by host and path.  */
 typedef struct
 {
   const char *name;
   const char *host;
   const char *path_prefix; /* begins and ends with a slash */
   guint32 answer;          /* pu_route_answer_t */
-  bool repeatable;         /* a request may run more than once */
-  bool resumable;          /* a cut stream may go on elsewhere */
-  guint32 attempts;        /* backend servers that a request may be sent to */
-  guint32 timeout_ms;      /* a caller is not kept waiting longer */
-  guint32 target_ms;       /* to the first event, or to the whole answer */
-  guint32 gap_ms;          /* most between two events; 0: no target */
-  guint32 patience_ms;  /* callers leave without a first event by then; 0: at
-                           the timeout */
-  bool serve_late;      /* an answer past the target is worth having */
+  bool repeatable;         /* a request may be executed more than once */
+  bool resumable;          /* an interrupted stream may resume on another
+                              backend server */
+  guint32 attempts;        /* most backend servers tried for one request */
+  guint32 timeout_ms;      /* longest that a caller waits */
+  guint32 target_ms;       /* until the first event or the complete answer */
+  guint32 gap_ms;          /* longest time between two events; 0: no target */
+  guint32 patience_ms;  /* callers disconnect after this time without a first
+                           event; 0: at the timeout */
+  bool serve_late;      /* an answer after the target is still useful */
   guint32 priority;     /* 0..9, 9 first */
   pu_json_rows_t parts; /* pu_route_part_t */
-  guint32 weights;      /* sum of the parts' */
+  guint32 weights;      /* sum of the parts' weights */
 } pu_route_t;
 
-/* What a caller may send, and how slowly, where the daemon's own settings do
-   not say less.  0: as the settings have it.  */
+/* Limits on the size and the duration of callers' requests.  The daemon's own
+   settings apply where they are lower, and where a field here is 0.  */
 typedef struct
 {
   guint32 max_header_bytes;
@@ -187,16 +190,19 @@
 
 typedef struct
 {
-  double moves_weight;      /* 0: attainment only, 1: fewest moves */
-  double store_loads_per_s; /* loads that may start in a second */
-  guint32 store_full_speed; /* loads at once at full speed */
-  guint32 min_stay_s;       /* a ready copy is not moved before this */
-  guint32 payback_s;        /* a move must pay within this time */
-  bool zone_spread;         /* copies of a model in different zones first */
+  double moves_weight;      /* 0: maximizes the share of requests answered
+                               within target; 1: minimizes moves */
+  double store_loads_per_s; /* loads that may start per second */
+  guint32 store_full_speed; /* concurrent loads that the store serves at full
+                               speed */
+  guint32 min_stay_s;       /* moving a copy sooner costs extra */
+  guint32 payback_s;        /* period over which a move's gain must exceed its
+                               cost */
+  bool zone_spread;         /* prefer different zones for copies of a model */
 } pu_placement_settings_t;
 
-/* How a new version takes over: it is loaded beside the old one, watched,
-   and given up when it fails.  */
+/* Replacement of a model version.  The new version is loaded while the old one
+   still serves, monitored, and rolled back when it fails.  */
 typedef struct
 {
   guint32 watch_s;      /* from ready until the old version is unloaded */
@@ -209,12 +215,13 @@
 pu_document_t *pu_document_parse (const char *text, size_t len,
                                   pu_findings_t *f);
 
-/* pu_document_from_json - the same of VALUE, which is not consumed.  */
+/* pu_document_from_json - as pu_document_parse, for VALUE, whose reference
+   the caller keeps.  */
 pu_document_t *pu_document_from_json (const json_t *value, pu_findings_t *f);
 
-/* pu_document_load - the same of a canonical text, as the log has it: the
-   document keeps no text, which takes a third of the time that parsing
-   takes.  */
+/* pu_document_load - as pu_document_parse, for a canonical text from the log.
+   The document stores no text, since writing it takes a third of the time of
+   pu_document_parse.  */
 pu_document_t *pu_document_load (const char *text, size_t len,
                                  pu_findings_t *f);
 
@@ -242,8 +249,8 @@
 const pu_placement_settings_t *pu_document_placement (const pu_document_t *d);
 const pu_caller_limits_t *pu_document_callers (const pu_document_t *d);
 
-/* pu_document_source - the text that whoever submitted D made it of, kept as
-   it was for who reads it back; "" when there is none.  */
+/* pu_document_source - the unchanged source text from which the submitter
+   generated D; "" when there is none.  */
 const char *pu_document_source (const pu_document_t *d);
 
 guint pu_document_routes (const pu_document_t *d); /* number of rows */
@@ -254,13 +261,14 @@
 bool pu_document_route_named (const pu_document_t *d, const char *name);
 
 /* pu_document_find_route - the route of a request for HOST (without regard to
-   case and port) and PATH (without a query): of those of the host, the one
-   with the longest prefix that begins the path.  PU_HANDLE_NONE: none.  */
+   case and port) and PATH (without a query): the
+   route of that host with the longest matching path prefix, or
+   PU_HANDLE_NONE.  */
 pu_route_handle_t pu_document_find_route (const pu_document_t *d,
                                           const char *host, const char *path);
 
-/* pu_route_choose - the service of a request: a part by its weight.  DRAW is
-   a random number.  */
+/* pu_route_choose - selects a service of R at random, in proportion to the
+   weights.  DRAW is a random number.  */
 pu_service_handle_t pu_route_choose (const pu_route_t *r, guint32 draw);
 
 const pu_version_change_t *pu_document_version_change (const pu_document_t *d);
@@ -272,7 +280,8 @@
 pu_model_handle_t pu_document_find_model (const pu_document_t *d,
                                           const char *name);
 
-/* pu_document_engines - the engines of SERVICE; NULL: it is not declared.  */
+/* pu_document_engines - the engine properties of SERVICE, or NULL when it is
+   not declared.  */
 const pu_engine_class_t *pu_document_engines (const pu_document_t *d,
                                               const char *service);
 
@@ -291,24 +300,25 @@
                                                pu_model_handle_t h, guint *n);
 
 /* pu_model_load_mb - memory that one copy takes on each accelerator:
-   weights and cache reserve.  This is what an order reserves.  */
+   weights and reserved KV cache.  A load order reserves this amount.  */
 guint32 pu_model_load_mb (const pu_model_t *m);
 
 /* pu_service_not_repeatable - whether METHOD on PATH (below the service, with
    or without a query) matches an entry of S's not_repeatable.  A prefix
-   matches whole segments; method `*` matches all.  PATH is compared as a
-   server may read it: escapes decoded, empty and `.` segments and segment
-   parameters dropped, `..` both kept and resolved; in doubt it matches.  */
+   matches whole segments; method `*` matches all.  PATH is normalized
+   before the comparison: escapes are decoded, and empty segments, `.` segments
+   and segment parameters are dropped.  Servers differ in whether they resolve
+   `..`, so PATH matches if either form does.  */
 bool pu_service_not_repeatable (const pu_service_t *s, const char *method,
                                 const char *path);
 
 /* pu_document_near_services, pu_document_near_models - up to three declared
-   names near NAME, as one text such as "small, small-en"; "" when none is
-   near.  The caller frees it.  */
+   names similar to NAME, as one text such as "small, small-en"; "" when none
+   is similar.  The caller frees it.  */
 char *pu_document_near_services (const pu_document_t *d, const char *name);
 char *pu_document_near_models (const pu_document_t *d, const char *name);
 
-/* What one backend server gives.  */
+/* Capacity of one backend server.  */
 typedef struct
 {
   const char *name;
@@ -319,25 +329,25 @@
 typedef enum
 {
   PU_FIT_PACKED,    /* a placement of all min_copies was found */
-  PU_FIT_UNPROVED,  /* none was found, none is proved impossible */
-  PU_FIT_IMPOSSIBLE /* proved: findings say why */
+  PU_FIT_UNPROVED,  /* no placement was found or proved impossible */
+  PU_FIT_IMPOSSIBLE /* proved; the findings give the reasons */
 } pu_fit_t;
 
 /* pu_document_check_fit - whether min_copies of every model fit N backend
    servers at C.  A copy takes its memory on every accelerator of the server
    that holds it, a server holds one copy of a model at most and must have at
-   least the model's number of accelerators; an adapter goes beside its base.
-   Adds findings with the sums for PU_FIT_IMPOSSIBLE only.  Without any server
-   (N is 0) nothing is known: PU_FIT_UNPROVED.  */
+   least the model's number of accelerators; an adapter needs its base on the
+   same server. Adds findings with the sums for PU_FIT_IMPOSSIBLE only. Returns
+   PU_FIT_UNPROVED when N is 0.  */
 pu_fit_t pu_document_check_fit (const pu_document_t *d, const pu_capacity_t *c,
                                 size_t n, pu_findings_t *f);
 
 /* pu_document_diff - the difference of two document texts as JSON values
    (NULL for none): a new array of {"path","kind","old","new"}, kind being
    added, removed or changed; old or new is left out where there is none.
-   Objects are followed to their leaves.  Of a list of strings each entry
-   added or removed is told at the list's path; a list that differs otherwise
-   is one leaf.  The caller owns the result.  */
+   Objects are compared recursively.  Each entry added to or removed from a
+   list of strings is reported at the list's path; any other list that differs
+   is reported as one change.  The caller owns the result.  */
 json_t *pu_document_diff (const json_t *older, const json_t *newer);
 
 G_END_DECLS
--- a/libplantainusher/document/document_fuzz.cc
+++ b/libplantainusher/document/document_fuzz.cc
@@ -1,5 +1,5 @@
-/* Any text gives a document or findings; the canonical text of a document
-   gives the same text again.  */
+/* Any input yields either a document or findings, and parsing a canonical text
+   yields the same text.  */
 #include <stdint.h>
 #include <string.h>
 
--- a/libplantainusher/document/document_test.cc
+++ b/libplantainusher/document/document_test.cc
@@ -16,7 +16,7 @@
 namespace
 {
 
-/* JSON in the tests has ' for ".  */
+/* Replaces ' by ", since the JSON in these tests is written with '.  */
 std::string
 quoted (std::string text)
 {
@@ -67,11 +67,11 @@
 }
 
 std::string
-findings_of (const std::string &singly)
+findings_of (const std::string &text)
 {
   std::string out;
 
-  pu_document_unref (parse (quoted (singly), &out));
+  pu_document_unref (parse (quoted (text), &out));
   return out;
 }
 
@@ -125,7 +125,7 @@
   EXPECT_EQ (3u, pu_document_version_change (d)->max_failures);
 }
 
-TEST_F (Good, TiesAdaptersToTheirBase)
+TEST_F (Good, GroupsAdaptersByBase)
 {
   guint n;
   pu_model_handle_t small = pu_document_find_model (d, "small");
@@ -160,7 +160,7 @@
   g_free (far);
 }
 
-TEST_F (Good, KnowsWhatMayNotBeRepeated)
+TEST_F (Good, MatchesNotRepeatableEntries)
 {
   const struct
   {
@@ -192,7 +192,7 @@
       pu_service_not_repeatable (service ("chat"), "POST", "/rooms/assign"));
 }
 
-TEST (Document, FindsEachFaultAtItsPlace)
+TEST (Document, ReportsEachFaultAtItsPointer)
 {
   const struct
   {
@@ -257,7 +257,7 @@
     }
 }
 
-TEST (Document, RefusesWhatIsNoObject)
+TEST (Document, RejectsNonObjects)
 {
   EXPECT_EQ (": must be an object, not a list\n", findings_of ("[]"));
   EXPECT_EQ ("/services: is required\n", findings_of ("{}"));
@@ -280,7 +280,7 @@
     }
 }
 
-/* What tells two documents apart: every field, defaults included.  */
+/* All fields, defaults included, for the comparison of two documents.  */
 std::string
 effective (const pu_document_t *d)
 {
@@ -421,8 +421,8 @@
   pu_document_unref (d);
 }
 
-/* The comparison of the round trip does see a field that is lost.  */
-TEST (Property, EffectiveTellsEachFieldApart)
+/* The comparison used by the round-trip test detects a lost field.  */
+TEST (Property, EffectiveDiffersWhenAFieldIsLost)
 {
   std::string findings;
   pu_document_t *d = parse (quoted (good), &findings);
--- a/libplantainusher/document/fit.c
+++ b/libplantainusher/document/fit.c
@@ -1,35 +1,35 @@
 #include "document/internal.h"
 
-/* Models named in a message; the rest are counted.  */
+/* Most models named in a message; the rest are only counted.  */
 #define NAMED_MAX 5
 
-/* A base model: what its copies take.  */
+/* Memory that the copies of a base model need.  */
 typedef struct
 {
   const pu_model_t *model;
   pu_model_handle_t handle;
   guint32 copies;
-  guint32 mb;     /* of one copy */
-  guint64 beside; /* of one copy of each of its adapters */
-} need_t;
+  guint32 mb;         /* of one copy */
+  guint64 adapter_mb; /* of one copy of each adapter of the model */
+} memory_need_t;
 
-/* What is to be placed, largest first, and the servers, smallest first.  */
+/* Models to place, largest first, and servers, smallest first.  */
 typedef struct
 {
   const pu_document_t *d;
-  need_t *needs;
+  memory_need_t *needs;
   guint n_needs;
   pu_capacity_t *servers;
   guint n_servers;
   pu_findings_t *f;
-  pu_document_break_t broken;
+  pu_document_break_t test_break;
 } fit_t;
 
 static gint
 compare_needs (gconstpointer a, gconstpointer b)
 {
-  const need_t *x = a;
-  const need_t *y = b;
+  const memory_need_t *x = a;
+  const memory_need_t *y = b;
 
   if (x->model->accelerators != y->model->accelerators)
     return x->model->accelerators > y->model->accelerators ? -1 : 1;
@@ -51,11 +51,11 @@
   return 0;
 }
 
-/* An adapter's copies need as many copies of its base.  */
-static need_t
+/* A base needs at least as many copies as each of its adapters.  */
+static memory_need_t
 need_of (const pu_document_t *d, pu_model_handle_t h)
 {
-  need_t need = { .model = &d->models[h], .handle = h };
+  memory_need_t need = { .model = &d->models[h], .handle = h };
   guint n;
   const pu_model_handle_t *adapters = pu_document_adapters (d, h, &n);
 
@@ -66,7 +66,7 @@
       const pu_model_t *a = &d->models[adapters[i]];
 
       need.copies = MAX (need.copies, a->min_copies);
-      need.beside += a->memory_mb;
+      need.adapter_mb += a->memory_mb;
     }
   return need;
 }
@@ -76,7 +76,7 @@
 {
   fit->d = d;
   fit->f = pu_findings_new ();
-  fit->needs = g_new0 (need_t, d->bases.n + 1);
+  fit->needs = g_new0 (memory_need_t, d->bases.n + 1);
   for (pu_model_handle_t h = 0; h < d->n_models; h++)
     {
       if (d->models[h].kind == PU_MODEL_BASE)
@@ -87,12 +87,12 @@
   for (size_t i = 0; i < n; i++)
     fit->servers[i] = c[i];
   if (fit->n_needs > 0)
-    qsort (fit->needs, fit->n_needs, sizeof (need_t), compare_needs);
+    qsort (fit->needs, fit->n_needs, sizeof (memory_need_t), compare_needs);
   qsort (fit->servers, n, sizeof (pu_capacity_t), compare_servers);
 }
 
-/* The servers of WIDTH accelerators or more are the last ones: the index of
-   the first of them.  */
+/* The index of the first server with at least WIDTH accelerators.  Servers
+   are sorted, so that all after it have as many.  */
 static guint
 first_server (const fit_t *fit, guint32 width)
 {
@@ -103,8 +103,8 @@
   return i;
 }
 
-/* How many servers can hold MB on WIDTH accelerators; sets LARGEST to the
-   most memory among those that have so many accelerators.  */
+/* How many servers can hold MB on WIDTH accelerators; sets LARGEST to
+   the largest memory of a server with at least WIDTH accelerators.  */
 static guint
 count_servers (const fit_t *fit, guint32 width, guint64 mb, guint32 *largest)
 {
@@ -121,8 +121,8 @@
 }
 
 static void G_GNUC_PRINTF (4, 5)
-    find (const fit_t *fit, const char *table, const char *name,
-          const char *format, ...)
+    add_finding (const fit_t *fit, const char *table, const char *name,
+                 const char *format, ...)
 {
   char *path = g_strdup_printf ("/%s/%s", table, name);
   va_list ap;
@@ -136,10 +136,11 @@
   g_free (path);
 }
 
-/* Whether enough servers can hold a copy each of M, of MB in all: WHAT.  */
+/* Adds a finding when fewer than COPIES servers can hold a copy of M that
+   takes MB.  WHAT itemizes MB in the message.  */
 static void
-check_alone (const fit_t *fit, const pu_model_t *m, guint32 copies, guint64 mb,
-             const char *what)
+check_single (const fit_t *fit, const pu_model_t *m, guint32 copies,
+              guint64 mb, const char *what)
 {
   const char *table = m->kind == PU_MODEL_BASE ? "models" : "adapters";
   guint32 largest;
@@ -149,28 +150,31 @@
     return;
   if (largest == 0)
     {
-      find (fit, table, m->name,
-            "needs %u accelerators; no backend server has so many",
-            m->accelerators);
+      add_finding (
+          fit, table, m->name,
+          "needs %u accelerators; no backend server available_mb so many",
+          m->accelerators);
     }
   else if (able == 0)
     {
-      find (fit, table, m->name,
-            "needs %" G_GUINT64_FORMAT " MB (%s) on each of %u accelerators; "
-            "the largest backend server has %u MB",
-            mb, what, m->accelerators, largest);
+      add_finding (fit, table, m->name,
+                   "needs %" G_GUINT64_FORMAT
+                   " MB (%s) on each of %u accelerators; "
+                   "the largest backend server available_mb %u MB",
+                   mb, what, m->accelerators, largest);
     }
   else
     {
-      find (fit, table, m->name,
-            "needs %u copies of %" G_GUINT64_FORMAT " MB (%s) on different "
-            "backend servers; only %u can hold one",
-            copies, mb, what, able);
+      add_finding (fit, table, m->name,
+                   "needs %u copies of %" G_GUINT64_FORMAT
+                   " MB (%s) on different "
+                   "backend servers; only %u can hold one",
+                   copies, mb, what, able);
     }
 }
 
 static void
-check_adapters_alone (const fit_t *fit, const need_t *need)
+check_adapters_singly (const fit_t *fit, const memory_need_t *need)
 {
   guint n;
   const pu_model_handle_t *adapters
@@ -182,35 +186,35 @@
       char *what = g_strdup_printf ("%u and its base %s, %u", a->memory_mb,
                                     need->model->name, need->mb);
 
-      check_alone (fit, a, a->min_copies, (guint64)need->mb + a->memory_mb,
-                   what);
+      check_single (fit, a, a->min_copies, (guint64)need->mb + a->memory_mb,
+                    what);
       g_free (what);
     }
 }
 
 static void
-check_each_alone (const fit_t *fit)
+check_models_singly (const fit_t *fit)
 {
   for (guint i = 0; i < fit->n_needs; i++)
     {
-      const need_t *need = &fit->needs[i];
+      const memory_need_t *need = &fit->needs[i];
       size_t before = pu_findings_count (fit->f);
       char *what
           = g_strdup_printf ("weights %u, cache %u", need->model->memory_mb,
                              need->model->kv_cache_mb);
 
-      check_alone (fit, need->model, need->copies, need->mb, what);
+      check_single (fit, need->model, need->copies, need->mb, what);
       g_free (what);
       if (pu_findings_count (fit->f) == before)
-        check_adapters_alone (fit, need);
+        check_adapters_singly (fit, need);
     }
 }
 
 static gint
 compare_totals (gconstpointer a, gconstpointer b)
 {
-  const need_t *x = *(const need_t *const *)a;
-  const need_t *y = *(const need_t *const *)b;
+  const memory_need_t *x = *(const memory_need_t *const *)a;
+  const memory_need_t *y = *(const memory_need_t *const *)b;
   guint64 of_x = (guint64)x->copies * x->mb;
   guint64 of_y = (guint64)y->copies * y->mb;
 
@@ -219,8 +223,8 @@
   return x->handle < y->handle ? -1 : 1;
 }
 
-/* The first N needs as "a 2 x 20000 MB, b 1 x 14000 MB, 12 more", those that
-   take most first.  */
+/* The first N needs as "a 2 x 20000 MB, b 1 x 14000 MB, 12 more", in
+   descending order of total memory.  */
 static char *
 name_needs (const fit_t *fit, guint n)
 {
@@ -232,7 +236,7 @@
   g_ptr_array_sort (order, compare_totals);
   for (guint i = 0; i < MIN (n, NAMED_MAX); i++)
     {
-      const need_t *need = g_ptr_array_index (order, i);
+      const memory_need_t *need = g_ptr_array_index (order, i);
 
       g_string_append_printf (out, "%s%s %u x %u MB", i > 0 ? ", " : "",
                               need->model->name, need->copies, need->mb);
@@ -244,7 +248,7 @@
 }
 
 static guint64
-adapters_mb (const fit_t *fit, const need_t *need)
+min_adapters_mb (const fit_t *fit, const memory_need_t *need)
 {
   guint n;
   const pu_model_handle_t *adapters
@@ -261,51 +265,51 @@
 }
 
 static guint64
-memory_from (const fit_t *fit, guint first)
+sum_memory_mb (const fit_t *fit, guint first)
 {
   guint64 sum = 0;
 
-  if (fit->broken == PU_DOCUMENT_BREAK_BOUND)
+  if (fit->test_break == PU_DOCUMENT_BREAK_TOTAL_MEMORY)
     first++;
   for (guint i = first; i < fit->n_servers; i++)
     sum += fit->servers[i].memory_mb;
   return sum;
 }
 
-/* The first N needs, which all need WIDTH accelerators or more, against the
-   memory of the servers that have so many.  */
+/* Compares the total memory of the first N needs, which all need at least
+   WIDTH accelerators, with that of the servers that have as many.  */
 static void
-check_sum (const fit_t *fit, guint n, guint32 width)
+check_total_memory (const fit_t *fit, guint n, guint32 width)
 {
   guint first = first_server (fit, width);
-  guint64 has = memory_from (fit, first);
+  guint64 available_mb = sum_memory_mb (fit, first);
   guint64 models = 0;
-  guint64 beside = 0;
+  guint64 adapter_mb = 0;
   char *names;
 
   for (guint i = 0; i < n; i++)
     {
       models += (guint64)fit->needs[i].copies * fit->needs[i].mb;
-      beside += adapters_mb (fit, &fit->needs[i]);
+      adapter_mb += min_adapters_mb (fit, &fit->needs[i]);
     }
-  if (models + beside <= has)
+  if (models + adapter_mb <= available_mb)
     return;
   names = name_needs (fit, n);
   pu_findings_add (fit->f, "/models",
                    "the models need %" G_GUINT64_FORMAT " MB (%s) and their "
                    "adapters %" G_GUINT64_FORMAT " MB, %" G_GUINT64_FORMAT
-                   " MB together; the %u backend servers with %u "
-                   "accelerators or more have %" G_GUINT64_FORMAT " MB each "
-                   "accelerator together",
-                   models, names, beside, models + beside,
-                   fit->n_servers - first, width, has);
+                   " MB in total; the %u backend servers with at least "
+                   "%u accelerators have %" G_GUINT64_FORMAT
+                   " MB per accelerator in total",
+                   models, names, adapter_mb, models + adapter_mb,
+                   fit->n_servers - first, width, available_mb);
   g_free (names);
 }
 
-/* Copies of MB or more among the first N needs against how many the servers
-   of WIDTH accelerators or more can hold.  */
+/* Compares the number of copies of at least MB among the first N needs with
+   the number that servers with at least WIDTH accelerators can hold.  */
 static bool
-check_count (const fit_t *fit, guint n, guint32 width, guint32 mb)
+check_copy_count (const fit_t *fit, guint n, guint32 width, guint32 mb)
 {
   guint64 copies = 0;
   guint64 places = 0;
@@ -323,14 +327,16 @@
   if (copies <= places)
     return true;
   pu_findings_add (fit->f, "/models",
-                   "%u models need %" G_GUINT64_FORMAT " copies of %u MB or "
-                   "more each; the backend servers with %u accelerators or "
-                   "more have room for %" G_GUINT64_FORMAT,
+                   "%u models need %" G_GUINT64_FORMAT
+                   " copies of at least %u "
+                   "MB each; the backend servers with at least %u "
+                   "accelerators have room for %" G_GUINT64_FORMAT,
                    models, copies, mb, width, places);
   return false;
 }
 
-/* Checks each class of models by their number of accelerators.  */
+/* Checks the models of each number of accelerators reserve_adapters with those
+   that need more.  */
 static void
 check_classes (const fit_t *fit)
 {
@@ -338,20 +344,21 @@
     {
       guint32 width = fit->needs[n - 1].model->accelerators;
 
-      /* Up to the last one of this width.  */
+      /* Continue up to the last need of this width.  */
       if (n < fit->n_needs && fit->needs[n].model->accelerators == width)
         continue;
-      check_sum (fit, n, width);
+      check_total_memory (fit, n, width);
       for (guint i = 0; i < n && pu_findings_count (fit->f) == 0; i++)
-        check_count (fit, n, width, fit->needs[i].mb);
+        check_copy_count (fit, n, width, fit->needs[i].mb);
     }
 }
 
-/* Puts COPIES of MB on different servers of PLACES, or of all servers from
-   FIRST on when it is NULL; adds where they went to WHERE.  */
+/* Places COPIES of MB on different servers: those at indexes FIRST to END - 1
+   of PLACES, or of all servers when PLACES is NULL.  Appends the chosen
+   servers to CHOSEN unless it is NULL.  */
 static bool
-put (guint64 *free_mb, const GArray *places, guint first, guint end,
-     guint32 copies, guint64 mb, GArray *where)
+place_copies (guint64 *free_mb, const GArray *places, guint first, guint end,
+              guint32 copies, guint64 mb, GArray *chosen)
 {
   for (guint i = first; i < end && copies > 0; i++)
     {
@@ -361,8 +368,8 @@
         continue;
       free_mb[server] -= mb;
       copies--;
-      if (where != NULL)
-        g_array_append_val (where, server);
+      if (chosen != NULL)
+        g_array_append_val (chosen, server);
     }
   return copies == 0;
 }
@@ -380,8 +387,8 @@
 }
 
 static bool
-put_adapters (const fit_t *fit, guint64 *free_mb, const need_t *need,
-              const GArray *places)
+place_adapters (const fit_t *fit, guint64 *free_mb, const memory_need_t *need,
+                const GArray *places)
 {
   guint n;
   const pu_model_handle_t *adapters
@@ -399,25 +406,26 @@
     {
       const pu_model_t *a = &fit->d->models[order[i]];
 
-      good = put (free_mb, places, 0, places->len, a->min_copies, a->memory_mb,
-                  NULL);
+      good = place_copies (free_mb, places, 0, places->len, a->min_copies,
+                           a->memory_mb, NULL);
     }
   g_free (order);
   return good;
 }
 
 static guint
-first_able (const fit_t *fit, const need_t *need)
+first_candidate (const fit_t *fit, const memory_need_t *need)
 {
-  if (fit->broken == PU_DOCUMENT_BREAK_PACK)
+  if (fit->test_break == PU_DOCUMENT_BREAK_ACCELERATORS)
     return 0;
   return first_server (fit, need->model->accelerators);
 }
 
-/* First fit, largest first.  With TOGETHER each copy brings room for all of
-   its adapters; else the adapters fill what is left.  */
+/* First-fit decreasing.  With RESERVE_ADAPTERS each copy reserves memory for
+   all of its adapters; otherwise adapters are placed in the remaining memory.
+ */
 static bool
-pack (const fit_t *fit, bool together)
+pack (const fit_t *fit, bool reserve_adapters)
 {
   guint64 *free_mb = g_new (guint64, fit->n_servers);
   GArray **places = g_new0 (GArray *, fit->n_needs + 1);
@@ -427,15 +435,16 @@
     free_mb[i] = fit->servers[i].memory_mb;
   for (guint i = 0; good && i < fit->n_needs; i++)
     {
-      const need_t *need = &fit->needs[i];
+      const memory_need_t *need = &fit->needs[i];
 
       places[i] = g_array_new (FALSE, FALSE, sizeof (guint));
-      good = put (free_mb, NULL, first_able (fit, need), fit->n_servers,
-                  need->copies, need->mb + (together ? need->beside : 0),
-                  places[i]);
+      good = place_copies (
+          free_mb, NULL, first_candidate (fit, need), fit->n_servers,
+          need->copies, need->mb + (reserve_adapters ? need->adapter_mb : 0),
+          places[i]);
     }
-  for (guint i = 0; good && !together && i < fit->n_needs; i++)
-    good = put_adapters (fit, free_mb, &fit->needs[i], places[i]);
+  for (guint i = 0; good && !reserve_adapters && i < fit->n_needs; i++)
+    good = place_adapters (fit, free_mb, &fit->needs[i], places[i]);
   for (guint i = 0; i < fit->n_needs; i++)
     {
       g_clear_pointer (&places[i], g_array_unref);
@@ -446,11 +455,11 @@
 }
 
 static pu_fit_t
-judge (const fit_t *fit)
+decide_fit (const fit_t *fit)
 {
   if (pack (fit, true) || pack (fit, false))
     return PU_FIT_PACKED;
-  check_each_alone (fit);
+  check_models_singly (fit);
   check_classes (fit);
   if (pu_findings_count (fit->f) > 0)
     return PU_FIT_IMPOSSIBLE;
@@ -469,16 +478,18 @@
 }
 
 pu_fit_t
-pu_document_judge_fit (const pu_document_t *d, const pu_capacity_t *c,
-                       size_t n, pu_document_break_t broken, pu_findings_t *f)
+pu_document_check_fit_with_break (const pu_document_t *d,
+                                  const pu_capacity_t *c, size_t n,
+                                  pu_document_break_t test_break,
+                                  pu_findings_t *f)
 {
-  fit_t fit = { .broken = broken };
+  fit_t fit = { .test_break = test_break };
   pu_fit_t result;
 
   if (n == 0)
     return PU_FIT_UNPROVED;
   fit_init (&fit, d, c, n);
-  result = judge (&fit);
+  result = decide_fit (&fit);
   copy_findings (f, fit.f);
   pu_findings_free (fit.f);
   g_free (fit.needs);
@@ -490,5 +501,5 @@
 pu_document_check_fit (const pu_document_t *d, const pu_capacity_t *c,
                        size_t n, pu_findings_t *f)
 {
-  return pu_document_judge_fit (d, c, n, PU_DOCUMENT_BREAK_NONE, f);
+  return pu_document_check_fit_with_break (d, c, n, PU_DOCUMENT_BREAK_NONE, f);
 }
--- a/libplantainusher/document/fit_test.cc
+++ b/libplantainusher/document/fit_test.cc
@@ -68,8 +68,8 @@
   return d;
 }
 
-/* The oracle: tries every set of servers for each model, then every server of
-   the set for each of its adapters.  */
+/* Exhaustive search: tries every set of servers for each model, then every
+   server of the set for each of its adapters.  */
 struct oracle
 {
   const std::vector<model> &models;
@@ -139,8 +139,8 @@
 };
 
 bool
-truly_fits (const std::vector<model> &models,
-            const std::vector<pu_capacity_t> &servers)
+exhaustively_fits (const std::vector<model> &models,
+                   const std::vector<pu_capacity_t> &servers)
 {
   oracle o = { models, servers, {} };
 
@@ -149,28 +149,30 @@
   return o.fits (0);
 }
 
-/* Whether the answer agrees with the oracle.  */
+/* Whether the result agrees with the exhaustive search.  */
 bool
 agrees (const std::vector<model> &models,
-        const std::vector<pu_capacity_t> &servers, pu_document_break_t broken)
+        const std::vector<pu_capacity_t> &servers,
+        pu_document_break_t test_break)
 {
   pu_document_t *d = document_of (models);
   pu_findings_t *f = pu_findings_new ();
-  pu_fit_t fit
-      = pu_document_judge_fit (d, servers.data (), servers.size (), broken, f);
+  pu_fit_t fit = pu_document_check_fit_with_break (
+      d, servers.data (), servers.size (), test_break, f);
   bool found = pu_findings_count (f) > 0;
   bool good = found == (fit == PU_FIT_IMPOSSIBLE);
 
   if (fit != PU_FIT_UNPROVED)
-    good = good && truly_fits (models, servers) == (fit == PU_FIT_PACKED);
+    good = good
+           && exhaustively_fits (models, servers) == (fit == PU_FIT_PACKED);
   pu_findings_free (f);
   pu_document_unref (d);
   return good;
 }
 
-/* A small random case from SEED: whether the answer agrees.  */
+/* Whether the result agrees for a small random case generated from SEED.  */
 bool
-agrees_on (guint32 seed, pu_document_break_t broken)
+agrees_on (guint32 seed, pu_document_break_t test_break)
 {
   GRand *r = g_rand_new_with_seed (seed);
   std::vector<model> models (g_rand_int_range (r, 1, 5));
@@ -192,26 +194,26 @@
       c.memory_mb = g_rand_int_range (r, 4, 24);
     }
   g_rand_free (r);
-  return agrees (models, servers, broken);
+  return agrees (models, servers, test_break);
 }
 
-RC_GTEST_PROP (Fit, AgreesWithEveryWayTried, (guint32 base))
+RC_GTEST_PROP (Fit, AgreesWithExhaustiveSearch, (guint32 base))
 {
   for (guint32 i = 0; i < 20; i++)
     RC_ASSERT (agrees_on (base + i, PU_DOCUMENT_BREAK_NONE));
 }
 
-/* The property above fails when the sum or the packing is wrong.  */
-TEST (Fit, TheOracleSeesAFault)
+/* The property above fails when the total memory or the packing is wrong.  */
+TEST (Fit, OracleDetectsInjectedFaults)
 {
-  for (pu_document_break_t broken :
-       { PU_DOCUMENT_BREAK_BOUND, PU_DOCUMENT_BREAK_PACK })
+  for (pu_document_break_t test_break :
+       { PU_DOCUMENT_BREAK_TOTAL_MEMORY, PU_DOCUMENT_BREAK_ACCELERATORS })
     {
       guint32 seed = 0;
 
-      while (seed < 1000 && agrees_on (seed, broken))
+      while (seed < 1000 && agrees_on (seed, test_break))
         seed++;
-      EXPECT_LT (seed, 1000u) << broken;
+      EXPECT_LT (seed, 1000u) << test_break;
     }
 }
 
@@ -234,7 +236,7 @@
   return out;
 }
 
-TEST (Fit, ShowsTheSum)
+TEST (Fit, ReportsRequiredAndAvailableMemory)
 {
   const pu_capacity_t one = { "a", 1, 10 };
   const pu_capacity_t two = { "b", 2, 8 };
@@ -250,14 +252,14 @@
       "/models/m0: needs 11 MB (weights 11, cache 0) on each of 1 "
       "accelerators; the largest backend server has 10 MB\n"
       "/models: the models need 11 MB (m0 1 x 11 MB) and their adapters 0 "
-      "MB, 11 MB together; the 1 backend servers with 1 accelerators or more "
-      "have 10 MB each accelerator together\n" },
+      "MB, 11 MB in total; the 1 backend servers with at least 1 "
+      "accelerators have 10 MB per accelerator in total\n" },
     { { { 1, 2, 1, {} } },
       { one },
       "/models/m0: needs 2 accelerators; no backend server has so many\n"
       "/models: the models need 1 MB (m0 1 x 1 MB) and their adapters 0 MB, "
-      "1 MB together; the 0 backend servers with 2 accelerators or more have "
-      "0 MB each accelerator together\n" },
+      "1 MB in total; the 0 backend servers with at least 2 accelerators "
+      "have 0 MB per accelerator in total\n" },
     { { { 4, 1, 2, {} } },
       { one },
       "/models/m0: needs 2 copies of 4 MB (weights 4, cache 0) on different "
@@ -268,15 +270,15 @@
       "accelerators; the largest backend server has 10 MB\n" },
     { { { 6, 1, 1, {} }, { 6, 1, 1, {} }, { 6, 1, 1, {} } },
       { one, two },
-      "/models: 3 models need 3 copies of 6 MB or more each; the backend "
-      "servers with 1 accelerators or more have room for 2\n" },
+      "/models: 3 models need 3 copies of at least 6 MB each; the backend "
+      "servers with at least 1 accelerators have room for 2\n" },
   };
 
   for (const auto &c : cases)
     EXPECT_EQ (c.findings, findings_of (c.models, c.servers));
 }
 
-TEST (Fit, KnowsNothingWithoutServers)
+TEST (Fit, IsUnprovedWithoutServers)
 {
   pu_document_t *d = document_of ({ { 10, 1, 1, {} } });
   pu_findings_t *f = pu_findings_new ();
--- a/libplantainusher/document/internal.h
+++ b/libplantainusher/document/internal.h
@@ -5,8 +5,8 @@
 
 G_BEGIN_DECLS
 
-/* Private to the slice.  The first part is what the schema fills in; the
-   tables are made of it.  */
+/* Private to the slice.  The schema fills in the first group of
+   fields; the lookup tables are built from them.  */
 struct pu_document
 {
   pu_json_rows_t services; /* pu_service_t, by name */
@@ -26,8 +26,9 @@
   GHashTable *service_names;            /* name -> handle + 1 */
   GHashTable *model_names;              /* name -> handle + 1 */
   pu_service_handle_t *default_service; /* by model handle */
-  pu_model_handle_t *by_base;           /* adapters, grouped by their base */
-  guint *first_adapter; /* by model handle, one more: index into by_base */
+  pu_model_handle_t *adapters_by_base;  /* adapters, grouped by their base */
+  guint *first_adapter; /* by model handle: index into adapters_by_base; has
+                           one more element, the end of the last group */
   GHashTable *hosts;    /* lower case -> GArray of route handles, those with
                            the longest prefix first */
 };
@@ -41,30 +42,34 @@
    "METHOD /path-prefix".  */
 const char *pu_document_check_not_repeatable (const char *s);
 
-/* pu_document_check - adds a finding for each rule between rows that D breaks.
-   Names are resolved already.  */
+/* pu_document_check - adds a finding for each violation of a rule that spans
+   several fields or rows.  Names must have been resolved.  */
 void pu_document_check (const pu_document_t *d, pu_findings_t *f);
 
-/* pu_routes_make - the tables of D's routes, once services have handles.  */
-void pu_routes_make (pu_document_t *d);
+/* pu_routes_build - builds the lookup table of D's routes.  Services must have
+   handles.  */
+void pu_routes_build (pu_document_t *d);
 void pu_routes_clear (pu_document_t *d);
 
 /* pu_document_check_prefix, pu_document_check_host - pu_string_check_t.  */
 const char *pu_document_check_prefix (const char *s);
 const char *pu_document_check_host (const char *s);
 
-/* Faults that the tests put in, to show that they would see them.  */
+/* Faults that tests inject to show that their checks detect them.  */
 typedef enum
 {
   PU_DOCUMENT_BREAK_NONE,
-  PU_DOCUMENT_BREAK_BOUND, /* the sum forgets a server */
-  PU_DOCUMENT_BREAK_PACK   /* a model goes where accelerators are too few */
+  PU_DOCUMENT_BREAK_TOTAL_MEMORY, /* total memory omits one server */
+  PU_DOCUMENT_BREAK_ACCELERATORS  /* packing ignores the number of
+                                    accelerators */
 } pu_document_break_t;
 
-/* pu_document_judge_fit - pu_document_check_fit with the fault BROKEN.  */
-pu_fit_t pu_document_judge_fit (const pu_document_t *d, const pu_capacity_t *c,
-                                size_t n, pu_document_break_t broken,
-                                pu_findings_t *f);
+/* pu_document_check_fit_with_break - pu_document_check_fit with the fault
+ * TEST_BREAK.  */
+pu_fit_t pu_document_check_fit_with_break (const pu_document_t *d,
+                                           const pu_capacity_t *c, size_t n,
+                                           pu_document_break_t test_break,
+                                           pu_findings_t *f);
 
 G_END_DECLS
 
--- a/libplantainusher/document/repeat.c
+++ b/libplantainusher/document/not_repeatable.c
@@ -23,8 +23,10 @@
   return NULL;
 }
 
+/* PATH up to its query or fragment, with percent escapes percent_decode and
+   NUL bytes dropped.  */
 static char *
-decoded (const char *path)
+percent_decode (const char *path)
 {
   size_t n = strcspn (path, "?#");
   GString *out = g_string_sized_new (n);
@@ -47,7 +49,7 @@
 }
 
 static void
-drop_last (GString *out)
+drop_last_segment (GString *out)
 {
   const char *slash = strrchr (out->str, '/');
 
@@ -56,11 +58,11 @@
 }
 
 /* PATH as "/a/b" without empty and `.` segments and without segment
-   parameters; with RESOLVE, `..` takes its segment away.  */
+   parameters; with RESOLVE, each `..` removes the segment before it.  */
 static char *
-normalized (const char *path, bool resolve)
+normalize_path (const char *path, bool resolve)
 {
-  char *plain = decoded (path);
+  char *plain = percent_decode (path);
   char **segments = g_strsplit (plain, "/", -1);
   GString *out = g_string_new (NULL);
 
@@ -71,7 +73,7 @@
         continue;
       if (resolve && strcmp (*s, "..") == 0)
         {
-          drop_last (out);
+          drop_last_segment (out);
         }
       else
         {
@@ -83,8 +85,9 @@
   return g_string_free (out, FALSE);
 }
 
+/* Whether PREFIX entry_matches whole leading segments of PATH.  */
 static bool
-under (const char *path, const char *prefix)
+has_path_prefix (const char *path, const char *prefix)
 {
   size_t n = strlen (prefix);
 
@@ -92,8 +95,8 @@
 }
 
 static bool
-matches (const char *entry, const char *method, const char *literal,
-         const char *resolved)
+entry_matches (const char *entry, const char *method, const char *literal,
+               const char *resolved)
 {
   const char *space = strchr (entry, ' ');
   size_t n = (size_t)(space - entry);
@@ -104,8 +107,9 @@
   if (!any
       && (strlen (method) != n || g_ascii_strncasecmp (entry, method, n) != 0))
     return false;
-  prefix = normalized (space + 1, true);
-  found = under (literal, prefix) || under (resolved, prefix);
+  prefix = normalize_path (space + 1, true);
+  found = has_path_prefix (literal, prefix)
+          || has_path_prefix (resolved, prefix);
   g_free (prefix);
   return found;
 }
@@ -120,13 +124,13 @@
 
   if (s->not_repeatable.n == 0)
     return false;
-  literal = normalized (path, false);
-  resolved = normalized (path, true);
+  literal = normalize_path (path, false);
+  resolved = normalize_path (path, true);
   for (guint i = 0; i < s->not_repeatable.n && !found; i++)
     {
       const char *entry = s->not_repeatable.items[i];
 
-      found = matches (entry, method, literal, resolved);
+      found = entry_matches (entry, method, literal, resolved);
     }
   g_free (resolved);
   g_free (literal);
--- a/libplantainusher/document/route.c
+++ b/libplantainusher/document/route.c
@@ -1,4 +1,4 @@
-/* Routes: requests that are told by host and path.  */
+/* Routes: matching of requests by host and path.  */
 
 #include "document/internal.h"
 
@@ -50,10 +50,10 @@
   return (const pu_route_t *)d->routes.items + h;
 }
 
-/* --- the tables --- */
+/* --- lookup tables --- */
 
 static void
-route_resolve (pu_document_t *d, pu_route_t *r)
+resolve_route_services (pu_document_t *d, pu_route_t *r)
 {
   pu_route_part_t *parts = r->parts.items;
 
@@ -65,7 +65,7 @@
 }
 
 static GArray *
-host_routes (pu_document_t *d, const char *host)
+get_or_add_host (pu_document_t *d, const char *host)
 {
   char *name = g_ascii_strdown (host, -1);
   GArray *list = g_hash_table_lookup (d->hosts, name);
@@ -80,7 +80,8 @@
   return list;
 }
 
-/* Longer prefixes first; equal ones, which the checks refuse, by name.  */
+/* Orders longer prefixes first and equal prefixes, which pu_document_check
+   reports, by name.  */
 static gint
 compare_prefixes (gconstpointer a, gconstpointer b, gpointer document)
 {
@@ -102,7 +103,7 @@
 }
 
 void
-pu_routes_make (pu_document_t *d)
+pu_routes_build (pu_document_t *d)
 {
   pu_route_t *routes = d->routes.items;
   GHashTableIter it;
@@ -112,8 +113,8 @@
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, host_free);
   for (guint h = 0; h < d->routes.n; h++)
     {
-      route_resolve (d, &routes[h]);
-      g_array_append_val (host_routes (d, routes[h].host), h);
+      resolve_route_services (d, &routes[h]);
+      g_array_append_val (get_or_add_host (d, routes[h].host), h);
     }
   g_hash_table_iter_init (&it, d->hosts);
   while (g_hash_table_iter_next (&it, NULL, &list))
@@ -127,9 +128,9 @@
     g_hash_table_destroy (d->hosts);
 }
 
-/* --- looking up --- */
+/* --- lookup --- */
 
-/* Rows are sorted by name.  */
+/* Binary search; the rows are sorted by name.  */
 bool
 pu_document_route_named (const pu_document_t *d, const char *name)
 {
--- a/libplantainusher/document/schema.c
+++ b/libplantainusher/document/schema.c
@@ -1,6 +1,6 @@
 #include "document/internal.h"
 
-/* Most rows; a copy of any of them fits the messages between daemons.  */
+/* Upper limits.  Any row within them fits into a message between daemons.  */
 #define SERVICES_MAX 1024
 #define MODELS_MAX 4096
 #define ADAPTERS_MAX 16384
@@ -9,13 +9,14 @@
 #define MEMORY_MB_MAX 10000000
 #define NOT_REPEATABLE_MAX 256
 #define ROUTES_MAX 16384
-/* Loads, or loads a second: thousands of engines share some stores.  */
-#define STORE_MAX 100000
+/* Concurrent loads, or loads per second.  Thousands of engines can share one
+   weights store.  */
+#define STORE_LOADS_MAX 100000
 #define PARTS_MAX 256
 #define PATH_MAX_BYTES 4096
 #define HOST_MAX_BYTES 255
 #define PRIORITY_MAX 9
-#define PRIORITY_START 5
+#define DEFAULT_PRIORITY 5
 
 #define MINUTE_MS 60000.0
 #define HOUR_MS (60.0 * MINUTE_MS)
@@ -26,15 +27,16 @@
     table, G_N_ELEMENTS (table), sizeof (row), key, check                     \
   }
 
-/* A whole number in the struct ROW, from MIN to MAX in UNIT.  */
+/* An integer FIELD of the struct ROW from LEAST to MOST, with default START,
+   in the unit OF.  */
 #define INT(row, field, least, most, start, of)                               \
   {                                                                           \
     .name = #field, .type = PU_FIELD_INT, .offset = offsetof (row, field),    \
     .min = (least), .max = (most), .fallback = (start), .unit = (of)          \
   }
 
-/* The same without a default: the field must be there.  */
-#define NEEDED_INT(row, field, least, most, of)                               \
+/* A required integer field.  */
+#define REQUIRED_INT(row, field, least, most, of)                             \
   {                                                                           \
     .name = #field, .type = PU_FIELD_INT, .flags = PU_FIELD_REQUIRED,         \
     .offset = offsetof (row, field), .min = (least), .max = (most),           \
@@ -76,7 +78,8 @@
 static const pu_schema_t engine_schema
     = SCHEMA (engine_fields, pu_engine_class_t, 0, NULL);
 
-/* A target left out is 0 here; its default depends on the kind.  */
+/* An omitted target is read as 0; its default depends on the kind of the
+   service and is set after the checks.  */
 static const pu_field_t target_fields[] = {
   INT (pu_targets_t, first_token_ms, 1, HOUR_MS, 0, "ms"),
   INT (pu_targets_t, per_token_ms, 1, MINUTE_MS, 0, "ms"),
@@ -127,8 +130,8 @@
 static const pu_field_t model_fields[] = {
   NAME (pu_model_t, "version", version, PU_FIELD_REQUIRED),
   NAME (pu_model_t, "previous_version", previous_version, 0),
-  NEEDED_INT (pu_model_t, memory_mb, 1, MEMORY_MB_MAX, "MB"),
-  NEEDED_INT (pu_model_t, kv_cache_mb, 0, MEMORY_MB_MAX, "MB"),
+  REQUIRED_INT (pu_model_t, memory_mb, 1, MEMORY_MB_MAX, "MB"),
+  REQUIRED_INT (pu_model_t, kv_cache_mb, 0, MEMORY_MB_MAX, "MB"),
   INT (pu_model_t, accelerators, 1, ACCELERATORS_MAX, 1, "accelerators"),
   INT (pu_model_t, min_copies, 1, COPIES_MAX, 1, "copies"),
   INT (pu_model_t, max_copies, 1, COPIES_MAX, COPIES_MAX, "copies"),
@@ -143,7 +146,7 @@
   NAME (pu_model_t, "base", base_name, PU_FIELD_REQUIRED),
   NAME (pu_model_t, "version", version, PU_FIELD_REQUIRED),
   NAME (pu_model_t, "previous_version", previous_version, 0),
-  NEEDED_INT (pu_model_t, memory_mb, 1, MEMORY_MB_MAX, "MB"),
+  REQUIRED_INT (pu_model_t, memory_mb, 1, MEMORY_MB_MAX, "MB"),
   INT (pu_model_t, min_copies, 1, COPIES_MAX, 1, "copies"),
   INT (pu_model_t, max_copies, 1, COPIES_MAX, COPIES_MAX, "copies"),
   BOOL (pu_model_t, on_demand),
@@ -183,12 +186,12 @@
   BOOL (pu_route_t, repeatable),
   BOOL (pu_route_t, resumable),
   INT (pu_route_t, attempts, 1, 100, 1, "backend servers"),
-  NEEDED_INT (pu_route_t, timeout_ms, 1, DAY_S * 1000, "ms"),
+  REQUIRED_INT (pu_route_t, timeout_ms, 1, DAY_S * 1000, "ms"),
   INT (pu_route_t, target_ms, 0, DAY_S * 1000, 0, "ms"),
   INT (pu_route_t, gap_ms, 0, DAY_S * 1000, 0, "ms"),
   INT (pu_route_t, patience_ms, 0, DAY_S * 1000, 0, "ms"),
   BOOL (pu_route_t, serve_late),
-  INT (pu_route_t, priority, 0, PRIORITY_MAX, PRIORITY_START, NULL),
+  INT (pu_route_t, priority, 0, PRIORITY_MAX, DEFAULT_PRIORITY, NULL),
   { .name = "to",
     .type = PU_FIELD_LIST,
     .flags = PU_FIELD_REQUIRED,
@@ -211,9 +214,10 @@
 
 static const pu_field_t placement_fields[] = {
   NUMBER (pu_placement_settings_t, moves_weight, 0, 1, 0.5, NULL),
-  NUMBER (pu_placement_settings_t, store_loads_per_s, 0.01, STORE_MAX, 2,
+  NUMBER (pu_placement_settings_t, store_loads_per_s, 0.01, STORE_LOADS_MAX, 2,
           "loads a second"),
-  INT (pu_placement_settings_t, store_full_speed, 1, STORE_MAX, 3, "loads"),
+  INT (pu_placement_settings_t, store_full_speed, 1, STORE_LOADS_MAX, 3,
+       "loads"),
   INT (pu_placement_settings_t, min_stay_s, 0, DAY_S, 120, "s"),
   INT (pu_placement_settings_t, payback_s, 1, DAY_S, 300, "s"),
   { .name = "zone_spread",
