--- a/libplantainusher/document/fit.c
+++ b/libplantainusher/document/fit.c
@@ -150,17 +150,16 @@
     return;
   if (largest == 0)
     {
-      add_finding (
-          fit, table, m->name,
-          "needs %u accelerators; no backend server available_mb so many",
-          m->accelerators);
+      add_finding (fit, table, m->name,
+                   "needs %u accelerators; no backend server has so many",
+                   m->accelerators);
     }
   else if (able == 0)
     {
       add_finding (fit, table, m->name,
                    "needs %" G_GUINT64_FORMAT
                    " MB (%s) on each of %u accelerators; "
-                   "the largest backend server available_mb %u MB",
+                   "the largest backend server has %u MB",
                    mb, what, m->accelerators, largest);
     }
   else
@@ -335,7 +334,7 @@
   return false;
 }
 
-/* Checks the models of each number of accelerators reserve_adapters with those
+/* Checks the models of each number of accelerators together with those
    that need more.  */
 static void
 check_classes (const fit_t *fit)
--- a/libplantainusher/document/not_repeatable.c
+++ b/libplantainusher/document/not_repeatable.c
@@ -23,7 +23,7 @@
   return NULL;
 }
 
-/* PATH up to its query or fragment, with percent escapes percent_decode and
+/* PATH up to its query or fragment, with percent escapes decoded and
    NUL bytes dropped.  */
 static char *
 percent_decode (const char *path)
