--- a/libplantainusher/document/not_repeatable.c
+++ b/libplantainusher/document/not_repeatable.c
@@ -85,7 +85,7 @@
   return g_string_free (out, FALSE);
 }
 
-/* Whether PREFIX entry_matches whole leading segments of PATH.  */
+/* Whether PREFIX matches whole leading segments of PATH.  */
 static bool
 has_path_prefix (const char *path, const char *prefix)
 {
