--- a/libplantainusher/control/control.c
+++ b/libplantainusher/control/control.c
@@ -8,7 +8,7 @@
 #define DEFAULT_SESSIONS_MS 1000
 #define DEFAULT_RING_ENTRIES 4096
 #define DEFAULT_GATHER_MS 250
-#define DEFAULT_ELECTING_MS 3000
+#define DEFAULT_STARTUP_GRACE_MS 3000
 #define DEFAULT_RING_BYTES ((size_t)16 << 20)
 #define DROP_LOG_INTERVAL_MS 60000
 
@@ -19,7 +19,7 @@
   o->tick_ms = DEFAULT_TICK_MS;
   o->sessions_ms = DEFAULT_SESSIONS_MS;
   o->gather_ms = DEFAULT_GATHER_MS;
-  o->startup_grace_ms = DEFAULT_ELECTING_MS;
+  o->startup_grace_ms = DEFAULT_STARTUP_GRACE_MS;
   o->ring_entries = DEFAULT_RING_ENTRIES;
   o->ring_bytes = DEFAULT_RING_BYTES;
   pu_state_options_init (&o->state);
@@ -76,7 +76,7 @@
 }
 
 static pu_pace_urgency_t
-news_kind (const pu_command *command, const GBytes *delta)
+urgency_of (const pu_command *command, const GBytes *delta)
 {
   if (delta != NULL)
     return PU_PACE_BATCHED;
@@ -113,7 +113,7 @@
   if (publish)
     {
       pu_feed_add (c->feed, index, bytes, len, delta);
-      pu_control_polls_notify (c, news_kind (&command, delta));
+      pu_control_polls_notify (c, urgency_of (&command, delta));
     }
   pu_command_clear (&command);
 }
@@ -352,9 +352,9 @@
 
 void
 pu_control_add_leader_task (pu_control_t *c,
-                            const pu_control_leader_task_t *duty)
+                            const pu_control_leader_task_t *task)
 {
-  g_array_append_val (c->leader_tasks, *duty);
+  g_array_append_val (c->leader_tasks, *task);
 }
 
 void
--- a/libplantainusher/control/control.h
+++ b/libplantainusher/control/control.h
@@ -44,18 +44,19 @@
   guint32 replace_after_ms;
   guint32 voters_wanted; /* 0: only operators add voters */
   guint32 snapshot_entries;
-  guint32 connect_ms;       /* time-out of connections to other voters */
-  guint32 tick_ms;          /* 100: period of leader tasks and of the check for
-                               polls whose wait is over */
-  guint32 gather_ms;        /* 250: changes of copies are delayed by this and
-                               answered in one batch */
-  guint32 startup_grace_ms; /* 3000: a voter that started less than this ago,
-                          and has not heard of a leader since, serves the
-                          result of `kept` to daemons without a state */
+  guint32 connect_ms; /* time-out of connections to other voters */
+  guint32 tick_ms;    /* 100: period of leader tasks and of the check for
+                         polls whose wait is over */
+  guint32 gather_ms;  /* 250: changes of copies are delayed by this and
+                         answered in one batch */
+  /* 3000: a voter that started less than this ago, and has not heard of a
+     leader since, serves the result of `public_state` to daemons without a
+     state.  */
+  guint32 startup_grace_ms;
   /* Returns the daemon's own copy of the public state, or NULL when it has
      none.  May be NULL.  */
-  const pu_state_t *(*kept) (void *data);
-  void *kept_data;
+  const pu_state_t *(*public_state) (void *data);
+  void *public_state_data;
   guint32 sessions_ms;  /* 1000: interval between session messages to the
                            leader */
   guint32 claims_max;   /* at-most-once keys stored; 0: no limit */
@@ -138,10 +139,10 @@
   void *data;
 } pu_control_leader_task_t;
 
-/* pu_control_add_leader_task - registers a leader task.  DUTY is copied; its
-   functions may be NULL.  */
+/* pu_control_add_leader_task - registers the leader task TASK, which is
+   copied; its functions may be NULL.  */
 void pu_control_add_leader_task (pu_control_t *c,
-                                 const pu_control_leader_task_t *duty);
+                                 const pu_control_leader_task_t *task);
 
 /* pu_control_on_demand - sets FN, which is called on the leader with the
    demand that daemons report: REQUESTS for MODEL that need STREAM_MS in
--- a/libplantainusher/control/control_msg.x
+++ b/libplantainusher/control/control_msg.x
@@ -20,7 +20,8 @@
 const PU_CONTROL_REPLICA = 4;  /* one way */
 const PU_CONTROL_QUERY = 6;    /* pu_query -> pu_query_reply */
 const PU_CONTROL_LOADS = 7;    /* pu_loads, one way, entry to entry; 5
-                                  was used for loads with names */
+                                  was an earlier form of it, with
+                                  names in place of ids */
 const PU_CONTROL_POLL_DELTAS = 8; /* as POLL; entries may be
                                      BACKEND_DELTA commands */
 const PU_CONTROL_FIND = 9;     /* pu_find -> pu_find, to any daemon */
--- a/libplantainusher/control/control_private.h
+++ b/libplantainusher/control/control_private.h
@@ -27,8 +27,9 @@
   pu_feed_t *feed;
   pu_sessions_t *sessions;
   pu_membership_t *membership;
-  GHashTable *heard; /* on the leader: name of a daemon -> daemon_session_t */
-  GArray *leader_tasks; /* the leader tasks, pu_control_leader_task_t */
+  GHashTable *daemon_sessions; /* on the leader: name of a daemon ->
+                                  daemon_session_t */
+  GArray *leader_tasks;        /* the leader tasks, pu_control_leader_task_t */
   pu_control_demand_fn *demand;
   void *demand_data;
   pu_control_copy_request_fn *copy_request;
@@ -37,9 +38,9 @@
   /* polls.c */
   GQueue polls; /* waiting poll_t */
   pu_pace_t pace;
-  pu_public_entry *news; /* reused buffer for one answer */
-  uv_timer_t *answer;    /* set when waiting polls are to be answered */
-  GBytes *image;         /* public image at image_position, or NULL */
+  pu_public_entry *answer_entries; /* reused buffer for one answer */
+  uv_timer_t *answer_timer; /* set when waiting polls are to be answered */
+  GBytes *image;            /* public image at image_position, or NULL */
   uint64_t image_position;
 
   /* proposals.c */
@@ -52,8 +53,8 @@
   bool heard_leader; /* a leader was known since then */
   bool leading;      /* leader tasks run */
   uint64_t term;
-  uint64_t sessions_sent;
-  guint64 drop_logged; /* ms; last log line about a dropped message */
+  uint64_t sessions_sent; /* ms; time of the last session message */
+  guint64 drop_logged;    /* ms; last log line about a dropped message */
   bool closing;
   void (*closed) (void *data);
   void *closed_data;
@@ -96,8 +97,8 @@
 void pu_control_polls_init (pu_control_t *c);
 void pu_control_polls_clear (pu_control_t *c);
 /* pu_control_polls_notify - schedules the answers to the waiting polls after
-   an update of kind NEWS.  */
-void pu_control_polls_notify (pu_control_t *c, pu_pace_urgency_t news);
+   a change of URGENCY.  */
+void pu_control_polls_notify (pu_control_t *c, pu_pace_urgency_t urgency);
 void pu_control_polls_tick (pu_control_t *c, uint64_t now);
 void pu_control_on_poll (void *data, pu_rpc_call_t *call, const guint8 *body,
                          size_t n);
--- a/libplantainusher/control/control_test.cc
+++ b/libplantainusher/control/control_test.cc
@@ -116,7 +116,7 @@
   start (Voter &v)
   {
     pu_control_options_t o;
-    pu_control_leader_task_t duty = {};
+    pu_control_leader_task_t task = {};
     pu_error_t e;
 
     if (v.server == nullptr)
@@ -146,23 +146,23 @@
       }
     o.membership.route_ms = session_ms;
     o.startup_grace_ms = startup_grace_ms;
-    o.kept = [] (void *d) -> const pu_state_t * {
+    o.public_state = [] (void *d) -> const pu_state_t * {
       return static_cast<Control *> (d)->saved;
     };
-    o.kept_data = this;
+    o.public_state_data = this;
     v.control = pu_control_new (&o, &e);
     ASSERT_NE (v.control, nullptr) << e.message;
-    duty.data = &v;
-    duty.begin = [] (void *d, uint64_t, uint64_t) {
+    task.data = &v;
+    task.begin = [] (void *d, uint64_t, uint64_t) {
       static_cast<Voter *> (d)->begun++;
     };
-    duty.end = [] (void *d) { static_cast<Voter *> (d)->ended++; };
-    duty.tick = [] (void *d, uint64_t) {
+    task.end = [] (void *d) { static_cast<Voter *> (d)->ended++; };
+    task.tick = [] (void *d, uint64_t) {
       auto *x = static_cast<Voter *> (d);
       x->ticks++;
       x->acted_without_lease |= !pu_control_is_leader (x->control);
     };
-    pu_control_add_leader_task (v.control, &duty);
+    pu_control_add_leader_task (v.control, &task);
   }
 
   void
--- a/libplantainusher/control/lead.c
+++ b/libplantainusher/control/lead.c
@@ -26,8 +26,8 @@
 pu_control_leadership_init (pu_control_t *c)
 {
   c->membership = pu_membership_new (&c->options.membership);
-  c->heard = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
-                                    daemon_session_free);
+  c->daemon_sessions = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
+                                              daemon_session_free);
   c->leader_tasks
       = g_array_new (FALSE, FALSE, sizeof (pu_control_leader_task_t));
 }
@@ -36,7 +36,7 @@
 pu_control_leadership_clear (pu_control_t *c)
 {
   pu_membership_free (c->membership);
-  g_hash_table_unref (c->heard);
+  g_hash_table_unref (c->daemon_sessions);
   g_array_unref (c->leader_tasks);
 }
 
@@ -46,12 +46,12 @@
 daemon_session_update (pu_control_t *c, const pu_session *s, const char *voter,
                        uint64_t at)
 {
-  daemon_session_t *h = g_hash_table_lookup (c->heard, s->name);
+  daemon_session_t *h = g_hash_table_lookup (c->daemon_sessions, s->name);
 
   if (h == NULL)
     {
       h = g_new0 (daemon_session_t, 1);
-      g_hash_table_insert (c->heard, g_strdup (s->name), h);
+      g_hash_table_insert (c->daemon_sessions, g_strdup (s->name), h);
     }
   if (s->incarnation < h->incarnation || at < h->last_heard)
     return;
@@ -263,7 +263,7 @@
   pu_log_note (PU_CONTROL_PART, "Leads in term %" G_GUINT64_FORMAT ".",
                c->term);
   pu_membership_begin (c->membership, now);
-  g_hash_table_remove_all (c->heard);
+  g_hash_table_remove_all (c->daemon_sessions);
   g_hash_table_remove_all (c->proposers);
   for (guint i = 0; i < c->leader_tasks->len; i++)
     {
@@ -327,7 +327,7 @@
   gpointer value;
   uint64_t now = pu_control_now (c);
 
-  g_hash_table_iter_init (&iter, c->heard);
+  g_hash_table_iter_init (&iter, c->daemon_sessions);
   while (g_hash_table_iter_next (&iter, &key, &value))
     {
       const daemon_session_t *h = value;
--- a/libplantainusher/control/pace.h
+++ b/libplantainusher/control/pace.h
@@ -10,7 +10,7 @@
 /*
  * pace - decides when a voter notifies the daemons whose polls are pending.
  *
- * The pace does no I/O and reads no clock: `now` is monotonic milliseconds.
+ * It does no I/O and reads no clock: `now` is monotonic milliseconds.
  *
  * Thousands of backend servers may check in, or hundreds of instances start,
  * within seconds.  If each record were sent on its own, it would cost one
--- a/libplantainusher/control/polls.c
+++ b/libplantainusher/control/polls.c
@@ -101,8 +101,8 @@
 
   if (pu_control_leader_address (c)[0] != '\0')
     return c->state;
-  if (is_first_election (c) && c->options.kept != NULL)
-    saved = c->options.kept (c->options.kept_data);
+  if (is_first_election (c) && c->options.public_state != NULL)
+    saved = c->options.public_state (c->options.public_state_data);
   return saved;
 }
 
@@ -163,13 +163,14 @@
       r->position = p->position;
       return false;
     }
-  n = pu_feed_read (c->feed, p->position, c->news, PU_CONTROL_LIST_MAX,
-                    REPLY_ENTRIES_MAX_BYTES, p->accepts_deltas);
-  r->entries.entries_val = c->news;
+  n = pu_feed_read (c->feed, p->position, c->answer_entries,
+                    PU_CONTROL_LIST_MAX, REPLY_ENTRIES_MAX_BYTES,
+                    p->accepts_deltas);
+  r->entries.entries_val = c->answer_entries;
   r->entries.entries_len = n;
   /* A full reply ends early; the next reply has the remaining entries.  */
-  if (n > 0 && c->news[n - 1].position != pu_feed_newest (c->feed))
-    r->position = c->news[n - 1].position;
+  if (n > 0 && c->answer_entries[n - 1].position != pu_feed_newest (c->feed))
+    r->position = c->answer_entries[n - 1].position;
   return n > 0;
 }
 
@@ -188,7 +189,8 @@
   g_free (p);
 }
 
-/* poll_refuse - refuses P, so that the daemon polls another voter.  */
+/* poll_refuse - refuses P, so that the daemon polls the next voter at
+   once.  */
 static void
 poll_refuse (poll_t *p)
 {
@@ -264,9 +266,9 @@
 pu_control_polls_init (pu_control_t *c)
 {
   g_queue_init (&c->polls);
-  c->news = g_new0 (pu_public_entry, PU_CONTROL_LIST_MAX);
+  c->answer_entries = g_new0 (pu_public_entry, PU_CONTROL_LIST_MAX);
   c->pace.gather_ms = c->options.gather_ms;
-  c->answer = pu_rpc_timer_new (c->options.loop, c);
+  c->answer_timer = pu_rpc_timer_new (c->options.loop, c);
 }
 
 void
@@ -276,12 +278,12 @@
 
   while ((p = g_queue_peek_head (&c->polls)) != NULL)
     poll_refuse (p);
-  pu_rpc_timer_free (c->answer);
-  c->answer = NULL;
+  pu_rpc_timer_free (c->answer_timer);
+  c->answer_timer = NULL;
   if (c->image != NULL)
     g_bytes_unref (c->image);
   c->image = NULL;
-  g_clear_pointer (&c->news, g_free);
+  g_clear_pointer (&c->answer_entries, g_free);
 }
 
 void
@@ -289,12 +291,12 @@
 {
   uint64_t wait_ms;
 
-  if (c->answer == NULL)
+  if (c->answer_timer == NULL)
     return;
   wait_ms = pu_pace_schedule (&c->pace, urgency, pu_control_now (c));
   /* Even without a delay the reply is left to the timer, so that entries that
      are applied together share one reply.  */
-  uv_timer_start (c->answer, on_notify_timer, wait_ms, 0);
+  uv_timer_start (c->answer_timer, on_notify_timer, wait_ms, 0);
 }
 
 void
--- a/libplantainusher/daemon/build.c
+++ b/libplantainusher/daemon/build.c
@@ -200,8 +200,8 @@
   o.name = d->settings->name;
   o.counters = d->counters;
   o.wire = pu_platform_order_wire ();
-  o.load = on_load;
-  o.unload = on_unload;
+  o.on_load_report = on_load;
+  o.on_unload = on_unload;
   o.data = d;
   d->sequenced = pu_sequenced_new (&o);
 }
@@ -248,8 +248,8 @@
   o.history = pu_operator_history_json;
   o.placement = pu_daemon_placement;
   o.placement_data = d;
-  o.kept = kept_state;
-  o.kept_data = d;
+  o.public_state = kept_state;
+  o.public_state_data = d;
   set_membership (s, &o.membership);
   if (make_folder (folder, e))
     d->control = pu_control_new (&o, e);
--- a/libplantainusher/placer/placer.c
+++ b/libplantainusher/placer/placer.c
@@ -61,7 +61,7 @@
       PU_BREAK_LAST_COPY_UNLOADED, PU_PLANNER_BREAK_LAST_COPY);
 }
 
-/* --- the log --- */
+/* --- counters --- */
 
 static void
 count_event (pu_placer_t *p, pu_counter_t counter)
@@ -70,6 +70,8 @@
     pu_counters_add (p->o.counters, counter, 1);
 }
 
+/* --- proposals to the log --- */
+
 static bool
 is_reserve_pending (void *data, guint32 backend, guint32 copy)
 {
@@ -180,7 +182,7 @@
   pu_control_propose (p->o.control, &c, on_released, NULL);
 }
 
-/* --- the engines --- */
+/* --- orders to engines --- */
 
 /* Records the failure of the order TOKEN, which its engine refused.  */
 static void
@@ -271,7 +273,7 @@
     }
 }
 
-/* --- the duty --- */
+/* --- leader task --- */
 
 static void
 on_begin (void *data, uint64_t now, uint64_t term)
@@ -361,7 +363,7 @@
 pu_placer_new (const pu_placer_options_t *o)
 {
   pu_placer_t *p = g_new0 (pu_placer_t, 1);
-  pu_control_leader_task_t duty
+  pu_control_leader_task_t task
       = { "placement", on_begin, on_tick, on_end, p };
   pu_order_sender_options_t s = { 0 };
 
@@ -377,7 +379,7 @@
   p->pending_reserves = g_hash_table_new (NULL, NULL);
   p->actions = g_array_new (FALSE, FALSE, sizeof (pu_orders_action_t));
   init_counters (p);
-  pu_control_add_leader_task (o->control, &duty);
+  pu_control_add_leader_task (o->control, &task);
   pu_control_on_demand (o->control, on_demand, p);
   return p;
 }
--- a/libplantainusher/placer/placer.h
+++ b/libplantainusher/placer/placer.h
@@ -14,7 +14,7 @@
 G_BEGIN_DECLS
 
 /*
- * placer - the duty of the leader that loads and unloads models on engines.
+ * placer - the leader's task that loads and unloads models on engines.
  *
  * The placer passes the replicated state to the planner and the orders of the
  * placement slice and executes their actions: it proposes RESERVE and RELEASE
@@ -55,8 +55,8 @@
    are cleared.  */
 void pu_placer_options_init (pu_placer_options_t *o);
 
-/* pu_placer_new - adds the duty to O->control and registers for its demand
-   reports.  */
+/* pu_placer_new - registers the task with O->control and sets its callback
+   for demand.  */
 pu_placer_t *pu_placer_new (const pu_placer_options_t *o);
 
 /* pu_placer_free - frees P.  To be called after the callback of
@@ -81,8 +81,9 @@
 
 /* pu_placer_plan - returns the moves that the document D would cause, as a new
    object {"moves":[{"kind","model","version","backend","memory_mb",
-   "reason"}]}.  Uses the newest state and, on a leader that has applied it and
-   is not quiet, the known demand.  */
+   "reason"}]}.  Uses the newest state.  The known demand is taken into account
+   only on a leader whose placement is up to date with that state and which
+   does not suspend loads (pu_orders_loads_suspended).  */
 json_t *pu_placer_plan (pu_placer_t *p, const pu_document_t *d);
 
 /* pu_placer_plan_state - like pu_placer_plan, from S alone, on any daemon: the
--- a/libplantainusher/placer/sequenced.c
+++ b/libplantainusher/placer/sequenced.c
@@ -639,7 +639,7 @@
 pu_sequenced_new (const pu_sequenced_options_t *o)
 {
   pu_sequenced_t *s = g_new0 (pu_sequenced_t, 1);
-  pu_control_leader_task_t duty
+  pu_control_leader_task_t task
       = { "placement", on_begin, on_tick, on_end, s };
   pu_http_client_options_t c
       = { .loop = o->loop, .connect_timeout_ms = o->connect_timeout_ms };
@@ -661,7 +661,7 @@
       s->answers_lost
           = pu_counters_get (o->counters, "placement_answers_lost_total");
     }
-  pu_control_add_leader_task (o->control, &duty);
+  pu_control_add_leader_task (o->control, &task);
   pu_control_on_demand (o->control, on_demand, s);
   pu_control_on_copy_request (o->control, pu_sequenced_on_copy_request, s);
   return s;
--- a/libplantainusher/placer/sequenced.h
+++ b/libplantainusher/placer/sequenced.h
@@ -36,10 +36,11 @@
   guint32 plan_interval_ms;
   double store_burst; /* loads from the weights store that may start at once */
   /* Receives the load of an engine from each of its reports; may be NULL.  */
-  void (*load) (void *data, const char *engine, const pu_router_report_t *r);
+  void (*on_load_report) (void *data, const char *engine,
+                          const pu_router_report_t *r);
   /* Called before ENGINE is ordered to unload the model MODEL; may be
      NULL.  */
-  void (*unload) (void *data, const char *engine, const char *model);
+  void (*on_unload) (void *data, const char *engine, const char *model);
   void *data;
 } pu_sequenced_options_t;
 
--- a/libplantainusher/placer/sequenced_calls.c
+++ b/libplantainusher/placer/sequenced_calls.c
@@ -130,8 +130,8 @@
 
   count (s, s->orders_sent);
   if (o.op == PU_DISPATCHER_UNLOAD && !a->order.adapter
-      && s->options.unload != NULL)
-    s->options.unload (s->options.data, o.engine, o.model);
+      && s->options.on_unload != NULL)
+    s->options.on_unload (s->options.data, o.engine, o.model);
   if (!pu_control_is_leader (s->options.control)
       || !call_start (s, a->engine, &call, on_order_answer))
     {
@@ -202,9 +202,9 @@
   g_hash_table_remove_all (e->cached_items);
 }
 
-/* Passes the load of E from its report R to options.load.  The term is in the
-   high bits of the sequence number, so that a later leader's numbers are
-   higher.  */
+/* Passes the load of E from its report R to options.on_load_report.  The term
+   is in the high bits of the sequence number, so that a later leader's numbers
+   are higher.  */
 static void
 notify_load (pu_sequenced_t *s, const engine_t *e, const call_t *a,
              const pu_wire_report_t *r)
@@ -217,8 +217,8 @@
           .age_ms
           = (guint)(pu_sequenced_now (s) - a->started_ms) + REPORT_AGE_MS };
 
-  if (s->options.load != NULL)
-    s->options.load (s->options.data, e->name, &load);
+  if (s->options.on_load_report != NULL)
+    s->options.on_load_report (s->options.data, e->name, &load);
 }
 
 static void
--- a/libplantainusher/placer/sequenced_private.h
+++ b/libplantainusher/placer/sequenced_private.h
@@ -45,7 +45,7 @@
   guint64 document_version;
   guint64 state_changes; /* pu_state_changes of the last update */
   guint64 term;
-  guint64 n_load_reports;    /* number passed to options.load */
+  guint64 n_load_reports;    /* number passed to options.on_load_report */
   double store_tokens;       /* token bucket of loads from the weights store */
   double store_tokens_per_s; /* its refill rate */
   guint64 store_refilled_at_ms;
@@ -119,8 +119,8 @@
    is no longer being loaded, or has timed out.  */
 void pu_sequenced_check_copy_requests (pu_sequenced_t *s);
 
-/* pu_sequenced_refuse_copy_requests - answers all requests that wait with no
-   copy.  */
+/* pu_sequenced_refuse_copy_requests - answers all waiting requests with
+   NULL: no copy is expected.  */
 void pu_sequenced_refuse_copy_requests (pu_sequenced_t *s);
 
 G_END_DECLS
