--- a/libplantainusher/control/polls.c
+++ b/libplantainusher/control/polls.c
@@ -189,8 +189,8 @@
   g_free (p);
 }
 
-/* poll_refuse - refuses P, so that the daemon polls the next voter at
-   once.  */
+/* poll_refuse - refuses P, so that the daemon polls the next voter
+   after a short pause instead of waiting for the end of P.  */
 static void
 poll_refuse (poll_t *p)
 {
