--- a/libplantainusher/control/control.c
+++ b/libplantainusher/control/control.c
@@ -67,8 +67,8 @@
 {
   if (command->type == PU_COMMAND_BACKEND_UP)
     {
-      return pu_state_apply_delta (c->state, index, command, reply, delta,
-                                   publish);
+      return pu_state_apply_report (c->state, index, command, reply, delta,
+                                    publish);
     }
   *delta = NULL;
   *publish = pu_command_is_public (command);
@@ -102,7 +102,7 @@
           "Skipped the malformed log entry at position %" G_GUINT64_FORMAT
           ": %s",
           index, e.message);
-      pu_state_skip (c->state, index);
+      pu_state_skip_to (c->state, index);
       return;
     }
   if (apply_command (c, index, &command, &reply, &delta, &publish))
@@ -135,7 +135,7 @@
 
   if (!pu_state_decode (c->state, bytes, len, e))
     return false;
-  pu_state_skip (c->state, index);
+  pu_state_skip_to (c->state, index);
   pu_feed_reset (c->feed, index);
   pu_control_polls_notify (c, PU_PACE_IMMEDIATE);
   return true;
@@ -293,7 +293,7 @@
 void
 pu_control_step_down (pu_control_t *c)
 {
-  pu_group_leave (c->group);
+  pu_group_transfer_leadership (c->group);
 }
 
 static void
@@ -360,7 +360,7 @@
 void
 pu_control_add_seed (pu_control_t *c, const char *address)
 {
-  pu_group_meet (c->group, address);
+  pu_group_add_seed (c->group, address);
 }
 
 void
@@ -392,7 +392,8 @@
       o, "state",
       json_pack ("{s:I, s:I, s:I}", "position",
                  (json_int_t)pu_state_position (c->state), "view",
-                 (json_int_t)pu_state_view (c->state), "document_version",
+                 (json_int_t)pu_state_membership_version (c->state),
+                 "document_version",
                  (json_int_t)(d == NULL ? 0 : d->doc_version)));
   if (!c->leading)
     return o;
--- a/libplantainusher/control/control.h
+++ b/libplantainusher/control/control.h
@@ -96,7 +96,7 @@
 void pu_control_set_claims_max (pu_control_t *c, guint32 claims_max);
 
 /* pu_control_add_seed - adds ADDRESS as the address of a possible voter, see
-   pu_group_meet.  */
+   pu_group_add_seed.  */
 void pu_control_add_seed (pu_control_t *c, const char *address);
 
 /* pu_control_state - returns the full state as applied on this voter.  */
--- a/libplantainusher/control/control_test.cc
+++ b/libplantainusher/control/control_test.cc
@@ -141,10 +141,10 @@
     o.ring_entries = 8;
     for (int i = 0; i < 2; i++)
       {
-        o.membership.least_ms[i] = session_ms;
-        o.membership.most_ms[i] = 2 * session_ms;
+        o.membership.min_timeout_ms[i] = session_ms;
+        o.membership.max_timeout_ms[i] = 2 * session_ms;
       }
-    o.membership.route_ms = session_ms;
+    o.membership.route_timeout_ms = session_ms;
     o.startup_grace_ms = startup_grace_ms;
     o.public_state = [] (void *d) -> const pu_state_t * {
       return static_cast<Control *> (d)->saved;
--- a/libplantainusher/control/lead.c
+++ b/libplantainusher/control/lead.c
@@ -74,15 +74,16 @@
                uint64_t now)
 {
   daemon_session_update (c, s, voter, time_at_age (now, s->age_ms));
-  pu_membership_heard (c->membership, PU_SUBJECT_MEMBER, s->name,
-                       s->incarnation, voter, time_at_age (now, s->age_ms));
+  pu_membership_record_heartbeat (c->membership, PU_SUBJECT_MEMBER, s->name,
+                                  s->incarnation, voter,
+                                  time_at_age (now, s->age_ms));
   for (u_int i = 0; i < s->renewals.renewals_len; i++)
     {
       const pu_renewal *r = &s->renewals.renewals_val[i];
 
-      pu_membership_heard (c->membership, PU_SUBJECT_BACKEND, r->backend,
-                           r->incarnation, s->name,
-                           time_at_age (now, r->age_ms));
+      pu_membership_record_heartbeat (c->membership, PU_SUBJECT_BACKEND,
+                                      r->backend, r->incarnation, s->name,
+                                      time_at_age (now, r->age_ms));
     }
   for (u_int i = 0; i < s->demand.demand_len && c->demand != NULL; i++)
     {
@@ -95,7 +96,7 @@
 static void
 sessions_apply (pu_control_t *c, const pu_sessions *m, uint64_t now)
 {
-  pu_membership_route_heard (c->membership, m->voter, now);
+  pu_membership_record_route_heartbeat (c->membership, m->voter, now);
   for (u_int i = 0; i < m->sessions.sessions_len; i++)
     {
       session_apply (c, &m->sessions.sessions_val[i], m->voter, now);
@@ -201,7 +202,7 @@
 }
 
 static void
-propose_down (pu_control_t *c, const pu_membership_verdict_t *v)
+propose_down (pu_control_t *c, const pu_membership_failure_t *v)
 {
   pu_down down = { .name = (char *)v->name, .incarnation = v->incarnation };
   pu_command command = { 0 };
@@ -227,7 +228,7 @@
 membership_tick (pu_control_t *c, uint64_t now)
 {
   GArray *verdicts
-      = g_array_new (FALSE, FALSE, sizeof (pu_membership_verdict_t));
+      = g_array_new (FALSE, FALSE, sizeof (pu_membership_failure_t));
   expect_args_t x = { c, now };
 
   pu_state_each_member (c->state, expect_member, &x);
@@ -235,7 +236,7 @@
   pu_membership_tick (c->membership, now, verdicts);
   for (guint i = 0; i < verdicts->len; i++)
     {
-      propose_down (c, &g_array_index (verdicts, pu_membership_verdict_t, i));
+      propose_down (c, &g_array_index (verdicts, pu_membership_failure_t, i));
     }
   g_array_unref (verdicts);
 }
@@ -252,7 +253,7 @@
       = json_integer_value (json_object_get (status, "applied"));
 
   json_decref (status);
-  return (uint64_t)applied >= pu_group_committed (c->group);
+  return (uint64_t)applied >= pu_group_commit_index (c->group);
 }
 
 static void
@@ -262,7 +263,7 @@
   c->term = pu_group_term (c->group);
   pu_log_note (PU_CONTROL_PART, "Leads in term %" G_GUINT64_FORMAT ".",
                c->term);
-  pu_membership_begin (c->membership, now);
+  pu_membership_reset (c->membership, now);
   g_hash_table_remove_all (c->daemon_sessions);
   g_hash_table_remove_all (c->proposers);
   for (guint i = 0; i < c->leader_tasks->len; i++)
@@ -334,8 +335,8 @@
       uint64_t silent = now - h->last_heard;
       uint64_t allowed = 0;
 
-      pu_membership_silent (c->membership, PU_SUBJECT_MEMBER, key, now,
-                            &silent, &allowed);
+      pu_membership_get_silence (c->membership, PU_SUBJECT_MEMBER, key, now,
+                                 &silent, &allowed);
       json_array_append_new (
           list,
           json_pack ("{s:s, s:I, s:I, s:I, s:I, s:s}", "name", key,
@@ -353,8 +354,8 @@
   uint64_t allowed;
 
   if (!c->leading
-      || !pu_membership_silent (c->membership, PU_SUBJECT_BACKEND, name,
-                                pu_control_now (c), &silent, &allowed))
+      || !pu_membership_get_silence (c->membership, PU_SUBJECT_BACKEND, name,
+                                     pu_control_now (c), &silent, &allowed))
     return G_MAXUINT64;
   return silent;
 }
--- a/libplantainusher/control/polls.c
+++ b/libplantainusher/control/polls.c
@@ -60,7 +60,7 @@
   u_int n = 0;
 
   r->cluster = config->cluster;
-  r->voters_at = pu_group_config_at (group);
+  r->voters_at = pu_group_config_index (group);
   r->voters_hash = voters_hash (config);
   if (r->voters_hash == known_hash)
     return;
@@ -206,7 +206,7 @@
 static bool
 voter_lags (const pu_control_t *c, const poll_t *p)
 {
-  uint64_t ms = pu_group_behind_ms (c->group);
+  uint64_t ms = pu_group_commit_lag_ms (c->group);
 
   return needs_image (c, p) ? ms > 0 : ms > VOTER_LAG_MAX_MS;
 }
--- a/libplantainusher/control/proposals.c
+++ b/libplantainusher/control/proposals.c
@@ -324,9 +324,9 @@
       return NULL;
     }
   if (command->type == PU_COMMAND_SUBMIT)
-    pu_state_shrink_submit (c->state, &command->pu_command_u.submit);
+    pu_state_delta_encode_submit (c->state, &command->pu_command_u.submit);
   if (command->type == PU_COMMAND_CLAIM && c->options.claims_max > 0
-      && pu_state_claims (c->state) >= c->options.claims_max)
+      && pu_state_claim_count (c->state) >= c->options.claims_max)
     {
       pu_error_set (e, PU_ERROR_UNAVAILABLE,
                     "The limit of %u at-most-once keys is reached; the call "
--- a/libplantainusher/log/journal.h
+++ b/libplantainusher/log/journal.h
@@ -71,7 +71,7 @@
   const char *folder;
   const pu_journal_fs_t *fs; /* NULL: the operating system's */
   uint64_t segment_bytes;    /* 8 MiB: size at which a new segment starts */
-  bool sync_each;            /* one sync per entry; baseline of a benchmark */
+  bool sync_each_entry;      /* one sync per entry; baseline of a benchmark */
   pu_journal_synced_fn *synced;
   pu_journal_saved_fn *saved;
   pu_journal_failed_fn *failed;
--- a/libplantainusher/log/replica_vote.c
+++ b/libplantainusher/log/replica_vote.c
@@ -68,7 +68,7 @@
 
   b.pu_log_body_u.vote.pre = pre;
   b.pu_log_body_u.vote.transfer = transfer;
-  b.pu_log_body_u.vote.last_index = pu_r_last (r);
+  b.pu_log_body_u.vote.last_index = pu_r_last_index (r);
   b.pu_log_body_u.vote.last_term = pu_r_last_term (r);
   for (guint i = 0; i < c->members.members_len; i++)
     {
@@ -97,14 +97,14 @@
 {
   g_hash_table_remove_all (r->granted);
   add_vote (r, r->self.id);
-  pu_r_follow (r, now, r->term, NULL);
+  pu_r_become_follower (r, now, r->term, NULL);
   if (pre)
     {
       r->role = PU_ROLE_PRECANDIDATE;
     }
   else
     {
-      pu_r_follow (r, now, r->term + 1, NULL);
+      pu_r_become_follower (r, now, r->term + 1, NULL);
       r->role = PU_ROLE_CANDIDATE;
       r->vote = r->self.id;
       pu_r_save_meta (r);
@@ -141,7 +141,7 @@
     }
   else if (r->role == PU_ROLE_CANDIDATE && own_vote_durable (r))
     {
-      pu_r_lead (r, now);
+      pu_r_become_leader (r, now);
     }
 }
 
@@ -152,7 +152,7 @@
 
   if (v->last_term != term)
     return v->last_term > term;
-  return v->last_index >= pu_r_last (r);
+  return v->last_index >= pu_r_last_index (r);
 }
 
 static bool
@@ -160,7 +160,8 @@
 {
   if (r->o.breaks & PU_BREAK_VOTE_IN_LEASE)
     return false;
-  return r->role == PU_ROLE_LEADER || now < r->heard_at + r->o.election_ms;
+  return r->role == PU_ROLE_LEADER
+         || now < r->last_leader_contact + r->o.election_ms;
 }
 
 /* What this voter knows of the others' disks; a new leader takes it over.  */
@@ -192,7 +193,7 @@
 
   b.pu_log_body_u.vote_reply.pre = m->body.pu_log_body_u.vote.pre;
   b.pu_log_body_u.vote_reply.granted = granted;
-  b.pu_log_body_u.vote_reply.last_index = pu_r_last (r);
+  b.pu_log_body_u.vote_reply.last_index = pu_r_last_index (r);
   pu_r_send (r, &m->from, &b);
 }
 
@@ -227,7 +228,7 @@
   if (in_lease (r, now) && !v->transfer)
     return;
   if (m->term > r->term)
-    pu_r_follow (r, now, m->term, NULL);
+    pu_r_become_follower (r, now, m->term, NULL);
   granted = (r->vote == 0 || r->vote == m->from.id)
             && r->role != PU_ROLE_LEADER && up_to_date (r, v)
             && v->last_index >= pu_r_floor (r, m->from.id);
@@ -280,7 +281,7 @@
 /* The latest time by which a quorum, this leader among it, had been sent what
    it has answered.  */
 uint64_t
-pu_r_quorum_sent (const pu_replica_t *r, uint64_t now)
+pu_r_quorum_acked_send_time (const pu_replica_t *r, uint64_t now)
 {
   const pu_log_config *c = pu_r_config (r);
   uint64_t sent[PU_LOG_MEMBERS_MAX] = { 0 };
@@ -289,7 +290,7 @@
   for (guint i = 0; i < c->members.members_len; i++)
     {
       const pu_log_member *m = &c->members.members_val[i];
-      const pu_progress_t *p = pu_r_progress (r, m->peer.id);
+      const pu_progress_t *p = pu_r_find_progress (r, m->peer.id);
 
       if (!pu_log_role_is_voting (m->role))
         continue;
@@ -299,7 +300,7 @@
         }
       else
         {
-          sent[n++] = p != NULL && !p->refused ? p->acked_sent : 0;
+          sent[n++] = p != NULL && !p->refused ? p->acked_send_time : 0;
         }
     }
   if (n == 0)
@@ -316,9 +317,9 @@
   uint64_t lease = t * (PERMILLE - drift) / (PERMILLE + drift);
   uint64_t sent;
 
-  if (r->role != PU_ROLE_LEADER || r->commit < r->first_of_term
+  if (r->role != PU_ROLE_LEADER || r->commit < r->term_first_index
       || lease <= CLOCK_GRAIN_MS)
     return false;
-  sent = pu_r_quorum_sent (r, now);
+  sent = pu_r_quorum_acked_send_time (r, now);
   return sent != 0 && now < sent + lease - CLOCK_GRAIN_MS;
 }
--- a/libplantainusher/log/replica_voters.c
+++ b/libplantainusher/log/replica_voters.c
@@ -42,17 +42,18 @@
 }
 
 void
-pu_r_say_hello (pu_replica_t *r, uint64_t now)
+pu_r_send_hellos (pu_replica_t *r, uint64_t now)
 {
   const pu_log_config *c = pu_r_config (r);
   bool fresh = is_fresh (r);
 
-  if (now < r->hello_at)
+  if (now < r->next_hello_at)
     return;
   if (!fresh
-      && now < r->heard_at + LOST_ELECTIONS * (uint64_t)r->o.election_ms)
+      && now < r->last_leader_contact
+                   + LOST_ELECTIONS * (uint64_t)r->o.election_ms)
     return;
-  r->hello_at = now + r->o.election_ms / 2;
+  r->next_hello_at = now + r->o.election_ms / 2;
   for (guint i = 0; i < r->seeds->len; i++)
     send_hello (r, &g_array_index (r->seeds, pu_seed_t, i).peer);
   for (guint i = 0; i < c->members.members_len; i++)
@@ -86,7 +87,7 @@
 }
 
 void
-pu_replica_meet (pu_replica_t *r, const char *address)
+pu_replica_add_seed (pu_replica_t *r, const char *address)
 {
   const pu_log_peer peer = { .name = (char *)"", .address = (char *)address };
   pu_seed_t s = { 0 };
@@ -143,7 +144,7 @@
   if (b == NULL)
     return;
   p = g_bytes_get_data (b, &len);
-  pu_r_append_own (r, PU_LOG_CONFIG, p, len);
+  pu_r_append_as_leader (r, PU_LOG_CONFIG, p, len);
   g_bytes_unref (b);
 }
 
@@ -156,7 +157,7 @@
 }
 
 void
-pu_r_start_log (pu_replica_t *r, uint64_t now)
+pu_r_bootstrap_log (pu_replica_t *r, uint64_t now)
 {
   pu_log_member members[PU_LOG_MEMBERS_MAX] = { 0 };
   pu_log_config c = { 0 };
@@ -185,16 +186,16 @@
 static bool
 may_change (const pu_replica_t *r)
 {
-  return r->role == PU_ROLE_LEADER && r->transfer_until == 0
+  return r->role == PU_ROLE_LEADER && r->transfer_deadline == 0
          && pu_r_config_index (r) <= r->commit
-         && r->commit >= r->first_of_term;
+         && r->commit >= r->term_first_index;
 }
 
 /* Silent for so long that a new identity of the same name is believed.  */
 static bool
 gone (const pu_replica_t *r, const pu_log_member *m, uint64_t now)
 {
-  const pu_progress_t *p = pu_r_progress (r, m->peer.id);
+  const pu_progress_t *p = pu_r_find_progress (r, m->peer.id);
 
   return p != NULL
          && (p->refused
@@ -204,7 +205,7 @@
 static bool
 lost (const pu_replica_t *r, const pu_log_member *m, uint64_t now)
 {
-  const pu_progress_t *p = pu_r_progress (r, m->peer.id);
+  const pu_progress_t *p = pu_r_find_progress (r, m->peer.id);
 
   if (m->peer.id == r->self.id)
     return false;
@@ -216,22 +217,23 @@
 static bool
 confirmed (const pu_replica_t *r, const pu_log_member *m, uint64_t now)
 {
-  const pu_progress_t *p = pu_r_progress (r, m->peer.id);
+  const pu_progress_t *p = pu_r_find_progress (r, m->peer.id);
 
   if (m->peer.id == r->self.id)
     return true;
-  return p != NULL && !p->refused && p->acked_sent > r->settled_at
-         && now <= p->acked_sent + CONFIRM_BEATS * (uint64_t)r->o.heartbeat_ms;
+  return p != NULL && !p->refused && p->acked_send_time > r->settled_at
+         && now <= p->acked_send_time
+                       + CONFIRM_BEATS * (uint64_t)r->o.heartbeat_ms;
 }
 
 static bool
 caught_up (const pu_replica_t *r, const pu_log_member *m, uint64_t now)
 {
-  const pu_progress_t *p = pu_r_progress (r, m->peer.id);
+  const pu_progress_t *p = pu_r_find_progress (r, m->peer.id);
 
   return p != NULL && confirmed (r, m, now)
-         && p->match + CATCH_UP_GAP >= pu_r_last (r)
-         && p->match >= r->first_of_term;
+         && p->match + CATCH_UP_GAP >= pu_r_last_index (r)
+         && p->match >= r->term_first_index;
 }
 
 /* Whether the confirmed voters are a quorum when EXTRA confirmed ones join
@@ -275,7 +277,7 @@
     }
   append_config (r, &c);
   pu_log_config_clear (&c);
-  pu_r_sync_progress (r, now);
+  pu_r_reconcile_progress (r, now);
 }
 
 /* Appends a copy of the configuration that wants STEP voters more.  */
@@ -288,7 +290,7 @@
   c.target += (u_int)step;
   append_config (r, &c);
   pu_log_config_clear (&c);
-  pu_r_sync_progress (r, now);
+  pu_r_reconcile_progress (r, now);
 }
 
 /* A newer voter with the name of member I.  */
@@ -358,7 +360,7 @@
     return false;
   if (c->members.members_val[i].peer.id == r->self.id)
     {
-      pu_replica_transfer (r, now);
+      pu_replica_transfer_leadership (r, now);
       return true;
     }
 
@@ -512,13 +514,13 @@
 }
 
 void
-pu_r_balance (pu_replica_t *r, uint64_t now)
+pu_r_adjust_voters (pu_replica_t *r, uint64_t now)
 {
   if (!may_change (r))
     return;
-  if (r->settled_index != pu_r_config_index (r))
+  if (r->committed_config_index != pu_r_config_index (r))
     {
-      r->settled_index = pu_r_config_index (r);
+      r->committed_config_index = pu_r_config_index (r);
       r->settled_at = now;
     }
   if (remove_surplus (r, now))
@@ -569,13 +571,13 @@
       pu_log_peer_copy (&c.members.members_val[n].peer, peer);
       c.members.members_len = n + 1;
       append_config (r, &c);
-      pu_r_sync_progress (r, now);
+      pu_r_reconcile_progress (r, now);
     }
   pu_log_config_clear (&c);
 }
 
 void
-pu_r_tell_rejoin (pu_replica_t *r, const pu_log_peer *to)
+pu_r_send_rejoin (pu_replica_t *r, const pu_log_peer *to)
 {
   pu_log_body b = { .kind = PU_LOG_REJOIN };
 
@@ -598,11 +600,12 @@
     }
   else if (m->term > r->term)
     {
-      pu_r_follow (r, now, m->term, NULL); /* lead again above that term */
+      pu_r_become_follower (r, now, m->term,
+                            NULL); /* lead again above that term */
     }
   else
     {
-      pu_r_tell_rejoin (r, &m->from);
+      pu_r_send_rejoin (r, &m->from);
     }
 }
 
@@ -705,7 +708,7 @@
   c.members.members_val[k].role = PU_LOG_CHOSEN;
   append_config (r, &c);
   pu_log_config_clear (&c);
-  pu_r_sync_progress (r, now);
+  pu_r_reconcile_progress (r, now);
   return true;
 }
 
--- a/libplantainusher/placer/sequenced.c
+++ b/libplantainusher/placer/sequenced.c
@@ -240,9 +240,9 @@
   const pu_state_t *state = pu_control_state (s->options.control);
   leader_state_t *l = s->leader;
 
-  if (pu_state_changes (state) == l->state_changes)
+  if (pu_state_change_count (state) == l->state_changes)
     return;
-  l->state_changes = pu_state_changes (state);
+  l->state_changes = pu_state_change_count (state);
   update_document (s);
   for (guint i = 0; i < l->engines->len; i++)
     pu_sequenced_get_engine (l, i)->in_state = false;
--- a/libplantainusher/placer/sequenced_calls.c
+++ b/libplantainusher/placer/sequenced_calls.c
@@ -253,7 +253,7 @@
 static bool
 is_of_incarnation (const pu_wire_report_t *r, const engine_t *e)
 {
-  return r->incarnation == 0 || e->incarnation == PU_INCARNATION_UNTOLD
+  return r->incarnation == 0 || e->incarnation == PU_INCARNATION_UNREPORTED
          || r->incarnation == e->incarnation;
 }
 
--- a/libplantainusher/placer/sequenced_private.h
+++ b/libplantainusher/placer/sequenced_private.h
@@ -43,7 +43,7 @@
   guint32 max_adapter_mb; /* memory of the largest adapter */
   pu_document_t *document;
   guint64 document_version;
-  guint64 state_changes; /* pu_state_changes of the last update */
+  guint64 state_changes; /* pu_state_change_count of the last update */
   guint64 term;
   guint64 n_load_reports;    /* number passed to options.on_load_report */
   double store_tokens;       /* token bucket of loads from the weights store */
