--- a/libplantainusher/state/backend_delta.c
+++ b/libplantainusher/state/backend_delta.c
@@ -6,12 +6,12 @@
 
 #include "state/codec.h"
 
-#define RECORD ((xdrproc_t)xdr_pu_backend_record)
+#define RECORD_PROC ((xdrproc_t)xdr_pu_backend_record)
 
 static uint64_t
 record_hash (const pu_backend_record *b)
 {
-  GBytes *bytes = pu_codec_encode (RECORD, b);
+  GBytes *bytes = pu_codec_encode (RECORD_PROC, b);
   gsize size;
   gconstpointer data = g_bytes_get_data (bytes, &size);
   uint64_t hash = XXH3_64bits (data, size);
@@ -26,38 +26,39 @@
   return d->base == record_hash (old);
 }
 
-/* --- to a record --- */
+/* --- applying a delta --- */
 
 static bool
-is_gone (const pu_backend_delta *d, u_int number)
+is_removed (const pu_backend_delta *d, u_int copy_index)
 {
   for (u_int i = 0; i < d->gone.gone_len; i++)
     {
-      if (d->gone.gone_val[i] == number)
+      if (d->gone.gone_val[i] == copy_index)
         return true;
     }
   return false;
 }
 
 static bool
-numbers_exist (const pu_backend_delta *d, u_int n)
+indexes_are_valid (const pu_backend_delta *d, u_int n_copies)
 {
   for (u_int i = 0; i < d->changed.changed_len; i++)
     {
-      if (d->changed.changed_val[i].number >= n)
+      if (d->changed.changed_val[i].number >= n_copies)
         return false;
     }
   for (u_int i = 0; i < d->gone.gone_len; i++)
     {
-      if (d->gone.gone_val[i] >= n)
+      if (d->gone.gone_val[i] >= n_copies)
         return false;
     }
   return true;
 }
 
-/* Shallow copies: the names stay those of OLD and D.  */
+/* Returns the list of copies that D makes of OLD's, and sets *LEN.  Only the
+   list is new: its strings belong to OLD and D.  */
 static pu_copy_record *
-copies_after (const pu_backend_delta *d, const pu_backend_record *old,
+copies_apply (const pu_backend_delta *d, const pu_backend_record *old,
               u_int *len)
 {
   u_int n = old->copies.copies_len;
@@ -76,7 +77,7 @@
   *len = 0;
   for (u_int i = 0; i < n; i++)
     {
-      if (!is_gone (d, i))
+      if (!is_removed (d, i))
         after[(*len)++] = before[i];
     }
   for (u_int i = 0; i < d->added.added_len; i++)
@@ -90,20 +91,20 @@
                         const pu_backend_record *old)
 {
   pu_backend_record n = *old;
-  pu_backend_record *made = NULL;
+  pu_backend_record *result = NULL;
 
-  if (!numbers_exist (d, old->copies.copies_len))
+  if (!indexes_are_valid (d, old->copies.copies_len))
     return NULL;
   n.seq = d->seq;
   n.token = d->token;
-  n.copies.copies_val = copies_after (d, old, &n.copies.copies_len);
+  n.copies.copies_val = copies_apply (d, old, &n.copies.copies_len);
   if (n.copies.copies_len <= PU_LIST_MAX)
-    made = pu_codec_clone (RECORD, &n, sizeof n);
+    result = pu_codec_clone (RECORD_PROC, &n, sizeof n);
   g_free (n.copies.copies_val);
-  return made;
+  return result;
 }
 
-/* --- from two records --- */
+/* --- making a delta --- */
 
 static bool
 is_same_copy (const pu_copy_record *a, const pu_copy_record *b)
@@ -123,10 +124,11 @@
   return NULL;
 }
 
-/* Whether a delta gives NEXT is for the caller to try.  */
+/* Fills D with the copies that differ between OLD and NEXT.  The caller must
+   check that D gives NEXT: other differences are not in D.  */
 static void
-fill (pu_backend_delta *d, const pu_backend_record *old,
-      const pu_backend_record *next)
+copies_diff (pu_backend_delta *d, const pu_backend_record *old,
+             const pu_backend_record *next)
 {
   for (u_int i = 0; i < old->copies.copies_len; i++)
     {
@@ -151,13 +153,13 @@
 }
 
 static bool
-gives (const pu_backend_delta *d, const pu_backend_record *old,
-       const pu_backend_record *next)
+delta_gives (const pu_backend_delta *d, const pu_backend_record *old,
+             const pu_backend_record *next)
 {
-  pu_backend_record *made = pu_backend_delta_apply (d, old);
-  bool same = made != NULL && pu_codec_equal (RECORD, made, next);
+  pu_backend_record *result = pu_backend_delta_apply (d, old);
+  bool same = result != NULL && pu_codec_equal (RECORD_PROC, result, next);
 
-  pu_codec_free (RECORD, made);
+  pu_codec_free (RECORD_PROC, result);
   return same;
 }
 
@@ -177,9 +179,10 @@
   d->changed.changed_val = g_new0 (pu_copy_change, n + 1);
   d->gone.gone_val = g_new0 (u_int, n + 1);
   d->added.added_val = g_new0 (pu_copy_record, next->copies.copies_len + 1);
-  fill (d, old, next);
-  /* Copies in another order, or another address, are told whole.  */
-  if (gives (d, old, next))
+  copies_diff (d, old, next);
+  /* A delta cannot express another order of the copies, or another address:
+     the caller then sends the whole record.  */
+  if (delta_gives (d, old, next))
     bytes = pu_command_encode (&c);
   g_free (d->changed.changed_val);
   g_free (d->gone.gone_val);
--- a/libplantainusher/state/backend_delta.h
+++ b/libplantainusher/state/backend_delta.h
@@ -6,25 +6,28 @@
 G_BEGIN_DECLS
 
 /*
- * backend_delta - the record of a backend server as what differs from the one
- * before.
+ * backend_delta - a backend server's record encoded as its difference from the
+ * previous record.
  *
- * Most reports that reach the log change one copy of some.  A delta names the
- * copies that changed, went and came; the hash of the record before proves
- * that it is applied to the right one.
+ * Most reports that reach the log change one of several model copies.  A delta
+ * lists the copies that were changed, removed and added.  The hash of the
+ * previous record shows that the delta is applied to the right base.
  */
 
-/* pu_backend_delta_make - the command that turns OLD into NEXT, encoded; NULL
-   when they differ in more than copies, report and token.  */
+/* pu_backend_delta_make - returns the encoded PU_COMMAND_BACKEND_DELTA that
+   turns OLD into NEXT.  NULL when a delta cannot express the difference: it
+   covers changed, removed and appended copies, seq and token only.  */
 GBytes *pu_backend_delta_make (const pu_backend_record *old,
                                const pu_backend_record *next);
 
-/* pu_backend_delta_fits - whether D was made from OLD.  */
+/* pu_backend_delta_fits - whether OLD is the record that D was made from.  */
 bool pu_backend_delta_fits (const pu_backend_delta *d,
                             const pu_backend_record *old);
 
-/* pu_backend_delta_apply - the record that D makes of OLD, to be freed with
-   pu_codec_free; NULL when D names a copy that OLD does not have.  */
+/* pu_backend_delta_apply - returns the record that D makes of OLD; free it
+   with pu_codec_free.  NULL when D refers to a copy that OLD does not have, or
+   the result has more than PU_LIST_MAX copies.  Does not check that OLD is the
+   base of D: see pu_backend_delta_fits.  */
 pu_backend_record *pu_backend_delta_apply (const pu_backend_delta *d,
                                            const pu_backend_record *old);
 
--- a/libplantainusher/state/bounded.h
+++ b/libplantainusher/state/bounded.h
@@ -4,22 +4,24 @@
 #include <rpc/rpc.h>
 
 /*
- * bounded - decoding that takes memory only for what can be there.
+ * bounded - XDR decoding whose memory use is limited by the message size.
  *
- * XDR's own functions make room for the declared number of elements or bytes
- * before they read one.  These look first whether so many can still be in the
- * message, so that a short one cannot take more than a small multiple of its
- * own size.  For streams in memory (xdrmem_create); the files that rpcgen
- * makes are compiled with these in place of XDR's.
+ * XDR's own functions allocate the declared number of elements or bytes before
+ * they read the first one.  The functions here first check that so many can
+ * still be in the message, so that decoding a short message cannot allocate
+ * more than a small multiple of its size.  They work on streams in memory
+ * (xdrmem_create).  The files that rpcgen generates include this header, and
+ * its macros replace XDR's functions in them.
  */
 
-/* The least that an element of an array takes in a message.  */
-#define PU_XDR_UNIT 4
+/* The encoded size of the smallest array element.  */
+#define PU_XDR_MIN_ELEMENT_BYTES 4
 
-/* Whether a count that is next in X fits what is left of it with elements of
-   UNIT bytes; reads nothing away.  True when X does not decode.  */
+/* Whether the rest of X has room for as many elements of ELEMENT_BYTES bytes
+   as the count that is next in X says.  Leaves the position of X unchanged.
+   Always true when X encodes or frees.  */
 static inline bool_t
-pu_xdr_fits (XDR *x, u_int unit)
+pu_xdr_count_fits (XDR *x, u_int element_bytes)
 {
   u_int at;
   u_int n = 0;
@@ -27,7 +29,7 @@
   if (x->x_op != XDR_DECODE)
     return TRUE;
   at = xdr_getpos (x);
-  if (!xdr_u_int (x, &n) || n > x->x_handy / unit)
+  if (!xdr_u_int (x, &n) || n > x->x_handy / element_bytes)
     return FALSE;
   return xdr_setpos (x, at);
 }
@@ -36,20 +38,20 @@
 pu_xdr_array (XDR *x, char **items, u_int *n, u_int max, u_int size,
               xdrproc_t proc)
 {
-  return pu_xdr_fits (x, PU_XDR_UNIT)
+  return pu_xdr_count_fits (x, PU_XDR_MIN_ELEMENT_BYTES)
          && xdr_array (x, items, n, max, size, proc);
 }
 
 static inline bool_t
 pu_xdr_bytes (XDR *x, char **bytes, u_int *n, u_int max)
 {
-  return pu_xdr_fits (x, 1) && xdr_bytes (x, bytes, n, max);
+  return pu_xdr_count_fits (x, 1) && xdr_bytes (x, bytes, n, max);
 }
 
 static inline bool_t
 pu_xdr_string (XDR *x, char **text, u_int max)
 {
-  return pu_xdr_fits (x, 1) && xdr_string (x, text, max);
+  return pu_xdr_count_fits (x, 1) && xdr_string (x, text, max);
 }
 
 #define xdr_array pu_xdr_array
--- a/libplantainusher/state/codec.c
+++ b/libplantainusher/state/codec.c
@@ -11,7 +11,8 @@
 
   xdrmem_create (&x, data, (u_int)len, XDR_ENCODE);
   if (len == 0 || !proc (&x, (void *)record))
-    g_error ("A record cannot be encoded.");
+    g_error ("An XDR record cannot be encoded: a string is NULL, a string "
+             "or list is over its limit or a union has an unknown type.");
   xdr_destroy (&x);
   return g_bytes_new_take (data, len);
 }
@@ -21,19 +22,21 @@
                  size_t len, pu_error_t *e)
 {
   XDR x;
-  bool whole;
+  bool complete;
 
   memset (record, 0, size);
   if (len > G_MAXINT)
-    return pu_error_set (e, PU_ERROR_TOO_LARGE, "A record is too large.");
+    return pu_error_set (e, PU_ERROR_TOO_LARGE,
+                         "An XDR record is over 2147483647 bytes.");
   xdrmem_create (&x, (char *)data, (u_int)len, XDR_DECODE);
-  whole = proc (&x, record) && xdr_getpos (&x) == len;
+  complete = proc (&x, record) && xdr_getpos (&x) == len;
   xdr_destroy (&x);
-  if (whole)
+  if (complete)
     return true;
   xdr_free (proc, record);
   memset (record, 0, size);
-  return pu_error_set (e, PU_ERROR_CORRUPT, "A record does not decode.");
+  return pu_error_set (e, PU_ERROR_CORRUPT,
+                       "An XDR record is malformed or has trailing bytes.");
 }
 
 void *
@@ -45,7 +48,7 @@
   const void *data = g_bytes_get_data (bytes, &len);
 
   if (!pu_codec_decode (proc, copy, size, data, len, NULL))
-    g_error ("A record of ours does not decode.");
+    g_error ("An XDR record does not decode from its own encoding.");
   g_bytes_unref (bytes);
   return copy;
 }
--- a/libplantainusher/state/recent.c
+++ b/libplantainusher/state/recent.c
@@ -4,22 +4,22 @@
 {
   char *name;
   uint64_t change;
-  GList link; /* in the queue */
-} item_t;
+  GList link; /* in the queue of the index */
+} node_t;
 
 struct pu_recent
 {
-  GQueue queue;      /* of item_t, the newest last */
-  GHashTable *items; /* name -> item_t */
+  GQueue queue;      /* of node_t, by change number, the latest last */
+  GHashTable *nodes; /* name -> node_t */
 };
 
 static void
-item_free (gpointer item)
+node_free (gpointer node)
 {
-  item_t *i = item;
+  node_t *n = node;
 
-  g_free (i->name);
-  g_free (i);
+  g_free (n->name);
+  g_free (n);
 }
 
 pu_recent_t *
@@ -28,7 +28,7 @@
   pu_recent_t *r = g_new0 (pu_recent_t, 1);
 
   g_queue_init (&r->queue);
-  r->items = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, item_free);
+  r->nodes = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, node_free);
   return r;
 }
 
@@ -37,39 +37,39 @@
 {
   if (r == NULL)
     return;
-  g_hash_table_destroy (r->items);
+  g_hash_table_destroy (r->nodes);
   g_free (r);
 }
 
 void
 pu_recent_note (pu_recent_t *r, const char *name, uint64_t change)
 {
-  item_t *i = g_hash_table_lookup (r->items, name);
+  node_t *n = g_hash_table_lookup (r->nodes, name);
 
-  if (i != NULL)
+  if (n != NULL)
     {
-      g_queue_unlink (&r->queue, &i->link);
+      g_queue_unlink (&r->queue, &n->link);
     }
   else
     {
-      i = g_new0 (item_t, 1);
-      i->name = g_strdup (name);
-      i->link.data = i;
-      g_hash_table_insert (r->items, i->name, i);
+      n = g_new0 (node_t, 1);
+      n->name = g_strdup (name);
+      n->link.data = n;
+      g_hash_table_insert (r->nodes, n->name, n);
     }
-  i->change = change;
-  g_queue_push_tail_link (&r->queue, &i->link);
+  n->change = change;
+  g_queue_push_tail_link (&r->queue, &n->link);
 }
 
 void
 pu_recent_drop (pu_recent_t *r, const char *name)
 {
-  item_t *i = g_hash_table_lookup (r->items, name);
+  node_t *n = g_hash_table_lookup (r->nodes, name);
 
-  if (i == NULL)
+  if (n == NULL)
     return;
-  g_queue_unlink (&r->queue, &i->link);
-  g_hash_table_remove (r->items, name);
+  g_queue_unlink (&r->queue, &n->link);
+  g_hash_table_remove (r->nodes, name);
 }
 
 void
@@ -78,10 +78,10 @@
 {
   for (const GList *l = r->queue.tail; l != NULL; l = l->prev)
     {
-      const item_t *i = l->data;
+      const node_t *n = l->data;
 
-      if (i->change <= since)
+      if (n->change <= since)
         return;
-      fn (i->name, data);
+      fn (n->name, data);
     }
 }
