--- a/libplantainusher/state/backend_delta_test.cc
+++ b/libplantainusher/state/backend_delta_test.cc
@@ -18,10 +18,11 @@
 namespace
 {
 
-/* An engine that reports; a report's strings are its own.  */
+/* A backend server that reports its copies.  The strings and the list of a
+   report belong to this object.  */
 struct Engine
 {
-  struct Copy
+  struct ModelCopy
   {
     std::string model;
     unsigned memory_mb;
@@ -31,8 +32,8 @@
   uint64_t incarnation = 1;
   uint64_t seq = 1;
   uint64_t token = 0;
-  std::vector<Copy> copies;
-  std::vector<pu_copy_record> list;
+  std::vector<ModelCopy> copies;
+  std::vector<pu_copy_record> records;
 
   pu_command
   report ()
@@ -42,10 +43,10 @@
     pu_command c{};
     pu_backend_record &b = c.pu_command_u.backend_up;
 
-    list.clear ();
-    for (Copy &one : copies)
-      list.push_back ({ one.model.data (), empty, one.memory_mb,
-                        static_cast<pu_copy_phase> (one.phase) });
+    records.clear ();
+    for (ModelCopy &one : copies)
+      records.push_back ({ one.model.data (), empty, one.memory_mb,
+                           static_cast<pu_copy_phase> (one.phase) });
     c.type = PU_COMMAND_BACKEND_UP;
     b.name = name.data ();
     b.incarnation = incarnation;
@@ -55,11 +56,12 @@
     b.memory_mb = 100000;
     b.seq = seq;
     b.token = token;
-    b.copies.copies_len = static_cast<u_int> (list.size ());
-    b.copies.copies_val = list.data ();
+    b.copies.copies_len = static_cast<u_int> (records.size ());
+    b.copies.copies_val = records.data ();
     return c;
   }
 
+  /* Applies a random change to what the next report says.  */
   void
   change (std::mt19937 &random)
   {
@@ -85,7 +87,8 @@
           copies[at].memory_mb++;
         break;
       case 4:
-        token = random () % 5; /* an old one: the ledger merges */
+        /* A low one makes the ledger merge the report.  */
+        token = random () % 5;
         break;
       case 5:
         if (random () % 8 == 0)
@@ -98,12 +101,12 @@
   }
 };
 
-/* An entry of the voters' log, as public copies may see it.  */
-struct Item
+/* An entry of the voters' log in the two forms that public copies receive.  */
+struct PublicEntry
 {
   uint64_t position;
-  GBytes *whole;
-  GBytes *delta;
+  GBytes *full;
+  GBytes *delta; /* or NULL */
 };
 
 std::string
@@ -118,27 +121,28 @@
   return out;
 }
 
+/* A voter's state, with the entries that it sends to public copies.  */
 struct Voter
 {
-  pu_state_t *s;
-  std::vector<Item> feed;
+  pu_state_t *state;
+  std::vector<PublicEntry> public_log;
 
   Voter ()
   {
     pu_state_options_t o;
 
     pu_state_options_init (&o);
-    s = pu_state_new (&o);
+    state = pu_state_new (&o);
   }
   ~Voter ()
   {
-    for (Item &i : feed)
+    for (PublicEntry &i : public_log)
       {
-        g_bytes_unref (i.whole);
+        g_bytes_unref (i.full);
         if (i.delta != nullptr)
           g_bytes_unref (i.delta);
       }
-    pu_state_free (s);
+    pu_state_free (state);
   }
   Voter (const Voter &) = delete;
   Voter &operator= (const Voter &) = delete;
@@ -146,149 +150,156 @@
   void
   apply (const pu_command &c)
   {
-    const uint64_t position = pu_state_position (s) + 1;
+    const uint64_t position = pu_state_position (state) + 1;
     GBytes *delta = nullptr;
-    bool feeds = pu_command_is_public (&c);
+    bool is_public = pu_command_is_public (&c);
     pu_reply r{};
 
     if (c.type == PU_COMMAND_BACKEND_UP)
-      pu_state_apply_delta (s, position, &c, &r, &delta, &feeds);
+      pu_state_apply_delta (state, position, &c, &r, &delta, &is_public);
     else
-      pu_state_apply (s, position, &c, &r);
+      pu_state_apply (state, position, &c, &r);
     pu_reply_clear (&r);
-    if (feeds)
-      feed.push_back ({ position, pu_command_encode (&c), delta });
+    if (is_public)
+      public_log.push_back ({ position, pu_command_encode (&c), delta });
   }
 };
 
-/* What a poll at FROM was answered.  */
-struct Answer
+/* The reply to a poll by a copy at position FROM.  */
+struct PollReply
 {
   uint64_t from;
   uint64_t position;
-  std::string image; /* or the entries between */
+  std::string image; /* empty: the reply has the entries after FROM, up to
+                        POSITION */
 };
 
-/* A daemon's public copy, which takes answers as an agent does.  */
-struct Copy
+/* A daemon's public copy of the state.  It handles poll replies as an agent
+   does.  */
+struct PublicCopy
 {
-  pu_state_t *s;
-  bool deltas;
+  pu_state_t *state;
+  bool takes_deltas;
   bool ready = false;
-  bool gap = false;
-  std::vector<Answer> under_way;
-  std::string kept; /* an image of its own */
+  bool needs_image = false; /* a delta was refused */
+  std::vector<PollReply> in_flight;
+  std::string saved_image; /* of this copy; empty when there is none */
 
-  Copy (bool d, unsigned breaks) : deltas (d)
+  PublicCopy (bool d, unsigned breaks) : takes_deltas (d)
   {
     pu_state_options_t o;
 
     pu_state_options_init (&o);
     o.test_breaks = breaks;
-    s = pu_state_new (&o);
+    state = pu_state_new (&o);
   }
-  ~Copy () { pu_state_free (s); }
-  Copy (const Copy &) = delete;
-  Copy &operator= (const Copy &) = delete;
+  ~PublicCopy () { pu_state_free (state); }
+  PublicCopy (const PublicCopy &) = delete;
+  PublicCopy &operator= (const PublicCopy &) = delete;
 
   void
   poll (const Voter &v)
   {
-    const uint64_t at = pu_state_position (s);
+    const uint64_t at = pu_state_position (state);
 
-    under_way.push_back (
-        { at, pu_state_position (v.s), ready && !gap ? "" : image_of (v.s) });
+    in_flight.push_back ({ at, pu_state_position (v.state),
+                           ready && !needs_image ? "" : image_of (v.state) });
   }
 
   void
-  load (const std::string &image)
+  restore (const std::string &image)
   {
-    ASSERT_TRUE (pu_state_decode (s, image.data (), image.size (), nullptr));
+    ASSERT_TRUE (
+        pu_state_decode (state, image.data (), image.size (), nullptr));
     ready = true;
-    gap = false;
+    needs_image = false;
   }
 
   void
-  entry (const Item &i)
+  apply_entry (const PublicEntry &i)
   {
-    GBytes *b = deltas && i.delta != nullptr ? i.delta : i.whole;
+    GBytes *b = takes_deltas && i.delta != nullptr ? i.delta : i.full;
     pu_command c;
     pu_reply r{};
     gsize n;
     const void *p = g_bytes_get_data (b, &n);
 
     ASSERT_TRUE (pu_command_decode (&c, p, n, nullptr));
-    if (pu_state_apply (s, i.position, &c, &r))
-      gap = gap
-            || (c.type == PU_COMMAND_BACKEND_DELTA
-                && r.outcome != PU_OUTCOME_DONE);
+    if (pu_state_apply (state, i.position, &c, &r))
+      needs_image = needs_image
+                    || (c.type == PU_COMMAND_BACKEND_DELTA
+                        && r.outcome != PU_OUTCOME_DONE);
     pu_reply_clear (&r);
     pu_command_clear (&c);
   }
 
   void
-  take (const Voter &v, const Answer &a)
+  handle_reply (const Voter &v, const PollReply &a)
   {
-    const uint64_t at = pu_state_position (s);
+    const uint64_t at = pu_state_position (state);
 
     if (!a.image.empty ())
       {
-        if (!ready || a.position > at || (gap && a.position == at))
-          load (a.image);
+        if (!ready || a.position > at || (needs_image && a.position == at))
+          restore (a.image);
         return;
       }
-    for (const Item &i : v.feed)
+    for (const PublicEntry &i : v.public_log)
       {
         if (i.position > a.from && i.position <= a.position)
-          entry (i);
+          apply_entry (i);
       }
-    pu_state_skip (s, a.position);
+    pu_state_skip (state, a.position);
   }
 
-  /* Answers are lost, doubled, late or out of order.  */
+  /* Takes a random reply in flight: replies are lost, duplicated, delayed or
+     reordered.  */
   void
   receive (const Voter &v, std::mt19937 &random)
   {
-    if (under_way.empty ())
+    if (in_flight.empty ())
       return;
-    const size_t at = random () % under_way.size ();
-    const Answer a = under_way[at];
+    const size_t at = random () % in_flight.size ();
+    const PollReply a = in_flight[at];
 
     pu_fuzz_report::get ().faults++;
     if (random () % 4 != 0)
-      under_way.erase (under_way.begin () + static_cast<long> (at));
+      in_flight.erase (in_flight.begin () + static_cast<long> (at));
     if (random () % 4 != 0)
-      take (v, a);
+      handle_reply (v, a);
   }
 
+  /* Polls without faults.  The second poll gets the image that a refused delta
+     in the first reply makes necessary.  */
   void
-  settle (const Voter &v)
+  catch_up (const Voter &v)
   {
     for (int i = 0; i < 2; i++)
       {
-        under_way.clear ();
+        in_flight.clear ();
         poll (v);
-        take (v, under_way.back ());
+        handle_reply (v, in_flight.back ());
       }
   }
 
-  /* Begins again with the image it kept, or none.  */
+  /* Restarts with the saved image or, as when it is lost, without one.  */
   void
   restart (std::mt19937 &random)
   {
-    under_way.clear ();
-    ready = gap = false;
-    if (!kept.empty () && random () % 2 == 0)
-      load (kept);
+    in_flight.clear ();
+    ready = needs_image = false;
+    if (!saved_image.empty () && random () % 2 == 0)
+      restore (saved_image);
   }
 
-  /* As if its image was kept by an older daemon, whose record of ENGINE is
-     another.  Returns whether it has one.  */
+  /* Restores an image whose record of ENGINE differs from the voter's, as an
+     image saved by an older daemon may.  Returns whether there is such a
+     record.  */
   bool
-  differ (const Engine &engine)
+  restore_divergent (const Engine &engine)
   {
     const auto proc = reinterpret_cast<xdrproc_t> (xdr_pu_state_image);
-    const std::string image = image_of (s);
+    const std::string image = image_of (state);
     pu_state_image m;
     bool found = false;
 
@@ -306,31 +317,32 @@
     GBytes *bytes = pu_codec_encode (proc, &m);
     gsize n;
     const auto *p = static_cast<const char *> (g_bytes_get_data (bytes, &n));
-    load (std::string (p, n));
+    restore (std::string (p, n));
     g_bytes_unref (bytes);
     xdr_free (proc, &m);
     return found;
   }
 };
 
-/* Oracle: public copies that take deltas are as those that take whole records
-   and as the voter's; those whose record differed come to be so.  */
+/* Oracle: a public copy that takes deltas has the same state as one that takes
+   full records and as the voter.  After a divergent image was restored, it
+   has so again once each engine's record changed.  */
 bool
 copies_agree (unsigned seed, unsigned breaks)
 {
   std::mt19937 random (seed);
   Voter v;
-  Copy with (true, breaks);
-  Copy without (false, 0);
+  PublicCopy with_deltas (true, breaks);
+  PublicCopy without_deltas (false, 0);
   std::vector<Engine> engines (3);
-  bool differs = false;
+  bool diverged = false;
 
   for (size_t i = 0; i < engines.size (); i++)
     engines[i].name = "e" + std::to_string (i);
   for (int step = 0; step < 300; step++)
     {
       Engine &e = engines[random () % engines.size ()];
-      Copy &copy = random () % 2 == 0 ? with : without;
+      PublicCopy &copy = random () % 2 == 0 ? with_deltas : without_deltas;
       pu_command c{};
 
       pu_fuzz_report::get ().steps++;
@@ -343,14 +355,14 @@
           v.apply (c);
           break;
         case 1:
-          copy.kept = copy.ready ? image_of (copy.s) : "";
+          copy.saved_image = copy.ready ? image_of (copy.state) : "";
           break;
         case 2:
           copy.restart (random);
           break;
         case 3:
-          if (random () % 8 == 0 && with.ready)
-            differs = with.differ (e) || differs;
+          if (random () % 8 == 0 && with_deltas.ready)
+            diverged = with_deltas.restore_divergent (e) || diverged;
           break;
         case 4:
         case 5:
@@ -361,7 +373,7 @@
           copy.receive (v, random);
           break;
         default:
-          /* A report, now and then a second time.  */
+          /* A report, sometimes the same one again.  */
           if (random () % 8 != 0)
             e.change (random);
           c = e.report ();
@@ -369,14 +381,15 @@
         }
       if (random () % 16 != 0)
         continue;
-      without.settle (v);
-      with.settle (v);
-      if (image_of (without.s) != image_of (v.s))
+      without_deltas.catch_up (v);
+      with_deltas.catch_up (v);
+      if (image_of (without_deltas.state) != image_of (v.state))
         return false;
-      if (!differs && image_of (with.s) != image_of (v.s))
+      if (!diverged && image_of (with_deltas.state) != image_of (v.state))
         return false;
     }
-  /* Each engine's record changes twice more: what is down comes up whole.  */
+  /* Each engine's record changes twice more.  The first report of one that is
+     down brings it up with a full record.  */
   for (size_t i = 0; i < 2 * engines.size (); i++)
     {
       Engine &e = engines[i / 2];
@@ -384,27 +397,28 @@
       e.seq++;
       e.copies.push_back ({ "last" + std::to_string (i), 1, 1 });
       v.apply (e.report ());
-      with.settle (v);
+      with_deltas.catch_up (v);
     }
-  return image_of (with.s) == image_of (v.s);
+  return image_of (with_deltas.state) == image_of (v.state);
 }
 
-RC_GTEST_PROP (StateFuzz, DeltasGiveWhatWholeRecordsGive, (unsigned seed))
+RC_GTEST_PROP (StateFuzz, DeltasAndFullRecordsGiveTheSameState,
+               (unsigned seed))
 {
   RC_ASSERT (copies_agree (seed, 0));
 }
 
-TEST (StateFuzz, DeltaTakenToAnyBaseIsCaught)
+TEST (StateFuzz, DeltaAppliedToAWrongBaseIsDetected)
 {
-  bool caught = false;
+  bool detected = false;
 
-  for (unsigned seed = 1; seed <= 50 && !caught; seed++)
-    caught = !copies_agree (seed, PU_STATE_BREAK_DELTA_BASE);
-  EXPECT_TRUE (caught);
+  for (unsigned seed = 1; seed <= 50 && !detected; seed++)
+    detected = !copies_agree (seed, PU_STATE_BREAK_DELTA_BASE);
+  EXPECT_TRUE (detected);
 }
 
 Engine
-engine_of_letter ()
+engine_with_eight_adapters ()
 {
   Engine e;
 
@@ -415,49 +429,49 @@
   return e;
 }
 
-TEST (BackendDelta, ChangeOfOneCopyIsShort)
+TEST (BackendDelta, DeltaOfOneCopyIsSmall)
 {
-  Engine e = engine_of_letter ();
+  Engine e = engine_with_eight_adapters ();
   Voter v;
 
   v.apply (e.report ());
   e.copies[3].phase = PU_COPY_DRAINING;
   e.seq++;
   v.apply (e.report ());
-  ASSERT_EQ (2u, v.feed.size ());
-  EXPECT_EQ (nullptr, v.feed[0].delta);
-  ASSERT_NE (nullptr, v.feed[1].delta);
-  EXPECT_LE (g_bytes_get_size (v.feed[1].delta), 68u);
-  EXPECT_GE (g_bytes_get_size (v.feed[1].whole), 380u);
+  ASSERT_EQ (2u, v.public_log.size ());
+  EXPECT_EQ (nullptr, v.public_log[0].delta);
+  ASSERT_NE (nullptr, v.public_log[1].delta);
+  EXPECT_LE (g_bytes_get_size (v.public_log[1].delta), 68u);
+  EXPECT_GE (g_bytes_get_size (v.public_log[1].full), 380u);
 }
 
-TEST (BackendDelta, ReportThatChangesNothingIsNotFed)
+TEST (BackendDelta, UnchangedReportIsNotPublished)
 {
-  Engine e = engine_of_letter ();
+  Engine e = engine_with_eight_adapters ();
   Voter v;
 
   v.apply (e.report ());
   e.seq++;
   v.apply (e.report ());
-  EXPECT_EQ (1u, v.feed.size ());
+  EXPECT_EQ (1u, v.public_log.size ());
 }
 
-TEST (BackendDelta, OtherAddressOrOrderIsToldWhole)
+TEST (BackendDelta, ReorderedCopiesHaveNoDelta)
 {
-  Engine e = engine_of_letter ();
+  Engine e = engine_with_eight_adapters ();
   Voter v;
 
   v.apply (e.report ());
   std::swap (e.copies[0], e.copies[1]);
   e.seq++;
   v.apply (e.report ());
-  ASSERT_EQ (2u, v.feed.size ());
-  EXPECT_EQ (nullptr, v.feed[1].delta);
+  ASSERT_EQ (2u, v.public_log.size ());
+  EXPECT_EQ (nullptr, v.public_log[1].delta);
 }
 
-TEST (BackendDelta, CopyThatIsNotThereIsRefused)
+TEST (BackendDelta, OutOfRangeCopyIndexIsRefused)
 {
-  Engine e = engine_of_letter ();
+  Engine e = engine_with_eight_adapters ();
   pu_copy_change change = { 8, 1, PU_COPY_READY };
   u_int gone = 8;
   pu_backend_delta d{};
--- a/libplantainusher/state/codec_fuzz.cc
+++ b/libplantainusher/state/codec_fuzz.cc
@@ -1,6 +1,7 @@
-/* libFuzzer target: the first byte picks a record of the log, the rest is
-   decoded; what decodes is encoded and decoded again.  A command goes through
-   an empty state, a delta to a record too, an image becomes a state.  */
+/* libFuzzer target for the records of the log.  The first byte selects the
+   type, the rest is decoded; a decoded record is encoded and decoded again.  A
+   command is also applied to an empty state, a delta to a record and hunks to
+   a text; an image is restored.  */
 
 #include <glib.h>
 
@@ -17,8 +18,8 @@
 
 template <typename T>
 static bool
-check_again (bool_t (*proc) (XDR *, T *), const uint8_t *data, size_t size,
-             T *record)
+check_round_trip (bool_t (*proc) (XDR *, T *), const uint8_t *data,
+                  size_t size, T *record)
 {
   const auto p = reinterpret_cast<xdrproc_t> (proc);
   T again;
@@ -29,7 +30,7 @@
   GBytes *wire = pu_codec_encode (p, record);
   gsize len;
   const void *bytes = g_bytes_get_data (wire, &len);
-  /* Shorter only where a string holds a zero byte.  */
+  /* Shorter only when a string contains a zero byte.  */
   g_assert (len <= size);
   g_assert (pu_codec_decode (p, &again, sizeof again, bytes, len, &e));
   g_assert (pu_codec_equal (p, record, &again));
@@ -38,7 +39,7 @@
   return true;
 }
 
-/* A delta that decodes, to a record of two copies that it was not made for. */
+/* Applies D to a record of two copies that is not its base.  */
 static void
 fuzz_delta (const pu_backend_delta *d)
 {
@@ -54,16 +55,16 @@
                  pu_backend_delta_apply (d, &old));
 }
 
-/* What a submit brings as hunks of a text that it was not made for.  */
+/* Applies the text of C, as hunks, to a text that is not their base.  */
 static void
 fuzz_hunks (const pu_submit *c)
 {
-  static const char old[] = "a text of some length";
-  const gsize most = 4096;
+  static const char base[] = "a text of some length";
+  const gsize max_len = 4096;
   GString *out = g_string_new (nullptr);
 
-  if (pu_hunks_apply (c->text, old, sizeof old - 1, most, out))
-    g_assert (out->len <= most);
+  if (pu_hunks_apply (c->text, base, sizeof base - 1, max_len, out))
+    g_assert (out->len <= max_len);
   g_string_free (out, TRUE);
 }
 
@@ -74,7 +75,7 @@
   pu_command c;
   pu_reply r;
 
-  if (!check_again (xdr_pu_command, data, size, &c))
+  if (!check_round_trip (xdr_pu_command, data, size, &c))
     return;
   if (c.type == PU_COMMAND_BACKEND_DELTA)
     fuzz_delta (&c.pu_command_u.backend_delta);
@@ -98,7 +99,7 @@
   pu_state_image m;
   pu_error_t e;
 
-  if (!check_again (xdr_pu_state_image, data, size, &m))
+  if (!check_round_trip (xdr_pu_state_image, data, size, &m))
     return;
   pu_state_options_init (&o);
   pu_state_t *s = pu_state_new (&o);
@@ -113,7 +114,7 @@
 {
   pu_reply r;
 
-  if (check_again (xdr_pu_reply, data, size, &r))
+  if (check_round_trip (xdr_pu_reply, data, size, &r))
     pu_reply_clear (&r);
 }
 
--- a/libplantainusher/state/codec_test.cc
+++ b/libplantainusher/state/codec_test.cc
@@ -11,9 +11,10 @@
 namespace
 {
 
-constexpr uint32_t kMany = 1000000;
+constexpr uint32_t kOversizedCount = 1000000;
 
-/* A record without a string that is not there.  */
+/* An image of an empty state.  The strings of the document are set, as a NULL
+   string cannot be encoded.  */
 pu_state_image
 empty_image ()
 {
@@ -25,8 +26,8 @@
   return m;
 }
 
-/* Decodes an empty image whose count at OFFSET says MANY; what it allocated
-   is in M, to be freed.  */
+/* Decodes an empty image whose count at OFFSET is kOversizedCount into M, with
+   what is allocated until the decoder fails; free M.  */
 bool
 decode_with_count (size_t offset, pu_state_image *m)
 {
@@ -34,22 +35,22 @@
   GBytes *bytes = pu_codec_encode ((xdrproc_t)xdr_pu_state_image, &empty);
   gsize len;
   auto *data = static_cast<char *> (g_bytes_unref_to_data (bytes, &len));
-  const uint32_t many = htonl (kMany);
+  const uint32_t count = htonl (kOversizedCount);
   XDR x;
 
-  memcpy (data + offset, &many, sizeof many);
+  memcpy (data + offset, &count, sizeof count);
   xdrmem_create (&x, data, static_cast<u_int> (len), XDR_DECODE);
-  const bool whole = xdr_pu_state_image (&x, m);
+  const bool decoded = xdr_pu_state_image (&x, m);
   g_free (data);
-  return whole;
+  return decoded;
 }
 
-TEST (Codec, CountsThatCannotBeThereTakeNoMemory)
+TEST (Codec, CountsOverTheMessageSizeAllocateNothing)
 {
   struct
   {
-    size_t offset; /* of the count in an empty image */
-    void *(*of) (const pu_state_image &m);
+    size_t offset; /* of the list's count in an empty image */
+    void *(*list_of) (const pu_state_image &m);
   } rows[] = {
     { 52,
       [] (const pu_state_image &m) -> void * {
@@ -64,7 +65,7 @@
       pu_state_image m = {};
 
       EXPECT_FALSE (decode_with_count (row.offset, &m)) << row.offset;
-      EXPECT_EQ (row.of (m), nullptr) << row.offset;
+      EXPECT_EQ (row.list_of (m), nullptr) << row.offset;
       xdr_free ((xdrproc_t)xdr_pu_state_image, &m);
     }
 }
--- a/libplantainusher/state/delta.c
+++ b/libplantainusher/state/delta.c
@@ -6,15 +6,17 @@
 
 #include "state/hunks.h"
 
-/* Appends what C puts between the PREFIX and the SUFFIX of OLD, of N bytes. */
+/* Appends to TEXT what C has between the common prefix and the common suffix
+   with BASE, of BASE_LEN bytes.  */
 static bool
-append_middle (const pu_submit *c, const char *old, size_t n, size_t suffix,
-               GString *text)
+append_middle (const pu_submit *c, const char *base, size_t base_len,
+               size_t suffix, GString *text)
 {
-  if ((c->suffix & PU_DELTA_HUNKS) != 0)
+  if ((c->suffix & PU_DELTA_SUFFIX_HUNKS_FLAG) != 0)
     {
-      return pu_hunks_apply (c->text, old + c->prefix, n - c->prefix - suffix,
-                             PU_DOCUMENT_MAX, text);
+      return pu_hunks_apply (c->text, base + c->prefix,
+                             base_len - c->prefix - suffix, PU_DOCUMENT_MAX,
+                             text);
     }
   g_string_append (text, c->text);
   return true;
@@ -24,21 +26,21 @@
 pu_delta_text (const pu_state_t *s, const pu_submit *c)
 {
   const pu_doc_record *d = pu_state_document (s);
-  const char *old = d == NULL ? "" : d->text;
-  size_t n = strlen (old);
-  size_t suffix = c->suffix & ~PU_DELTA_HUNKS;
+  const char *base = d == NULL ? "" : d->text;
+  size_t base_len = strlen (base);
+  size_t suffix = c->suffix & ~PU_DELTA_SUFFIX_HUNKS_FLAG;
   GString *text;
-  bool good;
+  bool ok;
 
   if (!c->delta)
     return g_strdup (c->text);
-  if ((uint64_t)c->prefix + suffix > n)
+  if ((uint64_t)c->prefix + suffix > base_len)
     return NULL;
   text = g_string_new (NULL);
-  g_string_append_len (text, old, c->prefix);
-  good = append_middle (c, old, n, suffix, text);
-  g_string_append (text, old + n - suffix);
-  if (good && XXH3_64bits (text->str, text->len) == c->hash)
+  g_string_append_len (text, base, c->prefix);
+  ok = append_middle (c, base, base_len, suffix, text);
+  g_string_append (text, base + base_len - suffix);
+  if (ok && XXH3_64bits (text->str, text->len) == c->hash)
     return g_string_free (text, FALSE);
   g_string_free (text, TRUE);
   return NULL;
@@ -51,38 +53,38 @@
 }
 
 static size_t
-common_prefix (const char *a, const char *b, size_t most)
+common_prefix (const char *a, const char *b, size_t max)
 {
   size_t n = 0;
 
-  while (n < most && a[n] == b[n])
+  while (n < max && a[n] == b[n])
     n++;
   return n;
 }
 
 static size_t
-common_suffix (const char *a_end, const char *b_end, size_t most)
+common_suffix (const char *a_end, const char *b_end, size_t max)
 {
   size_t n = 0;
 
-  while (n < most && a_end[-(gssize)n - 1] == b_end[-(gssize)n - 1])
+  while (n < max && a_end[-(gssize)n - 1] == b_end[-(gssize)n - 1])
     n++;
   return n;
 }
 
-/* Puts hunks of OLD, of N bytes, in place of C's text where they are
-   shorter.  */
+/* Replaces C's text by the hunks that make it from BASE, of BASE_LEN bytes,
+   when they are shorter.  */
 static void
-shrink_middle (pu_submit *c, const char *old, size_t n)
+hunks_use_if_shorter (pu_submit *c, const char *base, size_t base_len)
 {
   size_t len = strlen (c->text);
-  char *hunks = pu_hunks_make (old, n, c->text, len);
+  char *hunks = pu_hunks_diff (base, base_len, c->text, len);
   size_t size = strlen (hunks);
 
   if (size < len)
     {
       memcpy (c->text, hunks, size + 1);
-      c->suffix |= PU_DELTA_HUNKS;
+      c->suffix |= PU_DELTA_SUFFIX_HUNKS_FLAG;
     }
   g_free (hunks);
 }
@@ -91,22 +93,23 @@
 pu_state_shrink_submit (const pu_state_t *s, pu_submit *c)
 {
   const pu_doc_record *d = pu_state_document (s);
-  size_t old;
-  size_t new;
-  size_t most;
+  size_t base_len;
+  size_t new_len;
+  size_t max;
 
   if (d == NULL || c->delta || c->base_version != d->doc_version)
     return;
-  old = strlen (d->text);
-  new = strlen (c->text);
-  most = MIN (old, new);
-  c->hash = XXH3_64bits (c->text, new);
-  c->prefix = (u_int)common_prefix (d->text, c->text, most);
-  c->suffix
-      = (u_int)common_suffix (d->text + old, c->text + new, most - c->prefix);
+  base_len = strlen (d->text);
+  new_len = strlen (c->text);
+  max = MIN (base_len, new_len);
+  c->hash = XXH3_64bits (c->text, new_len);
+  c->prefix = (u_int)common_prefix (d->text, c->text, max);
+  c->suffix = (u_int)common_suffix (d->text + base_len, c->text + new_len,
+                                    max - c->prefix);
   c->delta = TRUE;
-  /* What both share at the start and the end is cut away.  */
-  memmove (c->text, c->text + c->prefix, new - c->prefix - c->suffix);
-  c->text[new - c->prefix - c->suffix] = '\0';
-  shrink_middle (c, d->text + c->prefix, old - c->prefix - c->suffix);
+  /* Removes the common prefix and suffix from the text.  */
+  memmove (c->text, c->text + c->prefix, new_len - c->prefix - c->suffix);
+  c->text[new_len - c->prefix - c->suffix] = '\0';
+  hunks_use_if_shorter (c, d->text + c->prefix,
+                        base_len - c->prefix - c->suffix);
 }
--- a/libplantainusher/state/delta.h
+++ b/libplantainusher/state/delta.h
@@ -6,24 +6,28 @@
 G_BEGIN_DECLS
 
 /*
- * delta - a document as what differs from the one before.
+ * delta - a document encoded as its difference from the document in force.
  *
- * A delta is the lengths that both texts share at the start and at the end,
- * and what stands between: the new bytes, or hunks (state/hunks.h) where these
- * are shorter, as where a change touches several places.  A changed route of
- * the users' platform stands in the document twice, and the 36 KB between went
- * to each of 93 daemons, as two thirds of all bytes between them.  The hash of
- * the whole proves that a delta was applied to the right text.
+ * A delta holds the lengths of the common prefix and the common suffix of the
+ * base text and the new text, and what stands between them in the new text:
+ * its bytes, or hunks (state/hunks.h) where these are shorter, as when a
+ * change touches several places.  A route can occur in two places of the
+ * document: in a deployment of 93 daemons, a change of one route without hunks
+ * sent the 36 KB between them to each daemon, two thirds of all bytes between
+ * the daemons.  The hash of the new text shows that a delta was applied to the
+ * right base.
  */
 
-/* In the suffix: the text is hunks of what the old text has in its place.  */
-#define PU_DELTA_HUNKS 0x80000000u
+/* Flag in pu_submit.suffix: the text is hunks, to be applied to what stands
+   between the prefix and the suffix of the base text.  */
+#define PU_DELTA_SUFFIX_HUNKS_FLAG 0x80000000u
 
-/* pu_delta_text - the text that C submits, as a new string, given the
-   document in force in S; NULL when C is a delta that does not fit it.  */
+/* pu_delta_text - returns the full text that C submits, as a new string.  A
+   delta is applied to the document in force in S.  NULL when C is a delta that
+   does not fit this document.  */
 char *pu_delta_text (const pu_state_t *s, const pu_submit *c);
 
-/* pu_delta_hash - the hash of the whole text that C submits.  */
+/* pu_delta_hash - returns the XXH3 hash of the full text that C submits.  */
 uint64_t pu_delta_hash (const pu_submit *c);
 
 G_END_DECLS
--- a/libplantainusher/state/hunks.c
+++ b/libplantainusher/state/hunks.c
@@ -3,112 +3,123 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Bytes of a piece that is looked for: a hunk for it takes about twelve.  */
-#define BLOCK 32
+/* Length of the blocks by which common runs are found.  The hunk that copies
+   one takes about twelve bytes.  */
+#define BLOCK_BYTES 32
 
-/* --- making --- */
+/* --- diff --- */
 
 typedef struct
 {
-  const char *old;
-  gsize old_n;
-  const char *next;
-  gsize next_n;
-  GHashTable *blocks; /* hash -> where in OLD, of each BLOCK of it, plus one */
+  const char *base;
+  gsize base_len;
+  const char *target;
+  gsize target_len;
+  GHashTable *blocks; /* hash of each block of BASE -> its offset, plus one */
   GString *out;
-  gsize done; /* bytes of NEXT that are in OUT */
-} make_t;
+  gsize encoded; /* bytes of TARGET whose hunks are in OUT */
+} diff_t;
 
 static gpointer
 block_hash (const char *at)
 {
-  return GSIZE_TO_POINTER (XXH3_64bits (at, BLOCK));
+  return GSIZE_TO_POINTER (XXH3_64bits (at, BLOCK_BYTES));
 }
 
 static void
-blocks_index (make_t *m)
+blocks_index (diff_t *d)
 {
-  for (gsize at = 0; at + BLOCK <= m->old_n; at += BLOCK)
+  for (gsize at = 0; at + BLOCK_BYTES <= d->base_len; at += BLOCK_BYTES)
     {
-      g_hash_table_insert (m->blocks, block_hash (m->old + at),
+      g_hash_table_insert (d->blocks, block_hash (d->base + at),
                            GSIZE_TO_POINTER (at + 1));
     }
 }
 
+/* Emits a hunk that inserts the bytes of the target before END that are not
+   encoded yet, if any.  */
 static void
-put_new (make_t *m, gsize to)
+insert_emit (diff_t *d, gsize end)
 {
-  if (to == m->done)
+  if (end == d->encoded)
     return;
-  g_string_append_printf (m->out, "+%zu\n", to - m->done);
-  g_string_append_len (m->out, m->next + m->done, (gssize)(to - m->done));
-  m->done = to;
+  g_string_append_printf (d->out, "+%zu\n", end - d->encoded);
+  g_string_append_len (d->out, d->target + d->encoded,
+                       (gssize)(end - d->encoded));
+  d->encoded = end;
 }
 
-/* Puts the whole piece around AT of NEXT and FROM of OLD, which are alike for
-   a block.  */
+/* Emits a copy of the longest common run around the equal blocks at AT in the
+   target and FROM in the base, after an insert of what stands before it.  */
 static void
-put_copy (make_t *m, gsize at, gsize from)
+copy_emit (diff_t *d, gsize at, gsize from)
 {
-  gsize n = BLOCK;
+  gsize n = BLOCK_BYTES;
 
-  while (at > m->done && from > 0 && m->next[at - 1] == m->old[from - 1])
+  while (at > d->encoded && from > 0 && d->target[at - 1] == d->base[from - 1])
     {
       at--;
       from--;
       n++;
     }
-  while (at + n < m->next_n && from + n < m->old_n
-         && m->next[at + n] == m->old[from + n])
+  while (at + n < d->target_len && from + n < d->base_len
+         && d->target[at + n] == d->base[from + n])
     n++;
-  put_new (m, at);
-  g_string_append_printf (m->out, "=%zu,%zu\n", from, n);
-  m->done = at + n;
+  insert_emit (d, at);
+  g_string_append_printf (d->out, "=%zu,%zu\n", from, n);
+  d->encoded = at + n;
 }
 
-/* Where in OLD the block at AT of NEXT stands; false: nowhere known.  */
+/* Looks up the block at AT of the target among the blocks of the base, and
+   sets *FROM to its offset there.  False when it is not found.  */
 static bool
-block_find (const make_t *m, gsize at, gsize *from)
+block_find (const diff_t *d, gsize at, gsize *from)
 {
-  gpointer found = g_hash_table_lookup (m->blocks, block_hash (m->next + at));
+  gpointer found
+      = g_hash_table_lookup (d->blocks, block_hash (d->target + at));
 
   if (found == NULL)
     return false;
   *from = GPOINTER_TO_SIZE (found) - 1;
-  return memcmp (m->old + *from, m->next + at, BLOCK) == 0;
+  return memcmp (d->base + *from, d->target + at, BLOCK_BYTES) == 0;
 }
 
 char *
-pu_hunks_make (const char *old, gsize old_n, const char *next, gsize n)
+pu_hunks_diff (const char *base, gsize base_len, const char *target,
+               gsize target_len)
 {
-  make_t m = { .old = old, .old_n = old_n, .next = next, .next_n = n };
+  diff_t d = { .base = base,
+               .base_len = base_len,
+               .target = target,
+               .target_len = target_len };
   gsize at = 0;
 
-  m.out = g_string_new (NULL);
-  m.blocks = g_hash_table_new (NULL, NULL);
-  blocks_index (&m);
-  while (at + BLOCK <= n)
+  d.out = g_string_new (NULL);
+  d.blocks = g_hash_table_new (NULL, NULL);
+  blocks_index (&d);
+  while (at + BLOCK_BYTES <= target_len)
     {
       gsize from;
 
-      if (!block_find (&m, at, &from))
+      if (!block_find (&d, at, &from))
         {
           at++;
           continue;
         }
-      put_copy (&m, at, from);
-      at = m.done;
+      copy_emit (&d, at, from);
+      at = d.encoded;
     }
-  put_new (&m, n);
-  g_hash_table_unref (m.blocks);
-  return g_string_free (m.out, FALSE);
+  insert_emit (&d, target_len);
+  g_hash_table_unref (d.blocks);
+  return g_string_free (d.out, FALSE);
 }
 
-/* --- applying --- */
+/* --- apply --- */
 
-/* Reads a number that END follows, and steps over both.  */
+/* Parses the number at *AT, which END must follow, and moves *AT behind
+   END.  */
 static bool
-read_number (const char **at, char end, gsize *value)
+number_parse (const char **at, char end, gsize *value)
 {
   guint64 v;
   char *stop;
@@ -124,24 +135,24 @@
 }
 
 static bool
-apply_copy (const char **at, const char *old, gsize old_n, GString *out)
+copy_apply (const char **at, const char *base, gsize base_len, GString *out)
 {
   gsize from;
   gsize n;
 
-  if (!read_number (at, ',', &from) || !read_number (at, '\n', &n)
-      || from > old_n || n > old_n - from)
+  if (!number_parse (at, ',', &from) || !number_parse (at, '\n', &n)
+      || from > base_len || n > base_len - from)
     return false;
-  g_string_append_len (out, old + from, (gssize)n);
+  g_string_append_len (out, base + from, (gssize)n);
   return true;
 }
 
 static bool
-apply_new (const char **at, const char *end, GString *out)
+insert_apply (const char **at, const char *end, GString *out)
 {
   gsize n;
 
-  if (!read_number (at, '\n', &n) || n > (gsize)(end - *at))
+  if (!number_parse (at, '\n', &n) || n > (gsize)(end - *at))
     return false;
   g_string_append_len (out, *at, (gssize)n);
   *at += n;
@@ -149,26 +160,26 @@
 }
 
 bool
-pu_hunks_apply (const char *hunks, const char *old, gsize old_n, gsize most,
-                GString *out)
+pu_hunks_apply (const char *hunks, const char *base, gsize base_len,
+                gsize max_len, GString *out)
 {
   const char *end = hunks + strlen (hunks);
   gsize before = out->len;
-  bool good = true;
+  bool ok = true;
 
-  while (good && hunks < end)
+  while (ok && hunks < end)
     {
       char kind = *hunks++;
 
       if (kind == '=')
         {
-          good = apply_copy (&hunks, old, old_n, out);
+          ok = copy_apply (&hunks, base, base_len, out);
         }
       else
         {
-          good = kind == '+' && apply_new (&hunks, end, out);
+          ok = kind == '+' && insert_apply (&hunks, end, out);
         }
-      good = good && out->len - before <= most;
+      ok = ok && out->len - before <= max_len;
     }
-  return good;
+  return ok;
 }
--- a/libplantainusher/state/hunks.h
+++ b/libplantainusher/state/hunks.h
@@ -7,22 +7,26 @@
 G_BEGIN_DECLS
 
 /*
- * hunks - a text as pieces of another and what stands between them.
+ * hunks - a target text as copies from a base text and inserted bytes.
  *
- * Each hunk is a line: "=FROM,LENGTH" for bytes of the old text, "+LENGTH" for
- * so many new bytes, which follow the line.  Numbers are decimal.
+ * Each hunk begins with a line.  "=OFFSET,LENGTH" copies LENGTH bytes of the
+ * base from OFFSET; "+LENGTH" inserts the LENGTH bytes that follow the line.
+ * Numbers are decimal.
  */
 
-/* pu_hunks_make - the hunks that make NEXT, of N bytes, of OLD; to be freed
-   with g_free.  Neither has a zero byte.  Pieces shorter than 32 bytes are not
-   looked for.  Takes about a millisecond for 100 KB.  */
-char *pu_hunks_make (const char *old, gsize old_n, const char *next, gsize n);
+/* pu_hunks_diff - returns the hunks that make TARGET, of TARGET_LEN bytes,
+   from BASE, of BASE_LEN bytes; free them with g_free.  Neither text may
+   contain a zero byte.  Common runs shorter than 32 bytes are not searched
+   for.  Takes about a millisecond for 100 KB.  */
+char *pu_hunks_diff (const char *base, gsize base_len, const char *target,
+                     gsize target_len);
 
-/* pu_hunks_apply - appends to OUT what HUNKS make of OLD.  False when they are
-   malformed, name bytes that OLD has not got, or make more than MOST bytes in
-   all; OUT then holds a part.  */
-bool pu_hunks_apply (const char *hunks, const char *old, gsize old_n,
-                     gsize most, GString *out);
+/* pu_hunks_apply - applies HUNKS to BASE, of BASE_LEN bytes, and appends the
+   result to OUT.  Returns false when HUNKS are malformed, copy from outside of
+   BASE or give more than MAX_LEN bytes; OUT then holds a part of the
+   result.  */
+bool pu_hunks_apply (const char *hunks, const char *base, gsize base_len,
+                     gsize max_len, GString *out);
 
 G_END_DECLS
 
--- a/libplantainusher/state/recent_test.cc
+++ b/libplantainusher/state/recent_test.cc
@@ -18,7 +18,7 @@
   ~Recent () override { pu_recent_free (r); }
 
   std::string
-  After (uint64_t since)
+  NamesAfter (uint64_t since)
   {
     std::string found;
 
@@ -32,32 +32,32 @@
   }
 };
 
-TEST_F (Recent, OnlyWhatChangedSinceIsSeen)
+TEST_F (Recent, ListsOnlyLaterChanges)
 {
   pu_recent_note (r, "a", 1);
   pu_recent_note (r, "b", 2);
   pu_recent_note (r, "c", 3);
-  EXPECT_EQ ("c b a ", After (0));
-  EXPECT_EQ ("c ", After (2));
-  EXPECT_EQ ("", After (3));
+  EXPECT_EQ ("c b a ", NamesAfter (0));
+  EXPECT_EQ ("c ", NamesAfter (2));
+  EXPECT_EQ ("", NamesAfter (3));
 }
 
-TEST_F (Recent, AChangeMovesItsNameToTheEnd)
+TEST_F (Recent, LastChangeOfANameCounts)
 {
   pu_recent_note (r, "a", 1);
   pu_recent_note (r, "b", 2);
   pu_recent_note (r, "a", 3);
-  EXPECT_EQ ("a ", After (2));
-  EXPECT_EQ ("a b ", After (0)) << "each once";
+  EXPECT_EQ ("a ", NamesAfter (2));
+  EXPECT_EQ ("a b ", NamesAfter (0)) << "each name is listed once";
 }
 
-TEST_F (Recent, WhatIsDroppedIsNotSeen)
+TEST_F (Recent, RemovedNameIsNotListed)
 {
   pu_recent_note (r, "a", 1);
   pu_recent_note (r, "b", 2);
   pu_recent_drop (r, "a");
   pu_recent_drop (r, "unknown");
-  EXPECT_EQ ("b ", After (0));
+  EXPECT_EQ ("b ", NamesAfter (0));
 }
 
 }
--- a/libplantainusher/state/state_rig_test.h
+++ b/libplantainusher/state/state_fixture_test.h
@@ -1,5 +1,5 @@
-#ifndef PU_STATE_RIG_TEST_H
-#define PU_STATE_RIG_TEST_H
+#ifndef PU_STATE_FIXTURE_TEST_H
+#define PU_STATE_FIXTURE_TEST_H
 
 #include <gtest/gtest.h>
 
@@ -12,16 +12,17 @@
 }
 
 /*
- * state_rig - a state, and the commands that tests give it.
+ * state_fixture - for the tests: a state, with helpers that build and apply
+ * commands.
  */
 
-/* A command with the strings that keep its pointers alive.  */
-struct Command
+/* A command together with the strings that it points to.  */
+struct OwnedCommand
 {
-  pu_command c = {};
+  pu_command command = {};
   std::vector<std::string> texts;
 
-  Command () { texts.reserve (16); }
+  OwnedCommand () { texts.reserve (16); }
   char *
   text (const std::string &s)
   {
@@ -30,10 +31,10 @@
   }
 };
 
-class State
+class StateFixture
 {
 public:
-  explicit State (unsigned breaks = 0)
+  explicit StateFixture (unsigned breaks = 0)
   {
     pu_state_options_t o;
 
@@ -41,16 +42,17 @@
     o.claim_window_ms = 1000;
     o.suspect_window_ms = 1000;
     o.test_breaks = breaks;
-    s = pu_state_new (&o);
+    state = pu_state_new (&o);
   }
-  ~State () { pu_state_free (s); }
+  ~StateFixture () { pu_state_free (state); }
 
   pu_reply
-  apply (const Command &c)
+  apply (const OwnedCommand &c)
   {
     pu_reply r = {};
 
-    EXPECT_TRUE (pu_state_apply (s, pu_state_position (s) + 1, &c.c, &r));
+    EXPECT_TRUE (
+        pu_state_apply (state, pu_state_position (state) + 1, &c.command, &r));
     pu_reply copy = r;
     copy.detail = nullptr;
     copy.claim = nullptr;
@@ -66,23 +68,24 @@
   void
   submit (uint64_t base, const std::string &id, pu_reply *r)
   {
-    Command c;
+    OwnedCommand c;
 
-    c.c.type = PU_COMMAND_SUBMIT;
-    c.c.pu_command_u.submit
+    c.command.type = PU_COMMAND_SUBMIT;
+    c.command.pu_command_u.submit
         = { base, 5, c.text (id), c.text ("ann"),         0, FALSE,
             0,    0, 0,           c.text ("{" + id + "}") };
     *r = apply (c);
   }
 
-  /* A document whose rank decides, whatever it was based on.  */
+  /* Submits a document with RANK, which is compared in place of the base
+     version.  */
   void
   submit_ranked (uint64_t rank, const std::string &id, pu_reply *r)
   {
-    Command c;
+    OwnedCommand c;
 
-    c.c.type = PU_COMMAND_SUBMIT;
-    c.c.pu_command_u.submit
+    c.command.type = PU_COMMAND_SUBMIT;
+    c.command.pu_command_u.submit
         = { 0, 5, c.text (id), c.text ("ann"),         rank, FALSE,
             0, 0, 0,           c.text ("{" + id + "}") };
     *r = apply (c);
@@ -91,10 +94,10 @@
   void
   member (const std::string &name, uint64_t incarnation)
   {
-    Command c;
+    OwnedCommand c;
 
-    c.c.type = PU_COMMAND_MEMBER_UP;
-    c.c.pu_command_u.member_up
+    c.command.type = PU_COMMAND_MEMBER_UP;
+    c.command.pu_command_u.member_up
         = { c.text (name), incarnation,  c.text ("r"), c.text ("z"),
             c.text ("a"),  c.text ("b"), c.text ("c"), FALSE };
     apply (c);
@@ -103,10 +106,10 @@
   pu_outcome
   down (pu_command_type type, const std::string &name, uint64_t incarnation)
   {
-    Command c;
+    OwnedCommand c;
 
-    c.c.type = type;
-    c.c.pu_command_u.member_down = { c.text (name), incarnation };
+    c.command.type = type;
+    c.command.pu_command_u.member_down = { c.text (name), incarnation };
     return apply (c).outcome;
   }
 
@@ -115,10 +118,10 @@
              uint64_t incarnation, uint64_t attempt, uint64_t wall,
              uint64_t fingerprint = 1, uint64_t window = 0)
   {
-    Command c;
+    OwnedCommand c;
 
-    c.c.type = PU_COMMAND_CLAIM;
-    c.c.pu_command_u.claim
+    c.command.type = PU_COMMAND_CLAIM;
+    c.command.pu_command_u.claim
         = { c.text ("svc"), c.text (key), fingerprint, c.text (owner),
             incarnation,    attempt,      wall,        window };
     return apply (c);
@@ -127,26 +130,26 @@
   pu_outcome
   claim_done (const std::string &key, uint64_t position, pu_claim_phase phase)
   {
-    Command c;
-
-    c.c.type = PU_COMMAND_CLAIM_DONE;
-    c.c.pu_command_u.claim_done.service = c.text ("svc");
-    c.c.pu_command_u.claim_done.key = c.text (key);
-    c.c.pu_command_u.claim_done.position = position;
-    c.c.pu_command_u.claim_done.phase = phase;
-    c.c.pu_command_u.claim_done.content_type = c.text ("");
+    OwnedCommand c;
+
+    c.command.type = PU_COMMAND_CLAIM_DONE;
+    c.command.pu_command_u.claim_done.service = c.text ("svc");
+    c.command.pu_command_u.claim_done.key = c.text (key);
+    c.command.pu_command_u.claim_done.position = position;
+    c.command.pu_command_u.claim_done.phase = phase;
+    c.command.pu_command_u.claim_done.content_type = c.text ("");
     return apply (c).outcome;
   }
 
   pu_outcome
   strike (uint64_t fingerprint, const std::string &backend, uint64_t wall,
-          bool apart = false)
+          bool isolated = false)
   {
-    Command c;
+    OwnedCommand c;
 
-    c.c.type = PU_COMMAND_STRIKE;
-    c.c.pu_command_u.strike
-        = { apart, fingerprint, c.text ("m"), c.text (backend), 1, wall };
+    c.command.type = PU_COMMAND_STRIKE;
+    c.command.pu_command_u.strike
+        = { isolated, fingerprint, c.text ("m"), c.text (backend), 1, wall };
     return apply (c).outcome;
   }
 
@@ -155,14 +158,14 @@
            bool leaving = false, bool fenced = false, uint64_t token = 0,
            uint64_t seq = 0)
   {
-    Command c;
+    OwnedCommand c;
     std::vector<pu_copy_record> list;
 
     for (unsigned i = 0; i < copies; i++)
       list.push_back ({ c.text ("m" + std::to_string (i)), c.text ("1"), 100,
                         PU_COPY_READY });
-    c.c.type = PU_COMMAND_BACKEND_UP;
-    pu_backend_record &b = c.c.pu_command_u.backend_up;
+    c.command.type = PU_COMMAND_BACKEND_UP;
+    pu_backend_record &b = c.command.pu_command_u.backend_up;
     b = {};
     b.name = c.text (name);
     b.incarnation = incarnation;
@@ -184,10 +187,10 @@
   pu_reply
   reserve (const std::string &name, const std::string &model, unsigned mb)
   {
-    Command c;
+    OwnedCommand c;
 
-    c.c.type = PU_COMMAND_RESERVE;
-    c.c.pu_command_u.reserve = {
+    c.command.type = PU_COMMAND_RESERVE;
+    c.command.pu_command_u.reserve = {
       0, PU_ORDER_LOAD, c.text (name),  1, c.text (model), c.text ("1"), mb,
       0, 1000,          c.text ("test")
     };
@@ -197,17 +200,17 @@
   pu_outcome
   release (uint64_t token)
   {
-    Command c;
+    OwnedCommand c;
 
-    c.c.type = PU_COMMAND_RELEASE;
-    c.c.pu_command_u.release = { token, c.text ("test") };
+    c.command.type = PU_COMMAND_RELEASE;
+    c.command.pu_command_u.release = { token, c.text ("test") };
     return apply (c).outcome;
   }
 
   std::string
   image (bool public_only) const
   {
-    GBytes *b = pu_state_encode (s, public_only);
+    GBytes *b = pu_state_encode (state, public_only);
     gsize n;
     const char *p = (const char *)g_bytes_get_data (b, &n);
     std::string out (p, n);
@@ -216,8 +219,9 @@
     return out;
   }
 
-  pu_state_t *s;
-  pu_claim_record claim = {};
+  pu_state_t *state;
+  pu_claim_record claim = {}; /* of the last reply that had one; its strings
+                                 are freed */
   pu_claim_phase claim_phase = PU_CLAIM_OPEN;
 };
 
--- a/libplantainusher/state/state_fuzz_test.cc
+++ b/libplantainusher/state/state_fuzz_test.cc
@@ -7,14 +7,16 @@
 #include <string>
 
 #include "base/fuzz_report.h"
-#include "state/state_rig_test.h"
+#include "state/state_fixture_test.h"
 
 namespace
 {
 
-/* One random command from a small world, so that they meet.  */
+/* Applies one random command.  Names and numbers come from small sets, so that
+   commands often concern the same object.  GRANTED counts the grants of each
+   key and attempt, CLOSED_NOT_RUN the closings of each key as not run.  */
 void
-random_step (State &s, std::mt19937 &random,
+random_step (StateFixture &s, std::mt19937 &random,
              std::map<std::string, int> &granted,
              std::map<std::string, int> &closed_not_run, uint64_t step)
 {
@@ -50,19 +52,22 @@
 
         r = s.claim_key (key, name, incarnation, attempt, step);
         if (r.outcome != PU_OUTCOME_DONE
-            || r.position != pu_state_position (s.s))
+            || r.position != pu_state_position (s.state))
           break;
         granted[key]++;
-        /* One attempt is granted anew once at most.  */
-        const std::string one = key + name + std::to_string (incarnation) + "/"
-                                + std::to_string (attempt);
-        if (++granted["attempt " + one] > 1)
+        /* A second grant to the same attempt is a fault: adding 1000 makes
+           the oracle fail.  */
+        const std::string attempt_id = key + name
+                                       + std::to_string (incarnation) + "/"
+                                       + std::to_string (attempt);
+        if (++granted["attempt " + attempt_id] > 1)
           granted[key] += 1000;
       }
       break;
     case 6:
       {
-        const pu_claim_record *c = pu_state_claim (s.s, "svc", key.c_str ());
+        const pu_claim_record *c
+            = pu_state_claim (s.state, "svc", key.c_str ());
 
         if (c == nullptr)
           break;
@@ -81,35 +86,35 @@
 }
 
 /* Oracle of at-most-once: a key is granted again only after it was closed as
-   not run, so grants exceed such closings by one at most.  */
+   not run, so the grants of a key exceed such closings by one at most.  */
 bool
-grants_hold (unsigned seed, unsigned breaks)
+claims_are_at_most_once (unsigned seed, unsigned breaks)
 {
-  State s (breaks);
+  StateFixture s (breaks);
   std::mt19937 random (seed);
   std::map<std::string, int> granted;
-  std::map<std::string, int> closed;
+  std::map<std::string, int> closed_not_run;
 
   for (uint64_t step = 1; step <= 200; step++)
     {
-      random_step (s, random, granted, closed, step);
+      random_step (s, random, granted, closed_not_run, step);
       for (const auto &g : granted)
         {
-          const bool attempt = g.first.compare (0, 8, "attempt ") == 0;
+          const bool is_attempt = g.first.compare (0, 8, "attempt ") == 0;
 
-          if (!attempt && g.second > closed[g.first] + 1)
+          if (!is_attempt && g.second > closed_not_run[g.first] + 1)
             return false;
         }
     }
   return true;
 }
 
-/* Oracle of the document: an accepted change names the version before it, and
-   versions rise by one.  */
+/* Oracle of the document: an accepted change has the version in force as its
+   base, and versions rise by one.  */
 bool
-versions_are_linear (unsigned seed, unsigned breaks)
+versions_are_sequential (unsigned seed, unsigned breaks)
 {
-  State s (breaks);
+  StateFixture s (breaks);
   std::mt19937 random (seed);
   uint64_t version = 0;
   pu_reply r;
@@ -128,12 +133,12 @@
   return true;
 }
 
-/* Oracle of ranks: the rank in force only rises, and each submission is
-   acknowledged, whatever its rank is.  */
+/* Oracle of ranks: the highest rank submitted so far is in force, and each
+   submission is acknowledged, whatever its rank is.  */
 bool
-ranks_only_rise (unsigned seed, unsigned breaks)
+highest_rank_is_in_force (unsigned seed, unsigned breaks)
 {
-  State s (breaks);
+  StateFixture s (breaks);
   std::mt19937 random (seed);
   uint64_t highest = 0;
   pu_reply r;
@@ -148,26 +153,26 @@
       if (r.outcome != PU_OUTCOME_DONE && r.outcome != PU_OUTCOME_SEEN)
         return false;
       highest = std::max (highest, rank);
-      if (pu_state_document (s.s)->rank != highest)
+      if (pu_state_document (s.state)->rank != highest)
         return false;
     }
   return true;
 }
 
-/* Oracle of pu_state_each_changed_backend: a reader that follows it, now and
-   then, has the records that the state has.  */
+/* Oracle of pu_state_each_changed_backend: a reader that calls it at random
+   steps, and reads all records when it fails, has the records of the state. */
 bool
-reader_has_all (unsigned seed)
+reader_has_all_records (unsigned seed)
 {
-  using Seen = std::map<std::string, std::string>;
-  State s;
+  using Records = std::map<std::string, std::string>;
+  StateFixture s;
   std::mt19937 random (seed);
   std::map<std::string, int> granted;
-  std::map<std::string, int> closed;
-  Seen reader;
+  std::map<std::string, int> closed_not_run;
+  Records reader;
   uint64_t since = 0;
   const auto put = [] (const pu_backend_record *b, void *data) {
-    (*static_cast<Seen *> (data))[b->name]
+    (*static_cast<Records *> (data))[b->name]
         = std::to_string (b->incarnation) + "/"
           + std::to_string (b->copies.copies_len)
           + (b->leaving ? " leaving" : "") + (b->down ? " down" : "");
@@ -176,31 +181,32 @@
   for (uint64_t step = 1; step <= 200; step++)
     {
       const std::string name = "b" + std::to_string (random () % 2);
-      Seen whole;
+      Records expected;
 
-      random_step (s, random, granted, closed, step);
+      random_step (s, random, granted, closed_not_run, step);
       if (random () % 4 == 0)
         s.down (random () % 2 == 0 ? PU_COMMAND_BACKEND_DOWN
                                    : PU_COMMAND_BACKEND_LEAVING,
                 name, 1 + random () % 2);
       if (random () % 3 != 0)
         continue;
-      if (!pu_state_each_changed_backend (s.s, since, put, &reader))
-        pu_state_each_backend (s.s, put, &reader);
-      since = pu_state_changes (s.s);
-      pu_state_each_backend (s.s, put, &whole);
-      if (reader != whole)
+      if (!pu_state_each_changed_backend (s.state, since, put, &reader))
+        pu_state_each_backend (s.state, put, &reader);
+      since = pu_state_changes (s.state);
+      pu_state_each_backend (s.state, put, &expected);
+      if (reader != expected)
         return false;
     }
   return true;
 }
 
+/* Whether ORACLE fails for one of 50 seeds when BREAKS are injected.  */
 bool
-caught (bool (*holds) (unsigned, unsigned), unsigned breaks)
+is_detected (bool (*oracle) (unsigned, unsigned), unsigned breaks)
 {
   for (unsigned seed = 1; seed <= 50; seed++)
     {
-      if (!holds (seed, breaks))
+      if (!oracle (seed, breaks))
         return true;
     }
   return false;
@@ -208,53 +214,57 @@
 
 } // namespace
 
-RC_GTEST_PROP (StateFuzz, AKeyIsGrantedOnceUnlessItDidNotRun, (unsigned seed))
+RC_GTEST_PROP (StateFuzz, KeyIsRegrantedOnlyAfterNotRun, (unsigned seed))
 {
-  RC_ASSERT (grants_hold (seed, 0));
+  RC_ASSERT (claims_are_at_most_once (seed, 0));
 }
 
-RC_GTEST_PROP (StateFuzz, AReaderOfChangesHasAll, (unsigned seed))
+RC_GTEST_PROP (StateFuzz, ReaderOfChangesHasAllRecords, (unsigned seed))
 {
-  RC_ASSERT (reader_has_all (seed));
+  RC_ASSERT (reader_has_all_records (seed));
 }
 
-RC_GTEST_PROP (StateFuzz, VersionsAreLinear, (unsigned seed))
+RC_GTEST_PROP (StateFuzz, VersionsAreSequential, (unsigned seed))
 {
-  RC_ASSERT (versions_are_linear (seed, 0));
+  RC_ASSERT (versions_are_sequential (seed, 0));
 }
 
-RC_GTEST_PROP (StateFuzz, TheHighestRankIsInForce, (unsigned seed))
+RC_GTEST_PROP (StateFuzz, HighestRankIsInForce, (unsigned seed))
 {
-  RC_ASSERT (ranks_only_rise (seed, 0));
+  RC_ASSERT (highest_rank_is_in_force (seed, 0));
 }
 
-TEST (StateFuzz, BrokenRulesAreCaught)
+TEST (StateFuzz, InjectedFaultsAreDetected)
 {
-  EXPECT_TRUE (caught (ranks_only_rise, PU_STATE_BREAK_RANK));
-  EXPECT_TRUE (caught (grants_hold, PU_STATE_BREAK_REGRANT_UNKNOWN));
-  EXPECT_TRUE (caught (grants_hold, PU_STATE_BREAK_LATE_COPY));
-  EXPECT_TRUE (caught (versions_are_linear, PU_STATE_BREAK_BASE_VERSION));
+  EXPECT_TRUE (is_detected (highest_rank_is_in_force, PU_STATE_BREAK_RANK));
+  EXPECT_TRUE (
+      is_detected (claims_are_at_most_once, PU_STATE_BREAK_REGRANT_UNKNOWN));
+  EXPECT_TRUE (
+      is_detected (claims_are_at_most_once, PU_STATE_BREAK_LATE_COPY));
+  EXPECT_TRUE (
+      is_detected (versions_are_sequential, PU_STATE_BREAK_BASE_VERSION));
 }
 
-/* A voter that starts from an image goes on exactly as one that did not.  */
-RC_GTEST_PROP (StateFuzz, AnImageIsTheState, (unsigned seed))
+/* A voter that restores an image must stay equal to the voter that made it,
+   for the same commands.  */
+RC_GTEST_PROP (StateFuzz, RestoredImageContinuesAsTheOriginal, (unsigned seed))
 {
-  State s;
-  State t;
+  StateFixture s;
+  StateFixture t;
   std::mt19937 random (seed);
-  std::map<std::string, int> none;
+  std::map<std::string, int> unused;
   std::string bytes;
 
   for (uint64_t step = 1; step <= 100; step++)
-    random_step (s, random, none, none, step);
+    random_step (s, random, unused, unused, step);
   bytes = s.image (false);
-  RC_ASSERT (pu_state_decode (t.s, bytes.data (), bytes.size (), NULL));
+  RC_ASSERT (pu_state_decode (t.state, bytes.data (), bytes.size (), NULL));
   for (uint64_t step = 101; step <= 200; step++)
     {
       std::mt19937 same = random;
 
-      random_step (s, random, none, none, step);
-      random_step (t, same, none, none, step);
+      random_step (s, random, unused, unused, step);
+      random_step (t, same, unused, unused, step);
       RC_ASSERT (t.image (false) == s.image (false));
     }
 }
--- a/libplantainusher/state/state_test.cc
+++ b/libplantainusher/state/state_test.cc
@@ -8,11 +8,11 @@
 #include <vector>
 
 #include "state/hunks.h"
-#include "state/state_rig_test.h"
+#include "state/state_fixture_test.h"
 
-TEST (State, OfTwoSubmitsAtOneVersionOneWins)
+TEST (State, SecondSubmitWithTheSameBaseVersionConflicts)
 {
-  State s;
+  StateFixture s;
   pu_reply r;
 
   s.submit (0, "a", &r);
@@ -21,12 +21,12 @@
   s.submit (0, "b", &r);
   EXPECT_EQ (PU_OUTCOME_CONFLICT, r.outcome);
   EXPECT_EQ (1u, r.doc_version);
-  EXPECT_STREQ ("{a}", pu_state_document (s.s)->text);
+  EXPECT_STREQ ("{a}", pu_state_document (s.state)->text);
 }
 
-TEST (State, AResentChangeGetsTheFirstAnswer)
+TEST (State, ResentChangeGetsTheFirstReply)
 {
-  State s;
+  StateFixture s;
   pu_reply first;
   pu_reply again;
 
@@ -36,193 +36,196 @@
   EXPECT_EQ (PU_OUTCOME_SEEN, again.outcome);
   EXPECT_EQ (1u, again.doc_version);
   EXPECT_EQ (first.position, again.position);
-  EXPECT_EQ (2u, pu_state_document (s.s)->doc_version);
+  EXPECT_EQ (2u, pu_state_document (s.state)->doc_version);
 }
 
-TEST (State, AChangeIdForAnotherDocumentIsAConflict)
+TEST (State, ChangeIdReusedForAnotherDocumentConflicts)
 {
-  State s;
+  StateFixture s;
   pu_reply r;
-  Command c;
+  OwnedCommand c;
 
   s.submit (0, "a", &r);
-  c.c.type = PU_COMMAND_SUBMIT;
-  c.c.pu_command_u.submit.base_version = 1;
-  c.c.pu_command_u.submit.change_id = c.text ("a");
-  c.c.pu_command_u.submit.author = c.text ("ann");
-  c.c.pu_command_u.submit.text = c.text ("{other}");
+  c.command.type = PU_COMMAND_SUBMIT;
+  c.command.pu_command_u.submit.base_version = 1;
+  c.command.pu_command_u.submit.change_id = c.text ("a");
+  c.command.pu_command_u.submit.author = c.text ("ann");
+  c.command.pu_command_u.submit.text = c.text ("{other}");
   EXPECT_EQ (PU_OUTCOME_CONFLICT, s.apply (c).outcome);
-  EXPECT_EQ (1u, pu_state_document (s.s)->doc_version);
+  EXPECT_EQ (1u, pu_state_document (s.state)->doc_version);
 }
 
-TEST (State, NeverAppliesAPositionTwice)
+TEST (State, PositionIsAppliedOnce)
 {
-  State s;
+  StateFixture s;
   pu_reply r;
-  Command c;
+  OwnedCommand c;
 
   s.submit (0, "a", &r);
-  c.c.type = PU_COMMAND_NOOP;
-  EXPECT_FALSE (pu_state_apply (s.s, 1, &c.c, NULL));
-  EXPECT_EQ (1u, pu_state_position (s.s));
+  c.command.type = PU_COMMAND_NOOP;
+  EXPECT_FALSE (pu_state_apply (s.state, 1, &c.command, NULL));
+  EXPECT_EQ (1u, pu_state_position (s.state));
 }
 
-TEST (State, AnOldIncarnationOfAMemberIsRefused)
+TEST (State, OldMemberIncarnationIsRefused)
 {
-  State s;
+  StateFixture s;
 
   s.member ("e", 5);
   EXPECT_EQ (PU_OUTCOME_REFUSED, s.down (PU_COMMAND_MEMBER_DOWN, "e", 4));
   s.member ("e", 4);
-  EXPECT_EQ (5u, pu_state_member (s.s, "e")->incarnation);
+  EXPECT_EQ (5u, pu_state_member (s.state, "e")->incarnation);
   EXPECT_EQ (PU_OUTCOME_DONE, s.down (PU_COMMAND_MEMBER_DOWN, "e", 5));
-  EXPECT_EQ (nullptr, pu_state_member (s.s, "e"));
+  EXPECT_EQ (nullptr, pu_state_member (s.state, "e"));
 }
 
-TEST (State, LeavingStaysUntilANewIncarnation)
+TEST (State, LeavingFlagLastsUntilANewIncarnation)
 {
-  State s;
+  StateFixture s;
 
   s.backend ("b", 1, 1);
   s.down (PU_COMMAND_BACKEND_LEAVING, "b", 1);
   s.backend ("b", 1, 2);
-  EXPECT_TRUE (pu_state_backend (s.s, "b")->leaving);
+  EXPECT_TRUE (pu_state_backend (s.state, "b")->leaving);
   s.backend ("b", 2, 0);
-  EXPECT_FALSE (pu_state_backend (s.s, "b")->leaving);
+  EXPECT_FALSE (pu_state_backend (s.state, "b")->leaving);
 }
 
 namespace
 {
 
-/* What changed after SINCE, by name; "all" where the copy can't tell.  */
+/* The names of the backend servers that changed after SINCE, the latest first;
+   "all" when the state cannot list them.  */
 std::string
-changed (const State &s, uint64_t since)
+changed_backends (const StateFixture &s, uint64_t since)
 {
   std::string found;
   const auto add = [] (const pu_backend_record *b, void *data) {
     *static_cast<std::string *> (data) += std::string (b->name) + " ";
   };
 
-  if (!pu_state_each_changed_backend (s.s, since, add, &found))
+  if (!pu_state_each_changed_backend (s.state, since, add, &found))
     return "all";
   return found;
 }
 
 } // namespace
 
-/* With a thousand backend servers a change of one must not cost a look at all
-   of them.  */
-TEST (State, OnlyTheBackendServersThatChangedAreSeen)
+/* With a thousand backend servers, a change of one must not make a reader
+   visit all of them.  */
+TEST (State, OnlyChangedBackendServersAreVisited)
 {
-  State s;
+  StateFixture s;
   std::string bytes;
 
   s.backend ("a", 1, 1);
   s.backend ("b", 1, 1);
-  uint64_t seen = pu_state_changes (s.s);
-  EXPECT_EQ ("b a ", changed (s, 0));
-  EXPECT_EQ ("", changed (s, seen));
+  uint64_t seen = pu_state_changes (s.state);
+  EXPECT_EQ ("b a ", changed_backends (s, 0));
+  EXPECT_EQ ("", changed_backends (s, seen));
   s.backend ("a", 1, 1);
-  EXPECT_EQ ("", changed (s, seen)) << "the same report again";
+  EXPECT_EQ ("", changed_backends (s, seen)) << "the same report again";
   s.backend ("a", 1, 2);
-  EXPECT_EQ ("a ", changed (s, seen));
-  seen = pu_state_changes (s.s);
+  EXPECT_EQ ("a ", changed_backends (s, seen));
+  seen = pu_state_changes (s.state);
   s.down (PU_COMMAND_BACKEND_LEAVING, "b", 1);
-  EXPECT_EQ ("b ", changed (s, seen));
-  seen = pu_state_changes (s.s);
+  EXPECT_EQ ("b ", changed_backends (s, seen));
+  seen = pu_state_changes (s.state);
   s.down (PU_COMMAND_BACKEND_DOWN, "b", 1);
-  EXPECT_EQ ("b ", changed (s, seen));
+  EXPECT_EQ ("b ", changed_backends (s, seen));
   bytes = s.image (true);
-  ASSERT_TRUE (pu_state_decode (s.s, bytes.data (), bytes.size (), nullptr));
-  EXPECT_EQ ("all", changed (s, seen)) << "an image";
-  EXPECT_EQ ("", changed (s, pu_state_changes (s.s)));
+  ASSERT_TRUE (
+      pu_state_decode (s.state, bytes.data (), bytes.size (), nullptr));
+  EXPECT_EQ ("all", changed_backends (s, seen)) << "an image";
+  EXPECT_EQ ("", changed_backends (s, pu_state_changes (s.state)));
 }
 
-/* More are down than are remembered: a reader must find the one that went.  */
-TEST (State, AForgottenBackendServerIsFound)
+/* When more than 1024 backend servers are down, the record of one is evicted.
+   A list of changed records cannot show this: a reader must read all.  */
+TEST (State, EvictedBackendServerForcesAFullRead)
 {
-  State s;
+  StateFixture s;
 
   for (int i = 0; i < 1025; i++)
     {
       const std::string name = "b" + std::to_string (i);
-      const uint64_t seen = pu_state_changes (s.s);
+      const uint64_t seen = pu_state_changes (s.state);
 
       s.backend (name, 1, 0);
       EXPECT_EQ (PU_OUTCOME_DONE, s.down (PU_COMMAND_BACKEND_DOWN, name, 1));
-      EXPECT_EQ (i < 1024 ? name + " " : "all", changed (s, seen));
+      EXPECT_EQ (i < 1024 ? name + " " : "all", changed_backends (s, seen));
     }
 }
 
-TEST (State, AReservationThatDoesNotFitIsRefused)
+TEST (State, ReservationOverTheMemoryLimitConflicts)
 {
-  State s;
+  StateFixture s;
 
   s.backend ("b", 1, 2);
   EXPECT_EQ (PU_OUTCOME_DONE, s.reserve ("b", "big", 700).outcome);
-  EXPECT_EQ (900u, pu_state_committed_mb (s.s, "b"));
+  EXPECT_EQ (900u, pu_state_committed_mb (s.state, "b"));
   EXPECT_EQ (PU_OUTCOME_CONFLICT, s.reserve ("b", "more", 101).outcome);
   EXPECT_EQ (PU_OUTCOME_DONE, s.reserve ("b", "more", 100).outcome);
 }
 
-/* Another order for the same copy carries the later token that closes the
-   earlier one; the copy is counted once, at the largest.  */
-TEST (State, TwoOrdersForOneCopyAreCountedOnce)
+/* A later order for the same copy has the higher token and so closes the
+   earlier one.  The copy is counted once, with the largest of the sizes.  */
+TEST (State, OrdersForTheSameCopyAreCountedOnce)
 {
-  State s;
+  StateFixture s;
 
   s.backend ("b", 1, 2);
   s.reserve ("b", "big", 700);
   EXPECT_EQ (PU_OUTCOME_DONE, s.reserve ("b", "big", 1).outcome);
-  EXPECT_EQ (900u, pu_state_committed_mb (s.s, "b"));
+  EXPECT_EQ (900u, pu_state_committed_mb (s.state, "b"));
   EXPECT_EQ (PU_OUTCOME_CONFLICT, s.reserve ("b", "big", 801).outcome);
   EXPECT_EQ (PU_OUTCOME_DONE, s.reserve ("b", "big", 800).outcome);
-  EXPECT_EQ (1000u, pu_state_committed_mb (s.s, "b"));
+  EXPECT_EQ (1000u, pu_state_committed_mb (s.state, "b"));
 }
 
-TEST (State, AReleaseThatTheLedgerRefusesKeepsTheOrder)
+TEST (State, ReleaseRefusedByTheLedgerKeepsTheOrder)
 {
-  State s;
+  StateFixture s;
 
   s.backend ("b", 1, 0, false, true);
   const uint64_t token = s.reserve ("b", "big", 700).position;
   EXPECT_EQ (PU_OUTCOME_REFUSED, s.release (token));
-  EXPECT_NE (nullptr, pu_state_order (s.s, token));
-  EXPECT_EQ (700u, pu_state_committed_mb (s.s, "b"));
+  EXPECT_NE (nullptr, pu_state_order (s.state, token));
+  EXPECT_EQ (700u, pu_state_committed_mb (s.state, "b"));
   s.backend ("b", 1, 0, false, true, token + 1);
   EXPECT_EQ (PU_OUTCOME_DONE, s.release (token));
-  EXPECT_EQ (nullptr, pu_state_order (s.s, token));
+  EXPECT_EQ (nullptr, pu_state_order (s.state, token));
   EXPECT_EQ (PU_OUTCOME_SEEN, s.release (token));
 }
 
-TEST (State, AnOlderReportChangesNothing)
+TEST (State, StaleReportChangesNothing)
 {
-  State s;
+  StateFixture s;
 
   EXPECT_EQ (PU_OUTCOME_DONE, s.backend ("b", 1, 2, false, false, 0, 7));
   EXPECT_EQ (PU_OUTCOME_REFUSED, s.backend ("b", 1, 1, false, false, 0, 6));
-  EXPECT_EQ (2u, pu_state_backend (s.s, "b")->copies.copies_len);
+  EXPECT_EQ (2u, pu_state_backend (s.state, "b")->copies.copies_len);
   EXPECT_EQ (PU_OUTCOME_SEEN, s.backend ("b", 1, 2, false, false, 0, 8));
   EXPECT_EQ (PU_OUTCOME_DONE, s.backend ("b", 1, 1, false, false, 0, 9));
   EXPECT_EQ (PU_OUTCOME_DONE, s.backend ("b", 2, 0, false, false, 0, 1));
 }
 
-TEST (State, ABackendThatIsDownKeepsItsReservations)
+TEST (State, DownBackendServerKeepsItsReservations)
 {
-  State s;
+  StateFixture s;
 
   s.backend ("b", 1, 1);
   s.reserve ("b", "big", 700);
   s.down (PU_COMMAND_BACKEND_DOWN, "b", 1);
-  EXPECT_TRUE (pu_state_backend (s.s, "b")->down);
-  EXPECT_EQ (800u, pu_state_committed_mb (s.s, "b"));
+  EXPECT_TRUE (pu_state_backend (s.state, "b")->down);
+  EXPECT_EQ (800u, pu_state_committed_mb (s.state, "b"));
   s.backend ("b", 2, 0);
-  EXPECT_EQ (700u, pu_state_committed_mb (s.s, "b"));
+  EXPECT_EQ (700u, pu_state_committed_mb (s.state, "b"));
 }
 
-TEST (State, ADeadOwnersClaimIsUnknownAndNeverRunsAgain)
+TEST (State, OpenClaimOfADownOwnerIsNeverRegranted)
 {
-  State s;
+  StateFixture s;
 
   s.member ("e1", 1);
   s.member ("e2", 1);
@@ -233,9 +236,9 @@
   EXPECT_EQ (PU_CLAIM_UNKNOWN, s.claim_phase);
 }
 
-TEST (State, ALateCopyOfAClaimDoesNotOpenItAgain)
+TEST (State, LateDuplicateDoesNotReopenAClosedClaim)
 {
-  State s;
+  StateFixture s;
   pu_reply r;
 
   s.member ("e", 1);
@@ -245,10 +248,11 @@
   EXPECT_EQ (PU_OUTCOME_DONE, s.claim_key ("k", "e", 1, 2, 11).outcome);
 }
 
-/* Found by the fuzz: seed 1, case 64.  */
-TEST (State, ACopyOfAnEarlierAttemptDoesNotOpenItEither)
+/* A claim must remember closed attempts before the last one too: a late
+   duplicate of one of them would claim the key once more.  */
+TEST (State, DuplicateOfAnEarlierAttemptDoesNotReopenAClaim)
 {
-  State s;
+  StateFixture s;
   pu_reply r;
 
   s.member ("e1", 1);
@@ -261,32 +265,32 @@
   EXPECT_EQ (PU_OUTCOME_DONE, s.claim_key ("k", "e1", 1, 2, 12).outcome);
 }
 
-TEST (State, AKeyForAnotherRequestIsAConflict)
+TEST (State, KeyReusedForAnotherRequestConflicts)
 {
-  State s;
+  StateFixture s;
 
   s.member ("e", 1);
   s.claim_key ("k", "e", 1, 1, 10, 7);
   EXPECT_EQ (PU_OUTCOME_CONFLICT, s.claim_key ("k", "e", 1, 2, 10, 8).outcome);
 }
 
-TEST (State, ClaimsLeaveAfterTheirWindow)
+TEST (State, ClosedClaimsExpireAfterTheWindow)
 {
-  State s;
+  StateFixture s;
   pu_reply r;
 
   s.member ("e", 1);
   r = s.claim_key ("k", "e", 1, 1, 10);
   s.claim_done ("k", r.position, PU_CLAIM_RAN);
   s.claim_key ("x", "e", 1, 2, 1010);
-  EXPECT_NE (nullptr, pu_state_claim (s.s, "svc", "k"));
+  EXPECT_NE (nullptr, pu_state_claim (s.state, "svc", "k"));
   s.claim_key ("y", "e", 1, 3, 1011);
-  EXPECT_EQ (nullptr, pu_state_claim (s.s, "svc", "k"));
+  EXPECT_EQ (nullptr, pu_state_claim (s.state, "svc", "k"));
 }
 
-TEST (State, AClaimsOwnWindowCounts)
+TEST (State, ClaimWindowOverridesTheDefault)
 {
-  State s;
+  StateFixture s;
   pu_reply r;
 
   s.member ("e", 1);
@@ -295,50 +299,53 @@
   r = s.claim_key ("short", "e", 1, 2, 10, 1, 50);
   s.claim_done ("short", r.position, PU_CLAIM_RAN);
   s.claim_key ("x", "e", 1, 3, 1011);
-  EXPECT_EQ (nullptr, pu_state_claim (s.s, "svc", "short"));
-  EXPECT_NE (nullptr, pu_state_claim (s.s, "svc", "long"));
+  EXPECT_EQ (nullptr, pu_state_claim (s.state, "svc", "short"));
+  EXPECT_NE (nullptr, pu_state_claim (s.state, "svc", "long"));
 }
 
 namespace
 {
 
-/* Submits TEXT at BASE as a delta against FROM's document; returns the bytes
-   that went into the log.  */
+/* Submits TEXT with base version BASE to TO, as a delta against the document
+   of FROM.  Returns the size of the text in the command.  */
 size_t
-submit_delta (State &from, State &to, uint64_t base, const std::string &text)
+submit_delta (StateFixture &from, StateFixture &to, uint64_t base,
+              const std::string &text)
 {
   pu_command c = {};
   pu_reply r;
-  size_t sent;
+  size_t text_bytes;
 
   c.type = PU_COMMAND_SUBMIT;
   c.pu_command_u.submit.base_version = base;
   c.pu_command_u.submit.change_id
-      = strdup (std::to_string (pu_state_position (to.s)).c_str ());
+      = strdup (std::to_string (pu_state_position (to.state)).c_str ());
   c.pu_command_u.submit.author = strdup ("");
   c.pu_command_u.submit.text = strdup (text.c_str ());
-  pu_state_shrink_submit (from.s, &c.pu_command_u.submit);
-  sent = strlen (c.pu_command_u.submit.text);
-  EXPECT_TRUE (pu_state_apply (to.s, pu_state_position (to.s) + 1, &c, &r));
+  pu_state_shrink_submit (from.state, &c.pu_command_u.submit);
+  text_bytes = strlen (c.pu_command_u.submit.text);
+  EXPECT_TRUE (
+      pu_state_apply (to.state, pu_state_position (to.state) + 1, &c, &r));
   pu_reply_clear (&r);
   pu_command_clear (&c);
-  return sent;
+  return text_bytes;
 }
 
 } // namespace
 
-TEST (Delta, CarriesOnlyWhatDiffers)
+TEST (Delta, CarriesOnlyTheDifference)
 {
-  State s;
+  StateFixture s;
 
   EXPECT_EQ (11u, submit_delta (s, s, 0, "hello world"));
   EXPECT_EQ (1u, submit_delta (s, s, 1, "hello, world"));
-  EXPECT_STREQ ("hello, world", pu_state_document (s.s)->text);
+  EXPECT_STREQ ("hello, world", pu_state_document (s.state)->text);
   EXPECT_EQ (0u, submit_delta (s, s, 2, "hello world"));
-  EXPECT_STREQ ("hello world", pu_state_document (s.s)->text);
+  EXPECT_STREQ ("hello world", pu_state_document (s.state)->text);
 }
 
-/* A text of N different lines, some of which are changed.  */
+/* A text of N different lines; those with a number in CHANGED differ from the
+   text without changes.  */
 static std::string
 lines (int n, const std::vector<int> &changed)
 {
@@ -346,29 +353,29 @@
 
   for (int i = 0; i < n; i++)
     {
-      bool now
+      bool is_changed
           = std::find (changed.begin (), changed.end (), i) != changed.end ();
 
       text += "the line number " + std::to_string (i * 7919) + " of many"
-              + (now ? ", as changed" : "") + "\n";
+              + (is_changed ? ", as changed" : "") + "\n";
     }
   return text;
 }
 
-/* A change that touches two places costs what differs, not what stands
-   between them.  */
-TEST (Delta, CarriesTwoPlacesApart)
+/* The delta of an edit in two places must not carry the unchanged text between
+   them.  */
+TEST (Delta, OmitsUnchangedTextBetweenTwoEdits)
 {
-  State s;
+  StateFixture s;
   const std::string next = lines (1000, { 10, 900 });
 
   submit_delta (s, s, 0, lines (1000, {}));
   EXPECT_LE (submit_delta (s, s, 1, next), 100u);
-  EXPECT_STREQ (next.c_str (), pu_state_document (s.s)->text);
+  EXPECT_STREQ (next.c_str (), pu_state_document (s.state)->text);
   EXPECT_LE (submit_delta (s, s, 2, lines (1000, { 5, 500, 901 })), 250u);
 }
 
-TEST (Hunks, MalformedOnesAreRefused)
+TEST (Hunks, MalformedHunksAreRefused)
 {
   for (const char *bad :
        { "x", "=", "=1", "=1,", "=1,2", "=,2\n", "=0,11\n", "=11,0\n",
@@ -382,122 +389,125 @@
     }
 }
 
-RC_GTEST_PROP (Hunks, MakeTheSameText, ())
+RC_GTEST_PROP (Hunks, DiffThenApplyGivesTheTarget, ())
 {
   const auto word
       = rc::gen::container<std::string> (rc::gen::inRange<char> ('a', 'd'));
-  const auto old = *rc::gen::resize (2000, word);
-  auto next = old;
+  const auto base = *rc::gen::resize (2000, word);
+  auto target = base;
   const int edits = *rc::gen::inRange (0, 6);
 
   for (int i = 0; i < edits; i++)
     {
-      size_t at
-          = next.empty () ? 0 : *rc::gen::inRange<size_t> (0, next.size ());
-      size_t gone = *rc::gen::inRange<size_t> (0, 60);
+      size_t at = target.empty ()
+                      ? 0
+                      : *rc::gen::inRange<size_t> (0, target.size ());
+      size_t removed = *rc::gen::inRange<size_t> (0, 60);
 
-      next = next.substr (0, at) + *rc::gen::resize (40, word)
-             + next.substr (std::min (next.size (), at + gone));
+      target = target.substr (0, at) + *rc::gen::resize (40, word)
+               + target.substr (std::min (target.size (), at + removed));
     }
-  char *hunks
-      = pu_hunks_make (old.data (), old.size (), next.data (), next.size ());
+  char *hunks = pu_hunks_diff (base.data (), base.size (), target.data (),
+                               target.size ());
   GString *out = g_string_new (nullptr);
-  bool good
-      = pu_hunks_apply (hunks, old.data (), old.size (), next.size (), out);
-  std::string made (out->str, out->len);
+  bool ok = pu_hunks_apply (hunks, base.data (), base.size (), target.size (),
+                            out);
+  std::string result (out->str, out->len);
 
   g_string_free (out, TRUE);
   g_free (hunks);
-  RC_ASSERT (good);
-  RC_ASSERT (made == next);
+  RC_ASSERT (ok);
+  RC_ASSERT (result == target);
 }
 
-TEST (Delta, AgainstAnotherTextIsRefused)
+TEST (Delta, DeltaForAnotherBaseIsRefused)
 {
-  State s;
-  State other;
+  StateFixture s;
+  StateFixture other;
 
   submit_delta (s, s, 0, "one text");
   submit_delta (other, other, 0, "one list");
   submit_delta (s, other, 1, "one test");
-  EXPECT_STREQ ("one list", pu_state_document (other.s)->text);
-  EXPECT_EQ (1u, pu_state_document (other.s)->doc_version);
+  EXPECT_STREQ ("one list", pu_state_document (other.state)->text);
+  EXPECT_EQ (1u, pu_state_document (other.state)->doc_version);
 }
 
-RC_GTEST_PROP (Delta, GivesTheSameText, (std::vector<std::string> texts))
+RC_GTEST_PROP (Delta, RoundTripGivesTheSubmittedText,
+               (std::vector<std::string> texts))
 {
-  State s;
+  StateFixture s;
   uint64_t version = 0;
 
   for (std::string text : texts)
     {
       text = text.c_str ();
       submit_delta (s, s, version++, text);
-      RC_ASSERT (text == pu_state_document (s.s)->text);
+      RC_ASSERT (text == pu_state_document (s.state)->text);
     }
 }
 
-TEST (State, ASecondLostBackendConvicts)
+TEST (State, SecondLostBackendServerConvicts)
 {
-  State s;
+  StateFixture s;
 
   s.strike (9, "b1", 10);
   EXPECT_EQ (PU_OUTCOME_SEEN, s.strike (9, "b1", 11));
-  EXPECT_FALSE (pu_state_suspect (s.s, 9)->convicted);
+  EXPECT_FALSE (pu_state_suspect (s.state, 9)->convicted);
   s.strike (9, "b2", 12);
-  EXPECT_TRUE (pu_state_suspect (s.s, 9)->convicted);
+  EXPECT_TRUE (pu_state_suspect (s.state, 9)->convicted);
 }
 
-TEST (State, ASuspectThatRanApartAccountsForADeathAlone)
+TEST (State, IsolatedSuspectClearsTheOthersOfThatLoss)
 {
-  State s;
+  StateFixture s;
 
   s.strike (1, "b1", 10);
   s.strike (2, "b1", 10);
   s.strike (2, "b2", 11);
-  EXPECT_TRUE (pu_state_suspect (s.s, 2)->convicted);
+  EXPECT_TRUE (pu_state_suspect (s.state, 2)->convicted);
   s.strike (1, "b2", 12, true);
-  EXPECT_TRUE (pu_state_suspect (s.s, 1)->convicted);
-  EXPECT_FALSE (pu_state_suspect (s.s, 2)->convicted);
-  EXPECT_EQ (1u, pu_state_suspect (s.s, 2)->strikes);
+  EXPECT_TRUE (pu_state_suspect (s.state, 1)->convicted);
+  EXPECT_FALSE (pu_state_suspect (s.state, 2)->convicted);
+  EXPECT_EQ (1u, pu_state_suspect (s.state, 2)->strikes);
   EXPECT_EQ (PU_OUTCOME_SEEN, s.strike (3, "b2", 13));
-  EXPECT_EQ (nullptr, pu_state_suspect (s.s, 3));
+  EXPECT_EQ (nullptr, pu_state_suspect (s.state, 3));
 }
 
-TEST (State, AnOldStrikeIsForgotten)
+TEST (State, ExpiredStrikeIsNotCounted)
 {
-  State s;
+  StateFixture s;
 
   s.strike (9, "b1", 10);
   s.strike (9, "b2", 1011);
-  EXPECT_EQ (1u, pu_state_suspect (s.s, 9)->strikes);
+  EXPECT_EQ (1u, pu_state_suspect (s.state, 9)->strikes);
 }
 
-TEST (State, RefusesBytesThatAreNoImage)
+TEST (State, TruncatedImageIsRefused)
 {
-  State s;
+  StateFixture s;
   pu_reply r;
   pu_error_t e;
   std::string bytes;
 
   s.submit (0, "a", &r);
   bytes = s.image (false);
-  EXPECT_FALSE (pu_state_decode (s.s, bytes.data (), bytes.size () - 4, &e));
+  EXPECT_FALSE (
+      pu_state_decode (s.state, bytes.data (), bytes.size () - 4, &e));
   EXPECT_EQ (PU_ERROR_CORRUPT, e.kind);
-  EXPECT_EQ (1u, pu_state_document (s.s)->doc_version);
+  EXPECT_EQ (1u, pu_state_document (s.state)->doc_version);
 }
 
-/* Of two documents of one rank the first stays: the other is acknowledged and
-   never in force.  */
-TEST (State, OtherContentOfTheRankInForceChangesNothing)
+/* Of two documents with the same rank the first stays in force; the other is
+   acknowledged but never comes into force.  */
+TEST (State, SubmitWithTheRankInForceChangesNothing)
 {
-  State s;
+  StateFixture s;
   pu_reply r;
 
   s.submit_ranked (7, "one", &r);
   EXPECT_EQ (PU_OUTCOME_DONE, r.outcome);
   s.submit_ranked (7, "other", &r);
   EXPECT_EQ (PU_OUTCOME_SEEN, r.outcome);
-  EXPECT_STREQ ("{one}", pu_state_document (s.s)->text);
-  EXPECT_EQ (1u, pu_state_document (s.s)->doc_version);
+  EXPECT_STREQ ("{one}", pu_state_document (s.state)->text);
+  EXPECT_EQ (1u, pu_state_document (s.state)->doc_version);
 }
