--- a/libplantainusher/daemon/build.c
+++ b/libplantainusher/daemon/build.c
@@ -144,10 +144,11 @@
 static void
 set_membership (const pu_settings_t *s, pu_membership_options_t *m)
 {
-  m->least_ms[PU_SUBJECT_MEMBER] = s->timing.session_ms;
-  m->most_ms[PU_SUBJECT_MEMBER] = ROUTE_SHARE * s->timing.session_ms;
-  m->least_ms[PU_SUBJECT_BACKEND] = s->timing.backend_lease_ms;
-  m->most_ms[PU_SUBJECT_BACKEND] = s->timing.order_life_ms / SILENT_SHARE;
+  m->min_timeout_ms[PU_SUBJECT_MEMBER] = s->timing.session_ms;
+  m->max_timeout_ms[PU_SUBJECT_MEMBER] = ROUTE_SHARE * s->timing.session_ms;
+  m->min_timeout_ms[PU_SUBJECT_BACKEND] = s->timing.backend_lease_ms;
+  m->max_timeout_ms[PU_SUBJECT_BACKEND]
+      = s->timing.order_life_ms / SILENT_SHARE;
 }
 
 static void
@@ -309,7 +310,7 @@
   pu_daemon_t *d = data;
 
   for (size_t i = 0; d->control != NULL && i < n; i++)
-    pu_control_meet (d->control, addresses[i]);
+    pu_control_add_seed (d->control, addresses[i]);
 }
 
 static bool
@@ -365,14 +366,14 @@
 set_entry_times (const pu_settings_t *s, pu_entry_options_t *o)
 {
   o->connect_ms = s->timing.connect_timeout_ms;
-  o->progress_ms = s->timing.progress_timeout_ms;
-  o->probe_ms = s->timing.probe_timeout_ms;
+  o->stream_progress_timeout_ms = s->timing.progress_timeout_ms;
+  o->health_probe_timeout_ms = s->timing.probe_timeout_ms;
   o->idle_ms = s->timing.idle_connection_ms;
   o->report_ms = s->timing.report_interval_ms;
-  o->propose_ms = s->timing.rpc_timeout_ms;
+  o->log_proposal_timeout_ms = s->timing.rpc_timeout_ms;
   o->ttl_s = s->timing.entries_ttl_s;
   o->loads_ms = s->timing.loads_ms;
-  o->loads_to_all = pu_settings_on_platform (s);
+  o->loads_to_all_entries = pu_settings_on_platform (s);
 }
 
 /* For tests alone: nothing in a usual build.  */
@@ -380,12 +381,14 @@
 set_entry_breaks (pu_entry_options_t *o)
 {
   o->test_breaks
-      = pu_break_bit (PU_BREAK_NOT_RUN_TOLD, PU_ENTRY_BREAK_OUTCOME)
-        | pu_break_bit (PU_BREAK_ONCE_REPEATED, PU_ENTRY_BREAK_REPEAT)
-        | pu_break_bit (PU_BREAK_REPLAY_PASSED, PU_ENTRY_BREAK_REPLAY)
-        | pu_break_bit (PU_BREAK_TRUNCATED_WHOLE, PU_ENTRY_BREAK_WHOLE);
+      = pu_break_bit (PU_BREAK_NOT_RUN_TOLD, PU_ENTRY_BREAK_REPORT_NOT_RUN)
+        | pu_break_bit (PU_BREAK_ONCE_REPEATED,
+                        PU_ENTRY_BREAK_RETRY_NON_REPEATABLE)
+        | pu_break_bit (PU_BREAK_REPLAY_PASSED, PU_ENTRY_BREAK_FORWARD_REPLAY)
+        | pu_break_bit (PU_BREAK_TRUNCATED_WHOLE,
+                        PU_ENTRY_BREAK_END_TRUNCATED);
   if (pu_break_active (PU_BREAK_SILENCE_IGNORED))
-    o->progress_ms = G_MAXINT;
+    o->stream_progress_timeout_ms = G_MAXINT;
 }
 
 static bool
--- a/libplantainusher/daemon/daemon.c
+++ b/libplantainusher/daemon/daemon.c
@@ -38,7 +38,7 @@
   if (e->kind != PU_OK)
     pu_log_warn (PART, "Leaving is not in the log: %s", e->message);
   if (d->control != NULL)
-    pu_control_leave (d->control);
+    pu_control_step_down (d->control);
 }
 
 static void
@@ -50,7 +50,7 @@
   if (e->kind != PU_OK)
     pu_log_warn (PART, "The departure is not in the log: %s", e->message);
   if (d->control != NULL)
-    pu_control_leave (d->control);
+    pu_control_step_down (d->control);
   enter (d, PU_DAEMON_HANDING);
 }
 
@@ -152,7 +152,7 @@
 step_finishing (pu_daemon_t *d)
 {
   uint64_t limit = (uint64_t)(d->settings->limits.drain_s * MS_PER_S);
-  guint open = pu_entry_open (d->entry);
+  guint open = pu_entry_in_flight (d->entry);
 
   if (!d->hurry && in_phase_ms (d) < limit
       && !pu_break_active (PU_BREAK_STOP_CUTS))
--- a/libplantainusher/daemon/hooks.c
+++ b/libplantainusher/daemon/hooks.c
@@ -86,7 +86,7 @@
 {
   h->view = entry_view;
   h->ready = entry_ready;
-  h->in_touch = entry_in_touch;
+  h->leader_reachable = entry_in_touch;
   h->incarnation = entry_incarnation;
   h->propose = entry_propose;
   h->renew = entry_renew;
--- a/libplantainusher/entry/admit.c
+++ b/libplantainusher/entry/admit.c
@@ -4,7 +4,7 @@
 #include "entry/trace.h"
 
 const pu_refusal_t pu_refusal_stopping
-    = { 503, "stopping", PU_NOT_RUN, PU_BUSY_RETRY_MS };
+    = { 503, "stopping", PU_RUN_OUTCOME_NOT_RUN, PU_BUSY_RETRY_AFTER_MS };
 
 /* The caller has gone.  A claimed call that was sent runs on, so that its
    outcome can be recorded; all else is cancelled.  */
@@ -14,12 +14,12 @@
   pu_exchange_t *x = data;
 
   x->http = NULL;
-  pu_trace_left (x);
+  pu_trace_caller_gone (x);
   if (x->claim != 0)
     return;
-  if (x->once && x->phase == PU_X_CLAIMING)
-    pu_once_give_up (x->en->once, x->number, uv_now (x->en->o.loop));
-  pu_exchange_done (x);
+  if (x->once && x->phase == PU_EXCHANGE_CLAIMING)
+    pu_once_remove_caller (x->en->once, x->number, uv_now (x->en->o.loop));
+  pu_exchange_finish (x);
 }
 
 static void
@@ -42,7 +42,7 @@
   x->number = ++en->last_number;
   pu_request_init (&x->q);
   x->avoid = g_ptr_array_new_with_free_func (g_free);
-  pu_sent_init (&x->sent);
+  pu_delivered_init (&x->sent);
   return x;
 }
 
@@ -86,7 +86,7 @@
 {
   const char *id = en->front.id (en->front.data, http);
 
-  pu_trace_turned_away (en, id, r, message);
+  pu_trace_rejected (en, id, r, message);
   en->front.refuse (en->front.data, http, id, r, message);
 }
 
@@ -94,7 +94,7 @@
 has_room (pu_entry_t *en, pu_http_request_t *http)
 {
   static const pu_refusal_t full
-      = { 503, "overloaded", PU_NOT_RUN, PU_BUSY_RETRY_MS };
+      = { 503, "overloaded", PU_RUN_OUTCOME_NOT_RUN, PU_BUSY_RETRY_AFTER_MS };
 
   /* It came on a connection that an earlier answer kept open, and might not
      end in the time that is left.  */
@@ -148,7 +148,7 @@
 pu_exchange_refuse_starting (pu_entry_t *en, pu_http_request_t *http)
 {
   static const pu_refusal_t starting
-      = { 503, "starting", PU_NOT_RUN, PU_BUSY_RETRY_MS };
+      = { 503, "starting", PU_RUN_OUTCOME_NOT_RUN, PU_BUSY_RETRY_AFTER_MS };
 
   turn_away (en, http, &starting, "This entry has no document yet.");
 }
--- a/libplantainusher/entry/announce.c
+++ b/libplantainusher/entry/announce.c
@@ -105,7 +105,7 @@
       if (in_log && !record_equal (p->accepted, p->record))
         record_propose (p);
     }
-  pu_entry_check (en);
+  pu_entry_check_stopped (en);
 }
 
 static void
@@ -121,8 +121,8 @@
   p->proposed = record_copy (p->record);
   c.pu_command_u.backend_up = *p->proposed;
   c.pu_command_u.backend_up.seq = p->seq;
-  en->o.hooks.propose (en->o.hooks.data, &c, en->o.propose_ms, on_proposed,
-                       proposal);
+  en->o.hooks.propose (en->o.hooks.data, &c, en->o.log_proposal_timeout_ms,
+                       on_proposed, proposal);
 }
 
 /* --- one report --- */
@@ -151,7 +151,7 @@
     pu_router_report (en->router, s->handle, &a->load, loop_now (en));
   if (a->has_events)
     pu_router_kv_events (en->router, s->handle, &a->events);
-  pu_router_due (en);
+  pu_entry_schedule_router (en);
 }
 
 static pu_reporter_t *
@@ -190,7 +190,7 @@
 bool
 pu_entry_accepts_reports (const pu_entry_t *en)
 {
-  return en->o.hooks.in_touch (en->o.hooks.data);
+  return en->o.hooks.leader_reachable (en->o.hooks.data);
 }
 
 static guint64
@@ -243,8 +243,8 @@
   leaving_apply (en, &leaving);
   c.pu_command_u.backend_leaving.name = (char *)name;
   c.pu_command_u.backend_leaving.incarnation = b->incarnation;
-  en->o.hooks.propose (en->o.hooks.data, &c, en->o.propose_ms, ignore_reply,
-                       NULL);
+  en->o.hooks.propose (en->o.hooks.data, &c, en->o.log_proposal_timeout_ms,
+                       ignore_reply, NULL);
 }
 
 /* --- HTTP handler --- */
@@ -257,15 +257,15 @@
   en->invalid_reports++;
   if (pu_log_limited (&en->bad_logged, loop_now (en), INVALID_LOG_PERIOD_MS))
     {
-      pu_log_warn (PU_ENTRY_PART,
+      pu_log_warn (PU_ENTRY_LOG_SLICE,
                    "%" G_GUINT64_FORMAT " invalid reports so far; the latest: "
                    "'%s' %s",
                    en->invalid_reports, first->path, first->message);
     }
-  pu_answer_json (http, 400,
-                  json_pack ("{s:s, s:s, s:o}", "error", "invalid", "message",
-                             "The report is invalid.", "findings",
-                             pu_findings_to_json (f)));
+  pu_respond_json (http, 400,
+                   json_pack ("{s:s, s:s, s:o}", "error", "invalid", "message",
+                              "The report is invalid.", "findings",
+                              pu_findings_to_json (f)));
 }
 
 /* Returns the record known of INCARNATION; NULL: a full report is needed.  */
@@ -284,12 +284,13 @@
 report_answer (const pu_entry_t *en, pu_http_request_t *http, guint64 seq,
                bool want_full)
 {
-  static const pu_refusal_t cut_off = { 503, "cut-off", PU_NOT_RUN, 0 };
+  static const pu_refusal_t cut_off
+      = { 503, "cut-off", PU_RUN_OUTCOME_NOT_RUN, 0 };
   json_t *v;
 
   if (!pu_entry_accepts_reports (en))
     {
-      pu_answer_error (
+      pu_respond_error (
           http, NULL, &cut_off,
           "This instance can't reach a voter; report to another one.");
       return;
@@ -298,7 +299,7 @@
                  (int)en->o.report_ms);
   if (want_full)
     json_object_set_new (v, "whole", json_true ());
-  pu_answer_json (http, 200, v);
+  pu_respond_json (http, 200, v);
 }
 
 static void
@@ -344,7 +345,8 @@
 void
 pu_entry_serve_announce (pu_entry_t *en, pu_http_request_t *http)
 {
-  static const pu_refusal_t denied = { 401, "denied", PU_NOT_RUN, 0 };
+  static const pu_refusal_t denied
+      = { 401, "denied", PU_RUN_OUTCOME_NOT_RUN, 0 };
   const char *authorization = pu_http_request_header (http, "authorization");
   pu_findings_t *f;
   json_t *root;
@@ -355,8 +357,8 @@
 
   if (!is_backend_key (en, authorization))
     {
-      pu_answer_error (http, NULL, &denied,
-                       "A valid backend key is required.");
+      pu_respond_error (http, NULL, &denied,
+                        "A valid backend key is required.");
       return;
     }
   f = pu_findings_new ();
@@ -368,9 +370,9 @@
     }
   else if (incarnation < known_incarnation (en, name))
     {
-      pu_answer_json (http, 409,
-                      json_pack ("{s:s, s:s}", "error", "conflict", "message",
-                                 "A newer incarnation is known."));
+      pu_respond_json (http, 409,
+                       json_pack ("{s:s, s:s}", "error", "conflict", "message",
+                                  "A newer incarnation is known."));
     }
   else
     {
--- a/libplantainusher/entry/answer.c
+++ b/libplantainusher/entry/answer.c
@@ -8,32 +8,32 @@
 #define MS_PER_S 1000
 
 static const char *const outcome_words[] = {
-  [PU_NOT_RUN] = "not-run",
-  [PU_RAN] = "ran",
-  [PU_UNKNOWN] = "unknown",
+  [PU_RUN_OUTCOME_NOT_RUN] = "not-run",
+  [PU_RUN_OUTCOME_RAN] = "ran",
+  [PU_RUN_OUTCOME_UNKNOWN] = "unknown",
 };
 
 const char *
-pu_outcome_word (pu_outcome_word_t o)
+pu_run_outcome_name (pu_run_outcome_t o)
 {
   return outcome_words[o];
 }
 
 char *
-pu_error_text (const pu_refusal_t *r, const char *message)
+pu_error_json_text (const pu_refusal_t *r, const char *message)
 {
   /* It may repeat what the caller sent, which JSON need not be able to say. */
   char *valid = g_utf8_make_valid (message, -1);
   char *text = pu_json_line (
       json_pack ("{s:{s:s, s:s, s:s}}", "error", "message", valid, "type",
-                 r->type, "outcome", pu_outcome_word (r->outcome)));
+                 r->type, "outcome", pu_run_outcome_name (r->outcome)));
 
   g_free (valid);
   return text;
 }
 
 void
-pu_answer_json (pu_http_request_t *http, int status, json_t *v)
+pu_respond_json (pu_http_request_t *http, int status, json_t *v)
 {
   static const pu_http_header_t headers[]
       = { { "content-type", "application/json" },
@@ -46,16 +46,16 @@
 }
 
 void
-pu_answer_error (pu_http_request_t *http, const char *id,
-                 const pu_refusal_t *r, const char *message)
+pu_respond_error (pu_http_request_t *http, const char *id,
+                  const pu_refusal_t *r, const char *message)
 {
   pu_http_header_t headers[5]
       = { { "content-type", "application/json" },
           { "cache-control", "no-store" },
-          { "x-outcome", pu_outcome_word (r->outcome) } };
+          { "x-outcome", pu_run_outcome_name (r->outcome) } };
   gsize n = 3;
   char seconds[16];
-  char *text = pu_error_text (r, message);
+  char *text = pu_error_json_text (r, message);
 
   if (id != NULL)
     headers[n++] = (pu_http_header_t){ "x-request-id", id };
--- a/libplantainusher/entry/attempt.c
+++ b/libplantainusher/entry/attempt.c
@@ -39,13 +39,13 @@
 {
   pu_suspects_t *suspects = x->en->suspects;
   const pu_attempt_t *at = &x->at;
-  bool cut = at->call != NULL || x->phase == PU_X_HELD;
+  bool cut = at->call != NULL || x->phase == PU_EXCHANGE_PROBING;
 
-  if (at->noted && cut)
+  if (at->suspect_tracked && cut)
     {
       pu_suspects_aborted (suspects, x->number, now_of (x));
     }
-  else if (at->noted)
+  else if (at->suspect_tracked)
     {
       pu_suspects_finished (suspects, x->number);
     }
@@ -75,7 +75,7 @@
   pu_attempt_t *at = &x->at;
 
   suspects_note_end (x);
-  if (x->phase == PU_X_HELD)
+  if (x->phase == PU_EXCHANGE_PROBING)
     pu_server_remove_held (x);
   if (at->call != NULL)
     pu_http_call_cancel (at->call);
@@ -88,7 +88,7 @@
   if (at->passed != NULL)
     g_ptr_array_free (at->passed, TRUE);
   pu_stream_free (at->stream);
-  pu_events_free (at->events);
+  pu_event_filter_free (at->events);
   memset (at, 0, sizeof *at);
 }
 
@@ -102,7 +102,7 @@
   g_hash_table_remove (x->en->tickets, &x->ticket);
   x->ticket = 0;
   pu_router_finished (x->en->router, ticket, outcome, now_of (x));
-  pu_router_due (x->en);
+  pu_entry_schedule_router (x->en);
 }
 
 /* Reports a complete response that is a failure; it counts against the backend
@@ -117,7 +117,7 @@
   g_hash_table_remove (x->en->tickets, &x->ticket);
   x->ticket = 0;
   pu_router_abandon (x->en->router, ticket, PU_ROUTER_FAIL_ERROR, now_of (x));
-  pu_router_due (x->en);
+  pu_entry_schedule_router (x->en);
 }
 
 /* Ends X with the complete response of its attempt.  */
@@ -128,8 +128,8 @@
 
   pu_trace_answered (x);
   if (good)
-    pu_demand_ran (x);
-  if (x->at.answer.failed && !pu_entry_has_own_front (x->en))
+    pu_demand_record_run (x);
+  if (x->at.answer.failed && !pu_entry_uses_builtin_frontend (x->en))
     {
       router_failed (x);
     }
@@ -139,7 +139,7 @@
     }
   if (x->claim != 0)
     {
-      pu_deliver_claimed (x);
+      pu_deliver_at_most_once (x);
       return;
     }
   if (x->at.streaming)
@@ -148,9 +148,9 @@
     }
   else
     {
-      pu_deliver_whole (x);
+      pu_deliver_response (x);
     }
-  pu_exchange_done (x);
+  pu_exchange_finish (x);
 }
 
 /* --- responses --- */
@@ -161,20 +161,20 @@
 attempt_break (pu_exchange_t *x, pu_router_failure_t failure)
 {
   if (x->at.streaming && x->http != NULL && x->head_sent
-      && pu_entry_breaks (x->en, PU_ENTRY_BREAK_WHOLE))
+      && pu_entry_fault_injected (x->en, PU_ENTRY_BREAK_END_TRUNCATED))
     {
       attempt_finish (x);
       return;
     }
   x->at.failure = failure;
   x->may_have_run = true;
-  if (x->at.server != NULL && pu_entry_has_own_front (x->en))
+  if (x->at.server != NULL && pu_entry_uses_builtin_frontend (x->en))
     {
       pu_server_hold (x->at.server, x);
     }
   else
     {
-      pu_exchange_again (x, failure);
+      pu_exchange_retry (x, failure);
     }
 }
 
@@ -185,9 +185,11 @@
 resume_refused (pu_exchange_t *x)
 {
   if (x->at.server == NULL
-      && g_strcmp0 (x->at.outcome, pu_outcome_word (PU_NOT_RUN)) == 0)
+      && g_strcmp0 (x->at.outcome,
+                    pu_run_outcome_name (PU_RUN_OUTCOME_NOT_RUN))
+             == 0)
     {
-      pu_exchange_again (x, PU_ROUTER_FAIL_NOT_RUN);
+      pu_exchange_retry (x, PU_ROUTER_FAIL_NOT_RUN);
     }
   else
     {
@@ -214,18 +216,19 @@
 
   switch (x->q.answer)
     {
-    case PU_ANSWER_TOKENS:
-      at->stream = pu_stream_new (
-          &x->sent,
-          resume_confirmed (x, r)
-              || pu_entry_breaks (x->en, PU_ENTRY_BREAK_REPLAY),
-          pu_deliver_tokens, x);
+    case PU_RESPONSE_TOKENS:
+      at->stream
+          = pu_stream_new (&x->sent,
+                           resume_confirmed (x, r)
+                               || pu_entry_fault_injected (
+                                   x->en, PU_ENTRY_BREAK_FORWARD_REPLAY),
+                           pu_deliver_tokens, x);
       break;
-    case PU_ANSWER_EVENTS:
-      at->events = pu_events_new (x->last_event, EVENT_MAX_BYTES,
-                                  pu_deliver_events, x);
+    case PU_RESPONSE_EVENTS:
+      at->events = pu_event_filter_new (x->last_event, EVENT_MAX_BYTES,
+                                        pu_deliver_events, x);
       break;
-    case PU_ANSWER_WHOLE:
+    case PU_RESPONSE_BUFFERED:
       at->streaming = false;
       break;
     }
@@ -255,11 +258,11 @@
 static void
 response_head_read (pu_exchange_t *x, const pu_http_response_t *r)
 {
-  pu_front_t *front = &x->en->front;
+  pu_frontend_t *front = &x->en->front;
 
-  if (pu_entry_has_own_front (x->en))
+  if (pu_entry_uses_builtin_frontend (x->en))
     {
-      pu_own_answer (x, r);
+      pu_builtin_classify_response (x, r);
       return;
     }
   front->answer (front->data, &x->q, x->at.server->name, r, &x->at.answer);
@@ -304,9 +307,9 @@
 fail_duplicate (pu_exchange_t *x)
 {
   static const pu_refusal_t duplicate
-      = { STATUS_BAD_GATEWAY, "doubled", PU_RAN, 0 };
+      = { STATUS_BAD_GATEWAY, "doubled", PU_RUN_OUTCOME_RAN, 0 };
 
-  pu_log_note (PU_ENTRY_PART,
+  pu_log_note (PU_ENTRY_LOG_SLICE,
                "The response to request %s had duplicate tokens.", x->q.id);
   pu_exchange_fail (x, &duplicate,
                     "The backend server sent more tokens than its usage "
@@ -323,14 +326,14 @@
 
   if (at->events != NULL)
     {
-      at->broken = !pu_events_feed (at->events, bytes, len);
+      at->broken = !pu_event_filter_feed (at->events, bytes, len);
       return true;
     }
   result = pu_stream_feed (at->stream, bytes, len);
   at->done = result == PU_STREAM_DONE;
   at->broken = result == PU_STREAM_BROKEN;
-  at->answer.foreign = result == PU_STREAM_FOREIGN;
-  return result != PU_STREAM_DOUBLED;
+  at->answer.foreign = result == PU_STREAM_MISMATCH;
+  return result != PU_STREAM_DUPLICATES;
 }
 
 static void
@@ -359,7 +362,7 @@
     }
   if (at->answer.foreign)
     {
-      pu_log_note (PU_ENTRY_PART,
+      pu_log_note (PU_ENTRY_LOG_SLICE,
                    "Dropped a response that does not match request %s.",
                    x->q.id);
     }
@@ -372,7 +375,9 @@
 denies_earlier_run (const pu_exchange_t *x)
 {
   return x->at.server == NULL && x->may_have_run
-         && g_strcmp0 (x->at.outcome, pu_outcome_word (PU_NOT_RUN)) == 0;
+         && g_strcmp0 (x->at.outcome,
+                       pu_run_outcome_name (PU_RUN_OUTCOME_NOT_RUN))
+                == 0;
 }
 
 /* Forwards another entry's refusal of X to the client, with the outcome over
@@ -385,7 +390,7 @@
       = json_loadb ((const char *)at->whole->data, at->whole->len, 0, NULL);
   const char *type = "refused";
   const char *message = "Another entry refused the request.";
-  pu_refusal_t r = { .status = at->status, .outcome = PU_UNKNOWN };
+  pu_refusal_t r = { .status = at->status, .outcome = PU_RUN_OUTCOME_UNKNOWN };
 
   json_unpack (root, "{s:{s:s, s:s}}", "error", "type", &type, "message",
                &message);
@@ -411,7 +416,7 @@
 
   if (!at->answer.foreign && at->answer.not_run)
     {
-      pu_exchange_again (x, PU_ROUTER_FAIL_NOT_RUN);
+      pu_exchange_retry (x, PU_ROUTER_FAIL_NOT_RUN);
     }
   else if (not_stream && !at->answer.foreign)
     {
@@ -446,7 +451,7 @@
 failure_forward (pu_exchange_t *x)
 {
   static const pu_refusal_t failed
-      = { STATUS_BAD_GATEWAY, "failed", PU_UNKNOWN, 0 };
+      = { STATUS_BAD_GATEWAY, "failed", PU_RUN_OUTCOME_UNKNOWN, 0 };
 
   if (!status_means_not_run (x->at.status))
     {
@@ -477,7 +482,7 @@
 partial_event_flush (pu_exchange_t *x)
 {
   if (x->at.events != NULL)
-    pu_events_flush (x->at.events);
+    pu_event_filter_flush (x->at.events);
 }
 
 /* What the complete response of a backend server means for its request.  */
@@ -495,7 +500,7 @@
 static response_class_t
 response_classify (const pu_exchange_t *x)
 {
-  const pu_answer_t *a = &x->at.answer;
+  const pu_response_class_t *a = &x->at.answer;
 
   if (a->foreign)
     return RESPONSE_BROKEN;
@@ -553,26 +558,26 @@
       return;
     case RESPONSE_REPLACED:
       pu_server_mark_replaced (x->at.server);
-      pu_exchange_again (x, PU_ROUTER_FAIL_NOT_RUN);
+      pu_exchange_retry (x, PU_ROUTER_FAIL_NOT_RUN);
       return;
     case RESPONSE_ABSENT:
       pu_server_mark_absent (x->at.server, x->q.model,
                              now_of (x) + ABSENT_COPY_MS);
-      pu_exchange_again (x, PU_ROUTER_FAIL_ABSENT);
+      pu_exchange_retry (x, PU_ROUTER_FAIL_ABSENT);
       return;
     case RESPONSE_NOT_RUN:
       if (!is_unloading_copy (x))
         {
-          pu_exchange_again (x, PU_ROUTER_FAIL_NOT_RUN);
+          pu_exchange_retry (x, PU_ROUTER_FAIL_NOT_RUN);
           return;
         }
       pu_server_mark_absent (x->at.server, x->q.model,
                              now_of (x) + ABSENT_COPY_MS);
-      pu_exchange_again (x, PU_ROUTER_FAIL_ABSENT);
+      pu_exchange_retry (x, PU_ROUTER_FAIL_ABSENT);
       return;
     case RESPONSE_RETRY:
       failure_save (x);
-      pu_exchange_again (x, PU_ROUTER_FAIL_ERROR);
+      pu_exchange_retry (x, PU_ROUTER_FAIL_ERROR);
       return;
     case RESPONSE_FAILED:
       failure_forward (x);
@@ -587,7 +592,7 @@
 static void
 response_complete (pu_exchange_t *x)
 {
-  if (pu_entry_has_own_front (x->en))
+  if (pu_entry_uses_builtin_frontend (x->en))
     {
       own_complete (x);
     }
@@ -603,8 +608,8 @@
 static void
 response_closed (pu_exchange_t *x)
 {
-  if (!pu_entry_has_own_front (x->en)
-      && (x->at.events == NULL || !pu_events_has_partial (x->at.events)))
+  if (!pu_entry_uses_builtin_frontend (x->en)
+      && (x->at.events == NULL || !pu_event_filter_has_partial (x->at.events)))
     {
       front_complete (x);
     }
@@ -617,9 +622,9 @@
 static void
 connect_failed (pu_exchange_t *x)
 {
-  if (x->at.server != NULL && pu_entry_has_own_front (x->en))
+  if (x->at.server != NULL && pu_entry_uses_builtin_frontend (x->en))
     pu_server_probe (x->at.server);
-  pu_exchange_again (x, PU_ROUTER_FAIL_CONNECT);
+  pu_exchange_retry (x, PU_ROUTER_FAIL_CONNECT);
 }
 
 static void
@@ -666,25 +671,25 @@
 /* --- sending --- */
 
 static void
-head_fill (const pu_exchange_t *x, const pu_server_t *s, pu_head_t *h)
+head_fill (const pu_exchange_t *x, const pu_server_t *s, pu_header_list_t *h)
 {
-  const pu_front_t *front = &x->en->front;
+  const pu_frontend_t *front = &x->en->front;
   guint64 now = now_of (x);
-  pu_attempt_facts_t facts
+  pu_attempt_params_t facts
       = { .request = &x->q,
           .server = s != NULL ? s->name : "",
           .left_ms = x->q.deadline > now ? x->q.deadline - now : 1,
           .after = x->last_event };
 
-  pu_head_init (h);
+  pu_header_list_init (h);
   for (guint i = 0; i + 1 < x->q.headers->len; i += 2)
     {
-      pu_head_add (h, g_ptr_array_index (x->q.headers, i),
-                   g_ptr_array_index (x->q.headers, i + 1));
+      pu_header_list_add (h, g_ptr_array_index (x->q.headers, i),
+                          g_ptr_array_index (x->q.headers, i + 1));
     }
-  if (pu_entry_has_own_front (x->en))
+  if (pu_entry_uses_builtin_frontend (x->en))
     {
-      pu_own_head (x, h);
+      pu_builtin_request_headers (x, h);
     }
   else
     {
@@ -697,7 +702,7 @@
 {
   guint64 now = now_of (x);
   guint64 left = x->q.deadline > now ? x->q.deadline - now : 1;
-  guint64 limit = MAX (x->en->o.progress_ms,
+  guint64 limit = MAX (x->en->o.stream_progress_timeout_ms,
                        (guint64)x->predicted_ms * HEAD_TIMEOUT_FACTOR);
 
   /* Where the request can't be retried, an earlier timeout gains nothing.  */
@@ -708,7 +713,7 @@
 
 static bool
 call_start (pu_exchange_t *x, const char *address, const char *target,
-            const pu_head_t *h)
+            const pu_header_list_t *h)
 {
   bool has_body = g_bytes_get_size (x->q.body) > 0;
   GBytes *body = x->sent.tokens > 0 ? pu_exchange_resume_body (x)
@@ -726,7 +731,7 @@
              the front's word that counts.  */
           .fresh = !x->q.repeatable && !x->q.here,
           .first_byte_timeout_ms = first_byte_timeout_ms (x),
-          .progress_timeout_ms = x->en->o.progress_ms,
+          .progress_timeout_ms = x->en->o.stream_progress_timeout_ms,
           .events = { on_head, on_body, on_end },
           .data = x };
 
@@ -735,7 +740,7 @@
   if (x->at.call == NULL)
     return false;
   x->at.sent_at = now_of (x);
-  x->phase = PU_X_RUNNING;
+  x->phase = PU_EXCHANGE_RUNNING;
   x->attempts++;
   return true;
 }
@@ -755,20 +760,20 @@
     }
   pu_suspects_started (suspects, x->number, x->q.fingerprint, s->number,
                        s->incarnation, now_of (x));
-  x->at.noted = true;
+  x->at.suspect_tracked = true;
 }
 
 bool
 pu_attempt_start (pu_exchange_t *x, pu_server_t *s)
 {
-  pu_head_t h;
+  pu_header_list_t h;
   bool good;
 
   head_fill (x, s, &h);
   x->at.server = s;
   x->at.incarnation = s->incarnation;
   good = call_start (x, s->address, x->q.target, &h);
-  pu_head_clear (&h);
+  pu_header_list_clear (&h);
   if (!good)
     return false;
   suspects_note_start (x, s);
@@ -783,18 +788,18 @@
   char *target = x->q.plain ? g_strconcat ("/services/", x->q.service,
                                            x->q.target, NULL)
                             : g_strdup (x->q.target);
-  pu_head_t h;
+  pu_header_list_t h;
   bool good;
 
   head_fill (x, NULL, &h);
-  pu_head_add (&h, "X-Relay-Hop", x->hops == 0 ? "1" : "2");
-  pu_head_add (&h, "X-Relay-Key", x->en->peer_key);
+  pu_header_list_add (&h, "X-Relay-Hop", x->hops == 0 ? "1" : "2");
+  pu_header_list_add (&h, "X-Relay-Key", x->en->peer_key);
   if (!x->q.plain)
-    pu_head_add (&h, "X-Service", x->q.service);
+    pu_header_list_add (&h, "X-Service", x->q.service);
   x->at.entry = g_strdup (to->name);
   pu_trace_relayed (x, to->name);
   good = call_start (x, to->address, target, &h);
-  pu_head_clear (&h);
+  pu_header_list_clear (&h);
   g_free (target);
   if (!good)
     pu_attempt_clear (x);
--- a/libplantainusher/entry/claim.c
+++ b/libplantainusher/entry/claim.c
@@ -37,31 +37,33 @@
 }
 
 static void
-begin_reject (pu_exchange_t *x, pu_once_begin_t why)
+begin_reject (pu_exchange_t *x, pu_once_begin_result_t why)
 {
-  static const pu_refusal_t too_old = { 410, "key_too_old", PU_NOT_RUN, 0 };
+  static const pu_refusal_t too_old
+      = { 410, "key_too_old", PU_RUN_OUTCOME_NOT_RUN, 0 };
   static const pu_refusal_t bad_key
-      = { 400, "invalid_request", PU_NOT_RUN, 0 };
-  static const pu_refusal_t key_reused = { 422, "key_reused", PU_NOT_RUN, 0 };
+      = { 400, "invalid_request", PU_RUN_OUTCOME_NOT_RUN, 0 };
+  static const pu_refusal_t key_reused
+      = { 422, "key_reused", PU_RUN_OUTCOME_NOT_RUN, 0 };
   static const pu_refusal_t overloaded
-      = { 503, "overloaded", PU_NOT_RUN, 1000 };
+      = { 503, "overloaded", PU_RUN_OUTCOME_NOT_RUN, 1000 };
 
   switch (why)
     {
-    case PU_ONCE_ACCEPTED:
+    case PU_ONCE_BEGIN_ACCEPTED:
       break;
-    case PU_ONCE_TOO_OLD:
+    case PU_ONCE_BEGIN_KEY_EXPIRED:
       pu_exchange_fail (x, &too_old, "The Idempotency-Key is too old.");
       break;
-    case PU_ONCE_BAD_KEY:
+    case PU_ONCE_BEGIN_INVALID_KEY:
       pu_exchange_fail (x, &bad_key,
                         "The Idempotency-Key is empty or too long.");
       break;
-    case PU_ONCE_KEY_MISMATCH:
+    case PU_ONCE_BEGIN_KEY_REUSED:
       pu_exchange_fail (x, &key_reused,
                         "The Idempotency-Key was used for another request.");
       break;
-    case PU_ONCE_FULL:
+    case PU_ONCE_BEGIN_OVERLOADED:
       pu_exchange_fail (
           x, &overloaded,
           "Too many at-most-once calls are in progress at this entry.");
@@ -73,13 +75,13 @@
 pu_claim_begin (pu_exchange_t *x)
 {
   pu_entry_t *en = x->en;
-  pu_once_begin_t begun;
+  pu_once_begin_result_t begun;
 
-  x->phase = PU_X_CLAIMING;
+  x->phase = PU_EXCHANGE_CLAIMING;
   begun = pu_once_begin (en->once, x->number, x->q.service, x->key,
-                         call_fingerprint (x), pu_once_key_wall (x->key),
+                         call_fingerprint (x), pu_once_key_time_ms (x->key),
                          wall_now (), x->window_ms, loop_now (en));
-  if (begun != PU_ONCE_ACCEPTED)
+  if (begun != PU_ONCE_BEGIN_ACCEPTED)
     {
       begin_reject (x, begun);
     }
@@ -122,38 +124,40 @@
          && c->owner_incarnation == en->o.hooks.incarnation (en->o.hooks.data);
 }
 
-static pu_once_claimed_t
+static pu_once_claim_result_t
 seen_claim_result (const proposal_t *proposal, const pu_claim_record *c)
 {
   if (c == NULL)
-    return PU_ONCE_REFUSED;
+    return PU_ONCE_CLAIM_REFUSED;
   if (is_own_claim (proposal, c))
-    return PU_ONCE_CLOSED;
-  return c->phase == PU_CLAIM_RAN ? PU_ONCE_KEPT : PU_ONCE_LOST;
+    return PU_ONCE_CLAIM_ALREADY_CLOSED;
+  return c->phase == PU_CLAIM_RAN ? PU_ONCE_CLAIM_COMPLETED
+                                  : PU_ONCE_CLAIM_OWNER_LOST;
 }
 
-static pu_once_claimed_t
+static pu_once_claim_result_t
 claim_result (const proposal_t *proposal, const pu_reply *r,
               const pu_error_t *e)
 {
   if (r == NULL)
-    return e->kind == PU_ERROR_TIMEOUT ? PU_ONCE_TIMEOUT : PU_ONCE_REFUSED;
+    return e->kind == PU_ERROR_TIMEOUT ? PU_ONCE_CLAIM_TIMED_OUT
+                                       : PU_ONCE_CLAIM_REFUSED;
   if (pu_break_active (PU_BREAK_CLAIM_AGAIN))
-    return PU_ONCE_GRANTED;
+    return PU_ONCE_CLAIM_GRANTED;
   switch (r->outcome)
     {
     case PU_OUTCOME_DONE:
-      return PU_ONCE_GRANTED;
+      return PU_ONCE_CLAIM_GRANTED;
     case PU_OUTCOME_SEEN:
       return seen_claim_result (proposal, r->claim);
     case PU_OUTCOME_CONFLICT:
-      return PU_ONCE_MISMATCH;
+      return PU_ONCE_CLAIM_KEY_REUSED;
     case PU_OUTCOME_BUSY:
-      return PU_ONCE_OPEN;
+      return PU_ONCE_CLAIM_IN_PROGRESS;
     case PU_OUTCOME_REFUSED:
-      return PU_ONCE_REFUSED;
+      return PU_ONCE_CLAIM_REFUSED;
     }
-  return PU_ONCE_REFUSED;
+  return PU_ONCE_CLAIM_REFUSED;
 }
 
 static void
@@ -161,21 +165,21 @@
 {
   proposal_t *proposal = data;
   pu_entry_t *en = proposal->en;
-  pu_once_claimed_t claimed = claim_result (proposal, r, e);
+  pu_once_claim_result_t claimed = claim_result (proposal, r, e);
   pu_once_result_t result = { .content_type = "" };
 
-  if (claimed == PU_ONCE_KEPT)
+  if (claimed == PU_ONCE_CLAIM_COMPLETED)
     {
       result = (pu_once_result_t){ r->claim->status, r->claim->content_type,
                                    r->claim->result.result_val,
                                    r->claim->result.result_len };
     }
-  pu_once_claimed (en->once, proposal->handle, claimed,
-                   r != NULL ? r->position : 0,
-                   claimed == PU_ONCE_KEPT ? &result : NULL, loop_now (en));
+  pu_once_claimed (
+      en->once, proposal->handle, claimed, r != NULL ? r->position : 0,
+      claimed == PU_ONCE_CLAIM_COMPLETED ? &result : NULL, loop_now (en));
   proposal_end (proposal);
   pu_claim_run_actions (en);
-  pu_entry_check (en);
+  pu_entry_check_stopped (en);
 }
 
 static void
@@ -190,7 +194,7 @@
   pu_once_recorded (en->once, proposal->handle, r != NULL, loop_now (en));
   proposal_end (proposal);
   pu_claim_run_actions (en);
-  pu_entry_check (en);
+  pu_entry_check_stopped (en);
 }
 
 /* --- actions --- */
@@ -209,8 +213,8 @@
   claim->attempt = a->attempt;
   claim->wall = wall_now ();
   claim->window_ms = a->window_ms;
-  en->o.hooks.propose (en->o.hooks.data, &c, en->o.propose_ms, on_claimed,
-                       proposal_new (en, a));
+  en->o.hooks.propose (en->o.hooks.data, &c, en->o.log_proposal_timeout_ms,
+                       on_claimed, proposal_new (en, a));
 }
 
 static pu_claim_phase
@@ -218,11 +222,11 @@
 {
   switch (outcome)
     {
-    case PU_ONCE_RAN:
+    case PU_ONCE_OUTCOME_RAN:
       return PU_CLAIM_RAN;
-    case PU_ONCE_NOT_RUN:
+    case PU_ONCE_OUTCOME_NOT_RUN:
       return PU_CLAIM_NOT_RUN;
-    case PU_ONCE_UNKNOWN:
+    case PU_ONCE_OUTCOME_UNKNOWN:
       return PU_CLAIM_UNKNOWN;
     }
   return PU_CLAIM_UNKNOWN;
@@ -239,15 +243,15 @@
   done->position = a->position;
   done->phase = claim_phase (a->outcome);
   done->content_type = "";
-  if (a->outcome == PU_ONCE_RAN)
+  if (a->outcome == PU_ONCE_OUTCOME_RAN)
     {
       done->status = a->result.status;
       done->content_type = (char *)a->result.content_type;
       done->result.result_val = (char *)a->result.body;
       done->result.result_len = (u_int)a->result.len;
     }
-  en->o.hooks.propose (en->o.hooks.data, &c, en->o.propose_ms, on_recorded,
-                       proposal_new (en, a));
+  en->o.hooks.propose (en->o.hooks.data, &c, en->o.log_proposal_timeout_ms,
+                       on_recorded, proposal_new (en, a));
 }
 
 /* Returns one of the exchanges that wait for the key; its request is sent for
@@ -259,7 +263,7 @@
     {
       pu_exchange_t *x = l->data;
 
-      if (x->once && x->phase == PU_X_CLAIMING && x->claim == 0
+      if (x->once && x->phase == PU_EXCHANGE_CLAIMING && x->claim == 0
           && strcmp (x->key, a->key) == 0
           && strcmp (x->q.service, a->service) == 0)
         return x;
@@ -275,7 +279,7 @@
   /* All callers have disconnected before the request was sent.  */
   if (x == NULL)
     {
-      pu_once_finished (en->once, a->handle, PU_ONCE_NOT_RUN, NULL,
+      pu_once_finished (en->once, a->handle, PU_ONCE_OUTCOME_NOT_RUN, NULL,
                         loop_now (en));
       return;
     }
@@ -301,10 +305,14 @@
 static void
 answer_send (pu_exchange_t *x, const pu_once_action_t *a)
 {
-  static const pu_refusal_t running = { 409, "running", PU_UNKNOWN, 1000 };
-  static const pu_refusal_t key_reused = { 422, "key_reused", PU_NOT_RUN, 0 };
-  static const pu_refusal_t unknown = { 502, "unknown", PU_UNKNOWN, 0 };
-  static const pu_refusal_t not_run = { 503, "not_run", PU_NOT_RUN, 1000 };
+  static const pu_refusal_t running
+      = { 409, "running", PU_RUN_OUTCOME_UNKNOWN, 1000 };
+  static const pu_refusal_t key_reused
+      = { 422, "key_reused", PU_RUN_OUTCOME_NOT_RUN, 0 };
+  static const pu_refusal_t unknown
+      = { 502, "unknown", PU_RUN_OUTCOME_UNKNOWN, 0 };
+  static const pu_refusal_t not_run
+      = { 503, "not_run", PU_RUN_OUTCOME_NOT_RUN, 1000 };
 
   switch (a->answer)
     {
@@ -312,19 +320,19 @@
       result_send (x, &a->result);
       break;
     case PU_ONCE_ANSWER_RUNNING:
-      pu_answer_error (x->http, x->q.id, &running,
-                       "A request with this Idempotency-Key is running.");
+      pu_respond_error (x->http, x->q.id, &running,
+                        "A request with this Idempotency-Key is running.");
       break;
     case PU_ONCE_ANSWER_CONFLICT:
-      pu_answer_error (x->http, x->q.id, &key_reused,
-                       "The Idempotency-Key was used for another request.");
+      pu_respond_error (x->http, x->q.id, &key_reused,
+                        "The Idempotency-Key was used for another request.");
       break;
     case PU_ONCE_ANSWER_UNKNOWN:
-      pu_answer_error (x->http, x->q.id, &unknown,
-                       "The request may have run; it will not be run again.");
+      pu_respond_error (x->http, x->q.id, &unknown,
+                        "The request may have run; it will not be run again.");
       break;
     case PU_ONCE_ANSWER_NOT_RUN:
-      pu_answer_error (
+      pu_respond_error (
           x->http, x->q.id, &not_run,
           "The request did not run; retry it with the same Idempotency-Key.");
       break;
@@ -343,7 +351,7 @@
   x->http = NULL;
   /* The request that was sent runs on, so that its outcome can be recorded. */
   if (x->claim == 0)
-    pu_exchange_done (x);
+    pu_exchange_finish (x);
 }
 
 void
@@ -358,21 +366,21 @@
     {
       switch (a.type)
         {
-        case PU_ONCE_CLAIM:
+        case PU_ONCE_ACTION_CLAIM:
           claim_propose (en, &a);
           if (pu_break_active (PU_BREAK_CLAIM_EARLY))
             {
-              pu_once_claimed (en->once, a.handle, PU_ONCE_GRANTED, 0, NULL,
-                               loop_now (en));
+              pu_once_claimed (en->once, a.handle, PU_ONCE_CLAIM_GRANTED, 0,
+                               NULL, loop_now (en));
             }
           break;
-        case PU_ONCE_DISPATCH:
+        case PU_ONCE_ACTION_DISPATCH:
           claim_dispatch (en, &a);
           break;
-        case PU_ONCE_RECORD:
+        case PU_ONCE_ACTION_RECORD:
           record_propose (en, &a);
           break;
-        case PU_ONCE_ANSWER:
+        case PU_ONCE_ACTION_ANSWER:
           caller_answer (en, &a);
           break;
         }
@@ -390,8 +398,8 @@
   g_hash_table_remove (en->claims, GUINT_TO_POINTER (handle));
   x->claim = 0;
   pu_once_finished (en->once, handle, outcome, result, loop_now (en));
-  x->phase = PU_X_CLAIMING;
+  x->phase = PU_EXCHANGE_CLAIMING;
   if (x->http == NULL)
-    pu_exchange_done (x);
+    pu_exchange_finish (x);
   pu_claim_run_actions (en);
 }
--- a/libplantainusher/entry/deliver.c
+++ b/libplantainusher/entry/deliver.c
@@ -99,7 +99,7 @@
 static void
 progress_report (pu_exchange_t *x, guint total)
 {
-  if (x->at.noted && !x->at.begun)
+  if (x->at.suspect_tracked && !x->at.begun)
     {
       x->at.begun = true;
       pu_suspects_answered (x->en->suspects, x->number);
@@ -138,14 +138,14 @@
 
   if (x->events > 0)
     {
-      x->pause_ms = MAX (x->pause_ms, (guint)(now - x->event_at));
+      x->pause_ms = MAX (x->pause_ms, (guint)(now - x->last_event_at));
     }
   else
     {
       x->first_ms = (guint)(now - x->q.arrived);
       pu_trace_first_event (x);
     }
-  x->event_at = now;
+  x->last_event_at = now;
 }
 
 void
@@ -153,12 +153,12 @@
 {
   pu_exchange_t *x = data;
 
-  x->last_event = pu_events_last_id (x->at.events);
+  x->last_event = pu_event_filter_last_id (x->at.events);
   if (n > 0)
     {
       pacing_record (x);
       x->events += n;
-      progress_report (x, pu_events_count (x->at.events));
+      progress_report (x, pu_event_filter_count (x->at.events));
     }
   stream_write (x, bytes, len);
 }
@@ -198,7 +198,7 @@
 }
 
 void
-pu_deliver_whole (pu_exchange_t *x)
+pu_deliver_response (pu_exchange_t *x)
 {
   const pu_attempt_t *at = &x->at;
   GArray *headers;
@@ -215,7 +215,7 @@
 }
 
 void
-pu_deliver_kept (pu_exchange_t *x)
+pu_deliver_saved_failure (pu_exchange_t *x)
 {
   GArray *headers = headers_of (x->kept.passed);
 
@@ -227,7 +227,7 @@
 }
 
 void
-pu_deliver_claimed (pu_exchange_t *x)
+pu_deliver_at_most_once (pu_exchange_t *x)
 {
   const pu_attempt_t *at = &x->at;
   pu_once_result_t result = { .status = (guint)at->status,
@@ -235,18 +235,18 @@
                               .body = at->whole->data,
                               .len = at->whole->len };
   static const pu_refusal_t large
-      = { STATUS_BAD_GATEWAY, "too_large", PU_RAN, 0 };
+      = { STATUS_BAD_GATEWAY, "too_large", PU_RUN_OUTCOME_RAN, 0 };
   char *text = NULL;
 
   if (result.content_type == NULL)
     result.content_type = "";
   if (at->whole->len > PU_RESULT_MAX)
     {
-      text = pu_error_text (
+      text = pu_error_json_text (
           &large, "The request ran; its response is too large to store.");
       result = (pu_once_result_t){ STATUS_BAD_GATEWAY, "application/json",
                                    text, strlen (text) };
     }
-  pu_claim_finished (x, PU_ONCE_RAN, &result);
+  pu_claim_finished (x, PU_ONCE_OUTCOME_RAN, &result);
   g_free (text);
 }
--- a/libplantainusher/entry/demand.c
+++ b/libplantainusher/entry/demand.c
@@ -36,14 +36,14 @@
   const pu_entry_t *en = x->en;
   const double *mean;
 
-  if (x->q.sized)
+  if (x->q.has_prefix_tokens)
     return engine_time (x);
   mean = g_hash_table_lookup (en->run_ms, x->q.model);
   return mean == NULL ? FIRST_MS : *mean;
 }
 
 void
-pu_demand_arrived (pu_exchange_t *x)
+pu_demand_report (pu_exchange_t *x)
 {
   pu_entry_t *en = x->en;
   double ms;
@@ -56,7 +56,7 @@
 }
 
 void
-pu_demand_ran (pu_exchange_t *x)
+pu_demand_record_run (pu_exchange_t *x)
 {
   double ms = (double)(uv_now (x->en->o.loop) - x->at.sent_at);
   double *mean;
--- a/libplantainusher/entry/document.c
+++ b/libplantainusher/entry/document.c
@@ -163,7 +163,7 @@
   rows_set (en, d);
   pu_document_unref (old);
   pu_entry_limits_set (en);
-  pu_log_event (PU_ENTRY_PART, "A document is in force.",
+  pu_log_event (PU_ENTRY_LOG_SLICE, "A document is in force.",
                 PU_LOG_NUMBER ("document", en->document_version),
                 PU_LOG_NUMBER ("routes", pu_document_routes (d)),
                 PU_LOG_NUMBER ("services", pu_document_services (d)),
@@ -177,7 +177,7 @@
   const pu_finding_t *first = pu_findings_get (r->findings, 0);
 
   en->refused_version = r->version;
-  pu_log_warn (PU_ENTRY_PART,
+  pu_log_warn (PU_ENTRY_LOG_SLICE,
                "Document %" G_GUINT64_FORMAT
                " can't be read, the one before stays in force: '%s' %s",
                r->version, first->path, first->message);
@@ -248,7 +248,7 @@
   if (en->freed)
     {
       reading_free (r);
-      pu_entry_check (en);
+      pu_entry_check_stopped (en);
       return;
     }
   reading_end (en, r);
--- a/libplantainusher/entry/entries.c
+++ b/libplantainusher/entry/entries.c
@@ -108,7 +108,7 @@
                    const char *service)
 {
   static const pu_refusal_t refusal
-      = { 404, "service_not_found", PU_NOT_RUN, 0 };
+      = { 404, "service_not_found", PU_RUN_OUTCOME_NOT_RUN, 0 };
   char *similar = en->document != NULL
                       ? pu_document_near_services (en->document, service)
                       : g_strdup ("");
@@ -116,7 +116,7 @@
       = g_strdup_printf ("Service '%s' is not declared%s%s.", service,
                          *similar != 0 ? "; similar names: " : "", similar);
 
-  pu_answer_error (http, NULL, &refusal, message);
+  pu_respond_error (http, NULL, &refusal, message);
   g_free (message);
   g_free (similar);
 }
@@ -135,11 +135,11 @@
     }
   else
     {
-      pu_answer_json (http, 200,
-                      json_pack ("{s:s, s:o, s:i}", "service", name, "entries",
-                                 entries_json (en, name, region, zone),
-                                 "ttl_s",
-                                 (int)pu_directory_ttl (en->directory)));
+      pu_respond_json (
+          http, 200,
+          json_pack ("{s:s, s:o, s:i}", "service", name, "entries",
+                     entries_json (en, name, region, zone), "ttl_s",
+                     (int)pu_directory_ttl (en->directory)));
     }
   g_free (service);
   g_free (region);
@@ -169,8 +169,8 @@
 
   for (guint i = 0; i < pu_document_models (en->document); i++)
     json_array_append_new (list, model_json (en, i));
-  pu_answer_json (http, 200,
-                  json_pack ("{s:s, s:o}", "object", "list", "data", list));
+  pu_respond_json (http, 200,
+                   json_pack ("{s:s, s:o}", "object", "list", "data", list));
 }
 
 void
@@ -186,6 +186,6 @@
     {
       status = "leaving";
     }
-  pu_answer_json (http, strcmp (status, "ok") == 0 ? 200 : 503,
-                  json_pack ("{s:s}", "status", status));
+  pu_respond_json (http, strcmp (status, "ok") == 0 ? 200 : 503,
+                   json_pack ("{s:s}", "status", status));
 }
--- a/libplantainusher/entry/entry.c
+++ b/libplantainusher/entry/entry.c
@@ -36,12 +36,12 @@
     .connections_max = CONNECTIONS_MAX,
     .requests_max = REQUESTS_MAX,
     .connect_ms = CONNECT_MS,
-    .progress_ms = PROGRESS_MS,
-    .probe_ms = PROBE_MS,
-    .settle_ms = SETTLE_MS,
+    .stream_progress_timeout_ms = PROGRESS_MS,
+    .health_probe_timeout_ms = PROBE_MS,
+    .strike_settle_ms = SETTLE_MS,
     .idle_ms = IDLE_MS,
     .report_ms = REPORT_MS,
-    .propose_ms = PROPOSE_MS,
+    .log_proposal_timeout_ms = PROPOSE_MS,
     .loads_ms = PU_ENTRY_LOADS_INTERVAL_MIN_MS,
     .ttl_s = TTL_S,
   };
@@ -52,12 +52,13 @@
 static bool
 is_method (pu_http_request_t *http, const char *method)
 {
-  static const pu_refusal_t refusal = { 405, "method", PU_NOT_RUN, 0 };
+  static const pu_refusal_t refusal
+      = { 405, "method", PU_RUN_OUTCOME_NOT_RUN, 0 };
 
   if (strcmp (pu_http_request_method (http), method) == 0)
     return true;
-  pu_answer_error (http, pu_http_request_header (http, "x-request-id"),
-                   &refusal, "This path takes another method.");
+  pu_respond_error (http, pu_http_request_header (http, "x-request-id"),
+                    &refusal, "This path takes another method.");
   return false;
 }
 
@@ -65,13 +66,13 @@
 is_ready (pu_entry_t *en, pu_http_request_t *http, bool needs_document)
 {
   static const pu_refusal_t refusal
-      = { 503, "starting", PU_NOT_RUN, STARTING_RETRY_MS };
+      = { 503, "starting", PU_RUN_OUTCOME_NOT_RUN, STARTING_RETRY_MS };
 
   if (en->o.hooks.ready (en->o.hooks.data)
       && (en->document != NULL || !needs_document))
     return true;
-  pu_answer_error (http, pu_http_request_header (http, "x-request-id"),
-                   &refusal, "This entry has no document yet.");
+  pu_respond_error (http, pu_http_request_header (http, "x-request-id"),
+                    &refusal, "This entry has no document yet.");
   return false;
 }
 
@@ -85,10 +86,11 @@
 static void
 not_found (pu_http_request_t *http)
 {
-  static const pu_refusal_t refusal = { 404, "not_found", PU_NOT_RUN, 0 };
+  static const pu_refusal_t refusal
+      = { 404, "not_found", PU_RUN_OUTCOME_NOT_RUN, 0 };
 
-  pu_answer_error (http, pu_http_request_header (http, "x-request-id"),
-                   &refusal, "No such path.");
+  pu_respond_error (http, pu_http_request_header (http, "x-request-id"),
+                    &refusal, "No such path.");
 }
 
 static void
@@ -139,7 +141,7 @@
 {
   pu_entry_t *en = data;
 
-  if (pu_entry_has_own_front (en))
+  if (pu_entry_uses_builtin_frontend (en))
     {
       on_own_request (en, http);
     }
@@ -161,7 +163,7 @@
       pu_exchange_t *x = g_hash_table_lookup (en->tickets, &d->ticket);
 
       if (x != NULL)
-        pu_exchange_decide (x, d);
+        pu_exchange_apply_decision (x, d);
     }
 }
 
@@ -183,7 +185,7 @@
 }
 
 void
-pu_router_due (pu_entry_t *en)
+pu_entry_schedule_router (pu_entry_t *en)
 {
   if (!en->freed)
     uv_timer_start (&en->wake, on_wake, 0, 0);
@@ -207,7 +209,7 @@
       en->flushed = now;
       pu_load_forward_tick (en, now);
     }
-  pu_entry_check (en);
+  pu_entry_check_stopped (en);
 }
 
 /* --- life --- */
@@ -233,7 +235,7 @@
   directory.ttl_s = en->o.ttl_s;
   en->directory = pu_directory_new (&directory);
   pu_once_options_init (&once);
-  once.retry_ms = MIN (once.retry_ms, en->o.propose_ms);
+  once.retry_ms = MIN (once.retry_ms, en->o.log_proposal_timeout_ms);
   en->once = pu_once_new (&once);
   pu_suspects_options_init (&suspects);
   en->suspects = pu_suspects_new (&suspects);
@@ -257,7 +259,7 @@
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, pu_server_free);
   en->waiting = g_hash_table_new (NULL, NULL);
   en->others = g_ptr_array_new_with_free_func (g_free);
-  en->others_view = G_MAXUINT64;
+  en->other_entries_view = G_MAXUINT64;
   en->reporters = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
                                          pu_reporter_free);
   en->struck
@@ -353,10 +355,11 @@
 pu_entry_new (const pu_entry_options_t *o, pu_error_t *e)
 {
   pu_entry_t *en = g_new0 (pu_entry_t, 1);
-  pu_http_client_options_t client = { .loop = o->loop,
-                                      .connect_timeout_ms = o->connect_ms,
-                                      .progress_timeout_ms = o->progress_ms,
-                                      .idle_ms = o->idle_ms };
+  pu_http_client_options_t client
+      = { .loop = o->loop,
+          .connect_timeout_ms = o->connect_ms,
+          .progress_timeout_ms = o->stream_progress_timeout_ms,
+          .idle_ms = o->idle_ms };
 
   en->o = *o;
   if (o->front != NULL)
@@ -455,7 +458,7 @@
 }
 
 void
-pu_entry_check (pu_entry_t *en)
+pu_entry_check_stopped (pu_entry_t *en)
 {
   void (*cb) (void *data) = en->stop_cb;
 
@@ -465,7 +468,7 @@
       return;
     }
   if (!en->stopping || !en->server_stopped || cb == NULL
-      || pu_entry_open (en) > 0)
+      || pu_entry_in_flight (en) > 0)
     return;
   en->stop_cb = NULL;
   cb (en->stop_data);
@@ -526,9 +529,9 @@
 }
 
 guint
-pu_entry_open (const pu_entry_t *en)
+pu_entry_in_flight (const pu_entry_t *en)
 {
-  return en->open.length + pu_once_busy (en->once);
+  return en->open.length + pu_once_count_active (en->once);
 }
 
 static json_t *
@@ -563,7 +566,7 @@
       (int)pu_http_server_connections (en->server), "backend_connections",
       (int)pu_http_client_open (en->client), "idle_connections",
       (int)pu_http_client_idle (en->client), "claims_at_work",
-      (int)pu_once_busy (en->once), "suspects_running",
+      (int)pu_once_count_active (en->once), "suspects_running",
       (int)pu_suspects_in_flight (en->suspects), "bad_announcements",
       (json_int_t)en->invalid_reports, "document_version",
       (json_int_t)en->document_version, "reporters", reporters_json (en),
--- a/libplantainusher/entry/entry.h
+++ b/libplantainusher/entry/entry.h
@@ -58,7 +58,7 @@
   /* Whether the view may be served from.  */
   bool (*ready) (void *data);
   /* Whether what is renewed here reaches the leader.  */
-  bool (*in_touch) (void *data);
+  bool (*leader_reachable) (void *data);
   /* The incarnation of this daemon, owner of its claims.  */
   guint64 (*incarnation) (void *data);
   /* As pu_agent_propose: FN exactly once, never from within.  */
@@ -86,10 +86,10 @@
 /* Deliberate faults for the tests that show the checks can fail.  */
 typedef enum
 {
-  PU_ENTRY_BREAK_REPLAY = 1,  /* pass a replay on from its start */
-  PU_ENTRY_BREAK_REPEAT = 2,  /* try again what may run once */
-  PU_ENTRY_BREAK_OUTCOME = 4, /* tell every failure as not run */
-  PU_ENTRY_BREAK_WHOLE = 8    /* end a truncated stream as if whole */
+  PU_ENTRY_BREAK_FORWARD_REPLAY = 1, /* pass a replay on from its start */
+  PU_ENTRY_BREAK_RETRY_NON_REPEATABLE = 2, /* try again what may run once */
+  PU_ENTRY_BREAK_REPORT_NOT_RUN = 4,       /* tell every failure as not run */
+  PU_ENTRY_BREAK_END_TRUNCATED = 8 /* end a truncated stream as if whole */
 } pu_entry_break_t;
 
 typedef struct
@@ -107,24 +107,26 @@
   guint n_backend_keys;
   pu_counters_t *counters; /* may be NULL */
   guint32 seed;
-  gsize header_max;        /* bytes; 0 here and below: the default */
-  gsize body_max;          /* 8 MiB; also the longest whole answer */
-  gsize announcement_max;  /* 1 MiB */
-  guint connections_max;   /* 4096 */
-  guint requests_max;      /* 4096: in progress at once */
-  guint connect_ms;        /* 1000 */
-  guint progress_ms;       /* 10000: a stream without a byte is silent */
-  guint settle_ms;         /* 1000: a strike is known everywhere after this */
-  guint probe_ms;          /* 1000: second opinion on a new connection */
-  guint idle_ms;           /* 4000: life of an idle pooled connection */
-  guint report_ms;         /* 1000: asked of backend servers */
-  guint propose_ms;        /* 2000: a claim that takes longer is refused */
-  guint loads_ms;          /* 1000: least time between two messages of loads to
-                              another entry */
-  bool loads_to_all;       /* not only to entries of the same services */
-  guint ttl_s;             /* 10: how long callers keep an answer */
-  guint test_breaks;       /* pu_entry_break_t; 0 outside tests */
-  const pu_front_t *front; /* copied; NULL: the entry's own */
+  gsize header_max;                 /* bytes; 0 here and below: the default */
+  gsize body_max;                   /* 8 MiB; also the longest whole answer */
+  gsize announcement_max;           /* 1 MiB */
+  guint connections_max;            /* 4096 */
+  guint requests_max;               /* 4096: in progress at once */
+  guint connect_ms;                 /* 1000 */
+  guint stream_progress_timeout_ms; /* 10000: a stream without a byte is silent
+                                     */
+  guint strike_settle_ms; /* 1000: a strike is known everywhere after this */
+  guint health_probe_timeout_ms; /* 1000: second opinion on a new connection */
+  guint idle_ms;                 /* 4000: life of an idle pooled connection */
+  guint report_ms;               /* 1000: asked of backend servers */
+  guint
+      log_proposal_timeout_ms; /* 2000: a claim that takes longer is refused */
+  guint loads_ms; /* 1000: least time between two messages of loads to
+                     another entry */
+  bool loads_to_all_entries;  /* not only to entries of the same services */
+  guint ttl_s;                /* 10: how long callers keep an answer */
+  guint test_breaks;          /* pu_entry_break_t; 0 outside tests */
+  const pu_frontend_t *front; /* copied; NULL: the entry's own */
   pu_entry_hooks_t hooks;
 } pu_entry_options_t;
 
@@ -209,8 +211,8 @@
 
 int pu_entry_port (const pu_entry_t *en);
 
-/* pu_entry_open - requests in progress and outcomes not yet recorded.  */
-guint pu_entry_open (const pu_entry_t *en);
+/* pu_entry_in_flight - requests in progress and outcomes not yet recorded.  */
+guint pu_entry_in_flight (const pu_entry_t *en);
 
 /* pu_entry_dump - a new object with the requests, the router, the backend
    servers that report here and the pools.  The caller owns it.  */
--- a/libplantainusher/entry/entry_private.h
+++ b/libplantainusher/entry/entry_private.h
@@ -19,7 +19,7 @@
 
 G_BEGIN_DECLS
 
-#define PU_ENTRY_PART "entry"
+#define PU_ENTRY_LOG_SLICE "entry"
 
 /* A request is relayed once to an entry of its service, and once more when it
    became a suspect there: suspects of a model run at one entry alone.  */
@@ -82,11 +82,11 @@
 
 typedef enum
 {
-  PU_X_WAITING,  /* for its like, or for a suspect to leave a copy */
-  PU_X_CLAIMING, /* its key is with the log */
-  PU_X_QUEUED,   /* in the router */
-  PU_X_RUNNING,  /* at a backend server or another entry */
-  PU_X_HELD,     /* its attempt broke: the backend server is probed */
+  PU_EXCHANGE_WAITING,  /* for its like, or for a suspect to leave a copy */
+  PU_EXCHANGE_CLAIMING, /* its key is with the log */
+  PU_EXCHANGE_QUEUED,   /* in the router */
+  PU_EXCHANGE_RUNNING,  /* at a backend server or another entry */
+  PU_EXCHANGE_PROBING,  /* its attempt broke: the backend server is probed */
 } pu_x_phase_t;
 
 /* One attempt at a backend server or another entry.  */
@@ -98,21 +98,21 @@
   guint64 sent_at;     /* loop time */
   char *entry;         /* name of the other entry */
   int status;
-  pu_answer_t answer;
-  GPtrArray *passed; /* names and values of its headers that are passed on;
-                        NULL: none are */
-  bool streaming;    /* the answer is a stream of events */
-  bool answered;     /* the head came */
-  bool begun;        /* a token came: the suspects' table knows */
-  bool counted;      /* the router knows of the first token */
-  bool noted;        /* with the suspects' table */
-  bool apart;        /* as a suspect */
+  pu_response_class_t answer;
+  GPtrArray *passed;    /* names and values of its headers that are passed on;
+                           NULL: none are */
+  bool streaming;       /* the answer is a stream of events */
+  bool answered;        /* the head came */
+  bool begun;           /* a token came: the suspects' table knows */
+  bool counted;         /* the router knows of the first token */
+  bool suspect_tracked; /* with the suspects' table */
+  bool apart;           /* as a suspect */
   char *content_type;
   char *outcome;               /* X-Outcome of another entry's answer */
   char *retry_after;           /* of the same */
   GByteArray *whole;           /* body of an answer that is not a stream */
-  pu_stream_t *stream;         /* PU_ANSWER_TOKENS */
-  pu_events_t *events;         /* PU_ANSWER_EVENTS */
+  pu_stream_t *stream;         /* PU_RESPONSE_TOKENS */
+  pu_event_filter_t *events;   /* PU_RESPONSE_EVENTS */
   bool overflow;               /* the whole answer is too large */
   bool done;                   /* the stream\'s end mark came */
   bool broken;                 /* the stream can\'t go on */
@@ -143,24 +143,25 @@
   bool relayed; /* by another entry */
   guint hops;   /* times that it was relayed */
   pu_x_phase_t phase;
-  guint64 held_since; /* loop time: waits for its like's answer; 0: not yet */
-  guint held_from;    /* number of the backend server */
-  bool no_copy;       /* waits for a suspect to leave one */
-  bool wants;         /* waits for its model to be loaded */
+  guint64 duplicate_wait_since; /* loop time: waits for its like's answer; 0:
+                                   not yet */
+  guint duplicate_wait_server;  /* number of the backend server */
+  bool no_copy;                 /* waits for a suspect to leave one */
+  bool wants;                   /* waits for its model to be loaded */
   pu_ticket_t ticket;
   pu_once_handle_t claim;
   guint attempts;
-  bool offered_anew; /* to the router, after it had tried every copy */
-  GPtrArray *avoid;  /* names of entries that failed */
+  bool offered_again; /* to the router, after it had tried every copy */
+  GPtrArray *avoid;   /* names of entries that failed */
   pu_attempt_t at;
   pu_kept_t kept;
-  pu_sent_t sent;     /* what the caller has got of a stream of tokens */
-  guint64 last_event; /* number of the last event that the caller has got */
-  guint events;       /* that the caller has got from here */
-  guint64 event_at;   /* when the last of them came, loop time */
-  guint first_ms;     /* from the arrival to the first of them */
-  guint pause_ms;     /* the longest between two of them */
-  guint resumed;      /* tokens that the other entry's caller had before */
+  pu_delivered_t sent;   /* what the caller has got of a stream of tokens */
+  guint64 last_event;    /* number of the last event that the caller has got */
+  guint events;          /* that the caller has got from here */
+  guint64 last_event_at; /* when the last of them came, loop time */
+  guint first_ms;        /* from the arrival to the first of them */
+  guint pause_ms;        /* the longest between two of them */
+  guint resumed;         /* tokens that the other entry's caller had before */
   bool head_sent;
   bool may_have_run;
   bool demand_told;
@@ -170,7 +171,7 @@
 struct pu_entry
 {
   pu_entry_options_t o;
-  pu_front_t front; /* the one in the options, else our own */
+  pu_frontend_t front; /* the one in the options, else our own */
   char *name;
   char *region;
   char *zone;
@@ -184,35 +185,35 @@
   pu_suspects_t *suspects;
   pu_document_t *document;
   guint64 document_version;
-  guint64 refused_version; /* of the document that could not be read */
-  pu_reading_t *reading;   /* of the next document; NULL: none is read */
-  guint64 changes;         /* of the view, as taken in */
-  GPtrArray *others;       /* peers' addresses of all other entries */
-  guint64 others_view;     /* of the view's members, as they are in there */
-  GHashTable *servers;     /* name -> pu_server_t */
-  GHashTable *waiting;     /* set of pu_server_t of which something ends with
-                              time */
-  GHashTable *reporters;   /* name -> pu_reporter_t */
-  GHashTable *strikes;     /* &fingerprint -> pu_strike_t */
-  GHashTable *struck;      /* set of &fingerprint, as in the view */
-  GHashTable *rates;       /* service -> double: requests a second */
-  GHashTable *counts;      /* service -> guint in this second */
-  GHashTable *run_ms;      /* model -> double: mean time of a request */
-  GHashTable *claims;      /* once handle -> pu_exchange_t */
-  GHashTable *tickets;     /* &ticket -> pu_exchange_t */
-  GHashTable *numbers;     /* &number -> pu_exchange_t */
-  GQueue open;             /* of pu_exchange_t */
-  GQueue startup;          /* of held_t of startup.c */
-  gsize startup_bytes;     /* of their bodies */
-  GHashTable *listeners;   /* peers' address -> load_receiver_t of spread.c */
-  GHashTable *load_ids;    /* &load_id -> pu_server_t */
-  GHashTable *wants;       /* model -> want_t of wants.c */
+  guint64 refused_version;    /* of the document that could not be read */
+  pu_reading_t *reading;      /* of the next document; NULL: none is read */
+  guint64 changes;            /* of the view, as taken in */
+  GPtrArray *others;          /* peers' addresses of all other entries */
+  guint64 other_entries_view; /* of the view's members, as they are in there */
+  GHashTable *servers;        /* name -> pu_server_t */
+  GHashTable *waiting;   /* set of pu_server_t of which something ends with
+                            time */
+  GHashTable *reporters; /* name -> pu_reporter_t */
+  GHashTable *strikes;   /* &fingerprint -> pu_strike_t */
+  GHashTable *struck;    /* set of &fingerprint, as in the view */
+  GHashTable *rates;     /* service -> double: requests a second */
+  GHashTable *counts;    /* service -> guint in this second */
+  GHashTable *run_ms;    /* model -> double: mean time of a request */
+  GHashTable *claims;    /* once handle -> pu_exchange_t */
+  GHashTable *tickets;   /* &ticket -> pu_exchange_t */
+  GHashTable *numbers;   /* &number -> pu_exchange_t */
+  GQueue open;           /* of pu_exchange_t */
+  GQueue startup;        /* of held_t of startup.c */
+  gsize startup_bytes;   /* of their bodies */
+  GHashTable *listeners; /* peers' address -> load_receiver_t of spread.c */
+  GHashTable *load_ids;  /* &load_id -> pu_server_t */
+  GHashTable *wants;     /* model -> want_t of wants.c */
   uv_timer_t tick;
   uv_timer_t wake; /* the router's next decision */
   guint handles;   /* open */
   guint pending;   /* proposals and readings that will call back */
   guint64 last_number;
-  guint last_server;
+  guint last_server_number;
   guint64 second;               /* loop time of the last rates */
   guint64 flushed;              /* loop time when loads were sent on */
   guint64 receivers_counted_at; /* loop time when the listeners' loads were
@@ -259,17 +260,17 @@
 
 /* --- answer.c: what callers are told --- */
 
-const char *pu_outcome_word (pu_outcome_word_t o);
+const char *pu_run_outcome_name (pu_run_outcome_t o);
 
-/* pu_answer_error - answers HTTP with a refusal; ID may be NULL.  */
-void pu_answer_error (pu_http_request_t *http, const char *id,
-                      const pu_refusal_t *r, const char *message);
+/* pu_respond_error - answers HTTP with a refusal; ID may be NULL.  */
+void pu_respond_error (pu_http_request_t *http, const char *id,
+                       const pu_refusal_t *r, const char *message);
 
-/* pu_answer_json - answers with V, which is consumed.  */
-void pu_answer_json (pu_http_request_t *http, int status, json_t *v);
+/* pu_respond_json - answers with V, which is consumed.  */
+void pu_respond_json (pu_http_request_t *http, int status, json_t *v);
 
-/* pu_error_text - the JSON text of an error; free it with g_free.  */
-char *pu_error_text (const pu_refusal_t *r, const char *message);
+/* pu_error_json_text - the JSON text of an error; free it with g_free.  */
+char *pu_error_json_text (const pu_refusal_t *r, const char *message);
 
 /* --- entries.c, announce.c: paths that take no backend server --- */
 
@@ -305,23 +306,24 @@
 
 void pu_want_free (gpointer want);
 
-/* pu_want_may - whether the model of X can be asked for.  */
-bool pu_want_may (const pu_exchange_t *x);
+/* pu_model_wait_allowed - whether the model of X can be asked for.  */
+bool pu_model_wait_allowed (const pu_exchange_t *x);
 
-/* pu_want_begin - X waits while its model is asked for.  */
-void pu_want_begin (pu_exchange_t *x);
+/* pu_model_wait_begin - X waits while its model is asked for.  */
+void pu_model_wait_begin (pu_exchange_t *x);
 
-/* pu_want_tick - X waits: goes on with it when there is a copy, asks again
-   when it is time.  */
-void pu_want_tick (pu_exchange_t *x, guint64 now);
+/* pu_model_wait_tick - X waits: goes on with it when there is a copy, asks
+   again when it is time.  */
+void pu_model_wait_tick (pu_exchange_t *x, guint64 now);
 
 /* --- demand.c: what the leader hears of demand --- */
 
-/* pu_demand_arrived - X is offered to the router here: tells of it once.  */
-void pu_demand_arrived (pu_exchange_t *x);
+/* pu_demand_report - X is offered to the router here: tells of it once.  */
+void pu_demand_report (pu_exchange_t *x);
 
-/* pu_demand_ran - the answer to X is whole: learns how long one takes.  */
-void pu_demand_ran (pu_exchange_t *x);
+/* pu_demand_record_run - the answer to X is whole: learns how long one takes.
+ */
+void pu_demand_record_run (pu_exchange_t *x);
 
 /* --- spread.c: loads that go on to other entries --- */
 
@@ -422,16 +424,17 @@
 
 void pu_view_sync (pu_entry_t *en);
 
-/* pu_entry_has_own_front - whether callers speak the completions interface. */
+/* pu_entry_uses_builtin_frontend - whether callers speak the completions
+ * interface. */
 static inline bool
-pu_entry_has_own_front (const pu_entry_t *en)
+pu_entry_uses_builtin_frontend (const pu_entry_t *en)
 {
   return en->front.read == NULL;
 }
 
-/* pu_entry_breaks - whether RULE is broken on purpose; tests only.  */
+/* pu_entry_fault_injected - whether RULE is broken on purpose; tests only.  */
 static inline bool
-pu_entry_breaks (const pu_entry_t *en, pu_entry_break_t rule)
+pu_entry_fault_injected (const pu_entry_t *en, pu_entry_break_t rule)
 {
   return (en->o.test_breaks & rule) != 0;
 }
@@ -451,7 +454,7 @@
 
 /* When a caller comes back that is refused for what lasts a moment, ms: by
    then it has asked which entries to use again.  */
-#define PU_BUSY_RETRY_MS 1000
+#define PU_BUSY_RETRY_AFTER_MS 1000
 
 /* The instance stops: what is new, and what can't end in time, is told so.  */
 extern const pu_refusal_t pu_refusal_stopping;
@@ -490,18 +493,20 @@
 void pu_exchange_fail (pu_exchange_t *x, const pu_refusal_t *r,
                        const char *message);
 
-/* pu_exchange_refused - the same for a refusal of the router's.  */
-void pu_exchange_refused (pu_exchange_t *x, const pu_router_decision_t *d);
+/* pu_exchange_fail_refused - the same for a refusal of the router's.  */
+void pu_exchange_fail_refused (pu_exchange_t *x,
+                               const pu_router_decision_t *d);
 
-/* pu_exchange_again - the attempt of X is over without an answer: tries
+/* pu_exchange_retry - the attempt of X is over without an answer: tries
    again, or fails.  */
-void pu_exchange_again (pu_exchange_t *x, pu_router_failure_t failure);
+void pu_exchange_retry (pu_exchange_t *x, pu_router_failure_t failure);
 
-/* pu_exchange_done - X has its answer; it is freed.  */
-void pu_exchange_done (pu_exchange_t *x);
+/* pu_exchange_finish - X has its answer; it is freed.  */
+void pu_exchange_finish (pu_exchange_t *x);
 
-/* pu_exchange_decide - carries out a decision of the router.  */
-void pu_exchange_decide (pu_exchange_t *x, const pu_router_decision_t *d);
+/* pu_exchange_apply_decision - carries out a decision of the router.  */
+void pu_exchange_apply_decision (pu_exchange_t *x,
+                                 const pu_router_decision_t *d);
 
 /* pu_exchanges_tick - deadlines, and suspects that may run now.  */
 void pu_exchanges_tick (pu_entry_t *en, guint64 now);
@@ -511,24 +516,27 @@
    and the document in force allow.  */
 void pu_entry_limits_set (pu_entry_t *en);
 
-/* pu_entry_check - after a request has ended or a callback has come: whether
-   a stop or the freeing of the entry is complete.  */
-void pu_entry_check (pu_entry_t *en);
+/* pu_entry_check_stopped - after a request has ended or a callback has come:
+   whether a stop or the freeing of the entry is complete.  */
+void pu_entry_check_stopped (pu_entry_t *en);
 
-/* pu_router_due - the router is asked for its next decisions soon.  */
-void pu_router_due (pu_entry_t *en);
+/* pu_entry_schedule_router - the router is asked for its next decisions soon.
+ */
+void pu_entry_schedule_router (pu_entry_t *en);
 
 /* --- own_front.c: the completions interface --- */
 
 /* pu_entry_own_front - the entry's own front; its `read` is NULL, see
    parse.c.  */
-void pu_entry_own_front (pu_front_t *f);
+void pu_entry_own_front (pu_frontend_t *f);
 
-/* pu_own_head - what the head of an attempt of X says.  */
-void pu_own_head (const pu_exchange_t *x, pu_head_t *h);
+/* pu_builtin_request_headers - what the head of an attempt of X says.  */
+void pu_builtin_request_headers (const pu_exchange_t *x, pu_header_list_t *h);
 
-/* pu_own_answer - reads the head R of the answer to an attempt of X.  */
-void pu_own_answer (pu_exchange_t *x, const pu_http_response_t *r);
+/* pu_builtin_classify_response - reads the head R of the answer to an attempt
+ * of X.  */
+void pu_builtin_classify_response (pu_exchange_t *x,
+                                   const pu_http_response_t *r);
 
 /* --- attempt.c: one try at a backend server or another entry --- */
 
@@ -543,8 +551,8 @@
 
 /* --- deliver.c: an attempt's answer on its way to the caller --- */
 
-/* pu_deliver_tokens, pu_deliver_events - a pu_stream_cb and a pu_events_cb,
-   DATA being the exchange.  */
+/* pu_deliver_tokens, pu_deliver_events - a pu_stream_cb and a
+   pu_event_filter_cb, DATA being the exchange.  */
 void pu_deliver_tokens (void *data, const char *bytes, gsize len,
                         guint tokens);
 void pu_deliver_events (void *data, const char *bytes, gsize len, guint n);
@@ -552,20 +560,21 @@
 /* pu_deliver_stream_end - the stream is whole.  */
 void pu_deliver_stream_end (pu_exchange_t *x);
 
-/* pu_deliver_whole - the answer that is held whole goes to the caller.  */
-void pu_deliver_whole (pu_exchange_t *x);
+/* pu_deliver_response - the answer that is held whole goes to the caller.  */
+void pu_deliver_response (pu_exchange_t *x);
 
-/* pu_deliver_kept - passes the kept failure of a backend server on.  */
-void pu_deliver_kept (pu_exchange_t *x);
+/* pu_deliver_saved_failure - passes the kept failure of a backend server on.
+ */
+void pu_deliver_saved_failure (pu_exchange_t *x);
 
-/* pu_deliver_claimed - the same for an at-most-once call; frees X.  */
-void pu_deliver_claimed (pu_exchange_t *x);
+/* pu_deliver_at_most_once - the same for an at-most-once call; frees X.  */
+void pu_deliver_at_most_once (pu_exchange_t *x);
 
 /* --- claim.c: at-most-once calls --- */
 
 void pu_claim_begin (pu_exchange_t *x);
 /* pu_claim_finished - the dispatched call X ended; frees X.  RESULT goes
-   with PU_ONCE_RAN.  */
+   with PU_ONCE_OUTCOME_RAN.  */
 void pu_claim_finished (pu_exchange_t *x, pu_once_outcome_t outcome,
                         const pu_once_result_t *result);
 void pu_claim_run_actions (pu_entry_t *en);
--- a/libplantainusher/entry/entry_test.cc
+++ b/libplantainusher/entry/entry_test.cc
@@ -222,10 +222,10 @@
   b.silent = true;
   r.chat (c, n, "hi", true);
   r.until ([this] { return !c.body.empty (); });
-  EXPECT_EQ (1u, pu_entry_open (n.entry));
+  EXPECT_EQ (1u, pu_entry_in_flight (n.entry));
   pu_http_call_cancel (c.call);
   r.until ([&] {
-    return pu_entry_open (n.entry) == 0
+    return pu_entry_in_flight (n.entry) == 0
            && pu_http_server_requests (b.server) == 0;
   });
 }
@@ -362,12 +362,12 @@
 {
   backend &a = r.add_backend ("e1", "", n);
 
-  n.in_touch = false;
+  n.leader_reachable = false;
   EXPECT_EQ (503, r.announce (a, n, ",\"leaving\":true"));
   caller c;
   r.ask (c, n, "hi", true);
   EXPECT_EQ (503, c.status) << "what it said holds here";
-  n.in_touch = true;
+  n.leader_reachable = true;
   EXPECT_EQ (200, r.announce (a, n));
 }
 
@@ -479,7 +479,7 @@
   r.call (first, n, "POST", "/services/board/assign", "{}", KEY);
   EXPECT_EQ (200, first.status);
   EXPECT_EQ ("ran", first.headers["x-outcome"]);
-  r.until ([this] { return pu_entry_open (n.entry) == 0; });
+  r.until ([this] { return pu_entry_in_flight (n.entry) == 0; });
   r.call (again, m, "POST", "/services/board/assign", "{}", KEY);
   EXPECT_EQ (first.body, again.body);
   r.call (other, m, "POST", "/services/board/assign", "{1}", KEY);
@@ -511,7 +511,7 @@
   b.refuses = true;
   r.call (c, n, "POST", "/services/board/assign", "{}", KEY);
   EXPECT_EQ ("not-run", c.headers["x-outcome"]);
-  r.until ([this] { return pu_entry_open (n.entry) == 0; });
+  r.until ([this] { return pu_entry_in_flight (n.entry) == 0; });
   b.refuses = false;
   r.call (again, n, "POST", "/services/board/assign", "{}", KEY);
   EXPECT_EQ (200, again.status);
@@ -545,7 +545,7 @@
   for (int i = 0; i < 50; i++)
     uv_run (&r.loop, UV_RUN_ONCE);
   pu_http_respond (b.open[0], 200, nullptr, 0, "done", 4);
-  r.until ([this] { return pu_entry_open (n.entry) == 0; });
+  r.until ([this] { return pu_entry_in_flight (n.entry) == 0; });
   r.call (again, n, "POST", "/services/board/assign", "{}", KEY);
   EXPECT_EQ ("done", again.body);
   EXPECT_EQ (1u, b.ran.size ());
--- a/libplantainusher/entry/exchange.c
+++ b/libplantainusher/entry/exchange.c
@@ -19,7 +19,7 @@
   pu_kept_clear (&x->kept);
   g_free (x->key);
   g_ptr_array_free (x->avoid, TRUE);
-  pu_sent_clear (&x->sent);
+  pu_delivered_clear (&x->sent);
   g_free (x);
 }
 
@@ -44,11 +44,11 @@
   if (ticket == 0)
     return;
   pu_router_cancel (x->en->router, ticket, uv_now (x->en->o.loop));
-  pu_router_due (x->en);
+  pu_entry_schedule_router (x->en);
 }
 
 void
-pu_exchange_done (pu_exchange_t *x)
+pu_exchange_finish (pu_exchange_t *x)
 {
   pu_entry_t *en = x->en;
 
@@ -59,19 +59,19 @@
   g_hash_table_remove (en->numbers, &x->number);
   g_queue_unlink (&en->open, &x->link);
   pu_exchange_free (x);
-  pu_entry_check (en);
+  pu_entry_check_stopped (en);
 }
 
 /* --- failures --- */
 
 /* The outcome over all attempts of X, of which the last had the outcome O.  */
-static pu_outcome_word_t
-overall_outcome (const pu_exchange_t *x, pu_outcome_word_t o)
+static pu_run_outcome_t
+overall_outcome (const pu_exchange_t *x, pu_run_outcome_t o)
 {
   if (x->sent.tokens > 0 || x->events > 0)
-    return PU_RAN;
-  if (o == PU_NOT_RUN && x->may_have_run)
-    return PU_UNKNOWN;
+    return PU_RUN_OUTCOME_RAN;
+  if (o == PU_RUN_OUTCOME_NOT_RUN && x->may_have_run)
+    return PU_RUN_OUTCOME_UNKNOWN;
   return o;
 }
 
@@ -79,7 +79,7 @@
 static void
 error_event_send (pu_exchange_t *x, const pu_refusal_t *r, const char *message)
 {
-  char *text = pu_error_text (r, message);
+  char *text = pu_error_json_text (r, message);
   char *event = g_strdup_printf ("event: error\ndata: %s\n\n", text);
 
   pu_http_respond_write (x->http, event, strlen (event));
@@ -94,17 +94,20 @@
   pu_refusal_t final = *r;
 
   final.outcome = overall_outcome (x, r->outcome);
-  if (pu_entry_breaks (x->en, PU_ENTRY_BREAK_OUTCOME))
-    final.outcome = PU_NOT_RUN;
+  if (pu_entry_fault_injected (x->en, PU_ENTRY_BREAK_REPORT_NOT_RUN))
+    final.outcome = PU_RUN_OUTCOME_NOT_RUN;
   pu_trace_request_failed (x, &final, message);
   if (x->claim != 0)
     {
-      pu_claim_finished (
-          x, final.outcome == PU_NOT_RUN ? PU_ONCE_NOT_RUN : PU_ONCE_UNKNOWN,
-          NULL);
+      pu_claim_finished (x,
+                         final.outcome == PU_RUN_OUTCOME_NOT_RUN
+                             ? PU_ONCE_OUTCOME_NOT_RUN
+                             : PU_ONCE_OUTCOME_UNKNOWN,
+                         NULL);
       return;
     }
-  if (x->http != NULL && x->head_sent && pu_entry_has_own_front (x->en))
+  if (x->http != NULL && x->head_sent
+      && pu_entry_uses_builtin_frontend (x->en))
     {
       error_event_send (x, &final, message);
     }
@@ -113,9 +116,9 @@
       pu_http_respond_abort (x->http);
     }
   else if (x->http != NULL && x->kept.status != 0
-           && final.outcome != PU_NOT_RUN)
+           && final.outcome != PU_RUN_OUTCOME_NOT_RUN)
     {
-      pu_deliver_kept (x);
+      pu_deliver_saved_failure (x);
     }
   else if (x->http != NULL)
     {
@@ -123,7 +126,7 @@
                            message);
     }
   x->http = NULL;
-  pu_exchange_done (x);
+  pu_exchange_finish (x);
 }
 
 static int
@@ -170,22 +173,22 @@
 }
 
 void
-pu_exchange_refused (pu_exchange_t *x, const pu_router_decision_t *d)
+pu_exchange_fail_refused (pu_exchange_t *x, const pu_router_decision_t *d)
 {
   pu_refusal_t r
       = { refusal_status (d->reason), pu_router_reason_name (d->reason),
-          PU_NOT_RUN, d->retry_after_ms };
+          PU_RUN_OUTCOME_NOT_RUN, d->retry_after_ms };
 
   if (d->ran == PU_ROUTER_UNKNOWN)
     {
-      r.outcome = PU_UNKNOWN;
+      r.outcome = PU_RUN_OUTCOME_UNKNOWN;
     }
   else if (d->ran == PU_ROUTER_RAN)
     {
-      r.outcome = PU_RAN;
+      r.outcome = PU_RUN_OUTCOME_RAN;
     }
   if (r.retry_after_ms == 0 && (r.status == 429 || r.status == 503))
-    r.retry_after_ms = PU_BUSY_RETRY_MS;
+    r.retry_after_ms = PU_BUSY_RETRY_AFTER_MS;
   /* A refusal voids the ticket in the router.  */
   ticket_set (x, 0);
   pu_exchange_fail (x, &r, refusal_message (d->reason));
@@ -195,7 +198,7 @@
 fail_convicted (pu_exchange_t *x)
 {
   static const pu_refusal_t convicted
-      = { STATUS_UNPROCESSABLE, "convicted", PU_NOT_RUN, 0 };
+      = { STATUS_UNPROCESSABLE, "convicted", PU_RUN_OUTCOME_NOT_RUN, 0 };
 
   pu_exchange_fail (x, &convicted,
                     "This request has crashed backend servers. An operator "
@@ -205,9 +208,10 @@
 static void
 fail_deadline (pu_exchange_t *x)
 {
-  static const pu_refusal_t late = { 504, "deadline", PU_NOT_RUN, 0 };
+  static const pu_refusal_t late
+      = { 504, "deadline", PU_RUN_OUTCOME_NOT_RUN, 0 };
 
-  if (x->phase == PU_X_RUNNING || x->phase == PU_X_HELD)
+  if (x->phase == PU_EXCHANGE_RUNNING || x->phase == PU_EXCHANGE_PROBING)
     x->may_have_run = true;
   pu_exchange_fail (x, &late, "The request was not answered in time.");
 }
@@ -298,7 +302,7 @@
   if (verdict == PU_SUSPECTS_WAIT
       && (!relay || pu_strike_pending (x->en, x->q.fingerprint)))
     {
-      x->phase = PU_X_WAITING;
+      x->phase = PU_EXCHANGE_WAITING;
     }
   else if (relay && pu_attempt_relay (x, &to))
     {
@@ -315,7 +319,7 @@
 {
   if (q->plain)
     return 0;
-  return q->affinity != 0 ? q->affinity : q->fingerprint;
+  return q->affinity_key != 0 ? q->affinity_key : q->fingerprint;
 }
 
 void
@@ -332,20 +336,21 @@
     .prompt_tokens = x->q.prompt_tokens,
     .max_tokens = x->q.max_tokens,
     .prefix = x->q.prefix,
-    .prefix_tokens = x->q.sized ? x->q.prefix_tokens : NULL,
+    .prefix_tokens = x->q.has_prefix_tokens ? x->q.prefix_tokens : NULL,
     .n_prefix = x->q.n_prefix,
     .attempts_max = x->q.attempts_max,
     .fingerprint = affinity_of (&x->q),
     .shared_tokens = x->q.shared_tokens,
     .repeatable
-    = x->q.repeatable || pu_entry_breaks (x->en, PU_ENTRY_BREAK_REPEAT),
+    = x->q.repeatable
+      || pu_entry_fault_injected (x->en, PU_ENTRY_BREAK_RETRY_NON_REPEATABLE),
   };
   pu_router_decision_t d;
 
   g_free (plain);
-  pu_demand_arrived (x);
+  pu_demand_report (x);
   pu_router_offer (router, &q, uv_now (x->en->o.loop), &d);
-  pu_exchange_decide (x, &d);
+  pu_exchange_apply_decision (x, &d);
 }
 
 /* Whether X must not be sent to the backend server numbered SERVER, because a
@@ -356,7 +361,8 @@
 {
   return is_crash_tracked (x)
          && pu_suspects_must_avoid (x->en->suspects, x->q.fingerprint, server,
-                                    x->held_since, uv_now (x->en->o.loop));
+                                    x->duplicate_wait_since,
+                                    uv_now (x->en->o.loop));
 }
 
 /* Like must_avoid, for S, which the router chose.  When true, records since
@@ -366,9 +372,9 @@
 {
   if (!must_avoid (x, s->number))
     return false;
-  if (x->held_since == 0)
-    x->held_since = uv_now (x->en->o.loop);
-  x->held_from = s->number;
+  if (x->duplicate_wait_since == 0)
+    x->duplicate_wait_since = uv_now (x->en->o.loop);
+  x->duplicate_wait_server = s->number;
   return true;
 }
 
@@ -390,7 +396,7 @@
       && !defer_from (x, s))
     return true;
   ticket_cancel (x);
-  x->phase = PU_X_WAITING;
+  x->phase = PU_EXCHANGE_WAITING;
   return false;
 }
 
@@ -404,7 +410,7 @@
   if (s != NULL && !dispatch_permit (x, s))
     return;
   if (s == NULL || !pu_attempt_start (x, s))
-    pu_exchange_again (x, PU_ROUTER_FAIL_CONNECT);
+    pu_exchange_retry (x, PU_ROUTER_FAIL_CONNECT);
 }
 
 /* Whether the model of X has no ready copy while a backend server that holds
@@ -422,9 +428,9 @@
 }
 
 void
-pu_exchange_decide (pu_exchange_t *x, const pu_router_decision_t *d)
+pu_exchange_apply_decision (pu_exchange_t *x, const pu_router_decision_t *d)
 {
-  pu_router_due (x->en);
+  pu_entry_schedule_router (x->en);
   switch (d->verdict)
     {
     case PU_ROUTER_DISPATCH:
@@ -433,26 +439,26 @@
       break;
     case PU_ROUTER_QUEUED:
       ticket_set (x, d->ticket);
-      x->phase = PU_X_QUEUED;
+      x->phase = PU_EXCHANGE_QUEUED;
       pu_trace_queued (x);
       break;
     case PU_ROUTER_REFUSE:
-      if (d->reason == PU_ROUTER_REASON_COPY && pu_want_may (x)
+      if (d->reason == PU_ROUTER_REASON_COPY && pu_model_wait_allowed (x)
           && !x->may_have_run)
         {
           ticket_set (x, 0);
-          pu_want_begin (x);
+          pu_model_wait_begin (x);
           break;
         }
       x->no_copy
           = d->reason == PU_ROUTER_REASON_COPY && is_blocked_by_suspect (x);
       if (!x->no_copy)
         {
-          pu_exchange_refused (x, d);
+          pu_exchange_fail_refused (x, d);
           break;
         }
       ticket_set (x, 0);
-      x->phase = PU_X_WAITING;
+      x->phase = PU_EXCHANGE_WAITING;
       break;
     }
 }
@@ -463,7 +469,7 @@
 fail_exhausted (pu_exchange_t *x)
 {
   static const pu_refusal_t exhausted
-      = { 502, "attempts", PU_NOT_RUN, PU_BUSY_RETRY_MS };
+      = { 502, "attempts", PU_RUN_OUTCOME_NOT_RUN, PU_BUSY_RETRY_AFTER_MS };
 
   pu_exchange_fail (x, &exhausted, "All attempts at the request failed.");
 }
@@ -522,12 +528,12 @@
 
   ticket_set (x, 0);
   pu_router_abandon (x->en->router, ticket, failure, uv_now (x->en->o.loop));
-  pu_router_due (x->en);
+  pu_entry_schedule_router (x->en);
   suspect_route (x);
 }
 
 void
-pu_exchange_again (pu_exchange_t *x, pu_router_failure_t failure)
+pu_exchange_retry (pu_exchange_t *x, pu_router_failure_t failure)
 {
   char *entry = g_strdup (x->at.entry);
   pu_router_decision_t d;
@@ -565,15 +571,15 @@
   /* The router has tried every copy.  The request is offered once more,
      because a cut stream may be resumed on the same copy.  */
   if (d.verdict == PU_ROUTER_REFUSE && d.reason == PU_ROUTER_REASON_ATTEMPTS
-      && x->q.repeatable && x->q.attempts_max == 0 && !x->offered_anew
+      && x->q.repeatable && x->q.attempts_max == 0 && !x->offered_again
       && failure != PU_ROUTER_FAIL_NOT_RUN)
     {
-      x->offered_anew = true;
+      x->offered_again = true;
       ticket_set (x, 0);
       pu_exchange_route (x);
       return;
     }
-  pu_exchange_decide (x, &d);
+  pu_exchange_apply_decision (x, &d);
 }
 
 /* --- timers --- */
@@ -585,28 +591,29 @@
   if (crash_verdict (x) == PU_SUSPECTS_WAIT
       || (x->no_copy && is_blocked_by_suspect (x)))
     return false;
-  return x->held_since == 0 || !must_avoid (x, x->held_from);
+  return x->duplicate_wait_since == 0
+         || !must_avoid (x, x->duplicate_wait_server);
 }
 
 static void
 exchange_tick (pu_exchange_t *x, guint64 now)
 {
-  if (x->phase == PU_X_CLAIMING)
+  if (x->phase == PU_EXCHANGE_CLAIMING)
     {
       if (now >= x->q.deadline
-          && pu_once_give_up (x->en->once, x->number, now))
+          && pu_once_remove_caller (x->en->once, x->number, now))
         pu_claim_run_actions (x->en);
       return;
     }
-  if (now >= x->q.deadline && x->phase != PU_X_QUEUED)
+  if (now >= x->q.deadline && x->phase != PU_EXCHANGE_QUEUED)
     {
       fail_deadline (x);
     }
-  else if (x->phase == PU_X_WAITING && x->wants)
+  else if (x->phase == PU_EXCHANGE_WAITING && x->wants)
     {
-      pu_want_tick (x, now);
+      pu_model_wait_tick (x, now);
     }
-  else if (x->phase == PU_X_WAITING && wait_is_over (x))
+  else if (x->phase == PU_EXCHANGE_WAITING && wait_is_over (x))
     {
       pu_exchange_route (x);
     }
@@ -652,7 +659,7 @@
 
       if (x == NULL)
         continue;
-      if (x->phase == PU_X_RUNNING || x->phase == PU_X_HELD)
+      if (x->phase == PU_EXCHANGE_RUNNING || x->phase == PU_EXCHANGE_PROBING)
         x->may_have_run = true;
       pu_exchange_fail (x, &pu_refusal_stopping, "This entry is stopping.");
     }
--- a/libplantainusher/entry/faults_test.cc
+++ b/libplantainusher/entry/faults_test.cc
@@ -224,9 +224,9 @@
 }
 
 INSTANTIATE_TEST_SUITE_P (Faults, Breaks,
-                          testing::Values (PU_ENTRY_BREAK_REPLAY,
-                                           PU_ENTRY_BREAK_REPEAT,
-                                           PU_ENTRY_BREAK_OUTCOME,
-                                           PU_ENTRY_BREAK_WHOLE));
+                          testing::Values (PU_ENTRY_BREAK_FORWARD_REPLAY,
+                                           PU_ENTRY_BREAK_RETRY_NON_REPEATABLE,
+                                           PU_ENTRY_BREAK_REPORT_NOT_RUN,
+                                           PU_ENTRY_BREAK_END_TRUNCATED));
 
 } // namespace
--- a/libplantainusher/entry/front.h
+++ b/libplantainusher/entry/front.h
@@ -20,16 +20,16 @@
 /* Which outcome a refusal or failure tells.  */
 typedef enum
 {
-  PU_NOT_RUN,
-  PU_RAN,
-  PU_UNKNOWN
-} pu_outcome_word_t;
+  PU_RUN_OUTCOME_NOT_RUN,
+  PU_RUN_OUTCOME_RAN,
+  PU_RUN_OUTCOME_UNKNOWN
+} pu_run_outcome_t;
 
 typedef struct
 {
   int status;
   const char *type; /* a word for programs */
-  pu_outcome_word_t outcome;
+  pu_run_outcome_t outcome;
   guint retry_after_ms; /* 0: no header */
 } pu_refusal_t;
 
@@ -40,21 +40,23 @@
   const char *server; /* name of the backend server that is meant */
   guint64 left_ms;    /* until the deadline */
   guint64 after;      /* number of the last event that the caller has */
-} pu_attempt_facts_t;
+} pu_attempt_params_t;
 
 /* The head of a message in the making.  */
 typedef struct
 {
   GArray *headers;  /* of pu_http_header_t */
   GPtrArray *owned; /* strings that live as long as the head */
-} pu_head_t;
+} pu_header_list_t;
 
-void pu_head_init (pu_head_t *h);
-void pu_head_clear (pu_head_t *h);
+void pu_header_list_init (pu_header_list_t *h);
+void pu_header_list_clear (pu_header_list_t *h);
 
-/* pu_head_add - NAME and VALUE are not copied.  */
-void pu_head_add (pu_head_t *h, const char *name, const char *value);
-void pu_head_add_number (pu_head_t *h, const char *name, guint64 value);
+/* pu_header_list_add - NAME and VALUE are not copied.  */
+void pu_header_list_add (pu_header_list_t *h, const char *name,
+                         const char *value);
+void pu_header_list_add_number (pu_header_list_t *h, const char *name,
+                                guint64 value);
 
 /* What the head of a backend server's answer says.  */
 typedef struct
@@ -65,7 +67,7 @@
   bool elsewhere; /* not run: another process has the address now */
   bool stream;    /* its body is a stream of events */
   bool failed;    /* it ran the request and failed */
-} pu_answer_t;
+} pu_response_class_t;
 
 typedef struct
 {
@@ -78,12 +80,12 @@
   void (*refuse) (void *data, pu_http_request_t *http, const char *id,
                   const pu_refusal_t *r, const char *message);
   /* Adds what an attempt's head says beside the headers that are passed on. */
-  void (*head) (void *data, const pu_attempt_facts_t *f, pu_head_t *h);
+  void (*head) (void *data, const pu_attempt_params_t *f, pu_header_list_t *h);
   /* Reads the head R of an answer to Q by the backend server SERVER.  */
   void (*answer) (void *data, const pu_request_t *q, const char *server,
-                  const pu_http_response_t *r, pu_answer_t *a);
+                  const pu_http_response_t *r, pu_response_class_t *a);
   void *data;
-} pu_front_t;
+} pu_frontend_t;
 
 G_END_DECLS
 
--- a/libplantainusher/entry/own_front.c
+++ b/libplantainusher/entry/own_front.c
@@ -17,21 +17,21 @@
 /* --- heads --- */
 
 void
-pu_head_init (pu_head_t *h)
+pu_header_list_init (pu_header_list_t *h)
 {
   h->headers = g_array_new (FALSE, FALSE, sizeof (pu_http_header_t));
   h->owned = g_ptr_array_new_with_free_func (g_free);
 }
 
 void
-pu_head_clear (pu_head_t *h)
+pu_header_list_clear (pu_header_list_t *h)
 {
   g_array_free (h->headers, TRUE);
   g_ptr_array_free (h->owned, TRUE);
 }
 
 void
-pu_head_add (pu_head_t *h, const char *name, const char *value)
+pu_header_list_add (pu_header_list_t *h, const char *name, const char *value)
 {
   pu_http_header_t one = { name, value };
 
@@ -39,29 +39,30 @@
 }
 
 void
-pu_head_add_number (pu_head_t *h, const char *name, guint64 value)
+pu_header_list_add_number (pu_header_list_t *h, const char *name,
+                           guint64 value)
 {
   char *text = g_strdup_printf ("%" G_GUINT64_FORMAT, value);
 
   g_ptr_array_add (h->owned, text);
-  pu_head_add (h, name, text);
+  pu_header_list_add (h, name, text);
 }
 
 void
-pu_own_head (const pu_exchange_t *x, pu_head_t *h)
+pu_builtin_request_headers (const pu_exchange_t *x, pu_header_list_t *h)
 {
   guint64 now = uv_now (x->en->o.loop);
   guint64 left = x->q.deadline > now ? x->q.deadline - now : 1;
 
-  pu_head_add (h, "X-Request-Id", x->q.id);
+  pu_header_list_add (h, "X-Request-Id", x->q.id);
   if (x->q.plain)
     return;
-  pu_head_add_number (h, "X-Priority", x->q.priority);
-  pu_head_add_number (h, "X-Timeout-Ms", left);
+  pu_header_list_add_number (h, "X-Priority", x->q.priority);
+  pu_header_list_add_number (h, "X-Timeout-Ms", left);
   if (x->key != NULL)
-    pu_head_add (h, "Idempotency-Key", x->key);
+    pu_header_list_add (h, "Idempotency-Key", x->key);
   if (x->sent.tokens > 0)
-    pu_head_add_number (h, "X-Resume-Tokens", x->sent.tokens);
+    pu_header_list_add_number (h, "X-Resume-Tokens", x->sent.tokens);
 }
 
 /* --- answers --- */
@@ -109,14 +110,14 @@
 }
 
 void
-pu_own_answer (pu_exchange_t *x, const pu_http_response_t *r)
+pu_builtin_classify_response (pu_exchange_t *x, const pu_http_response_t *r)
 {
   pu_attempt_t *at = &x->at;
 
   at->content_type = header_copy (r, "content-type");
   at->outcome = header_copy (r, "x-outcome");
   at->retry_after = header_copy (r, "retry-after");
-  at->answer = (pu_answer_t){
+  at->answer = (pu_response_class_t){
     .foreign = !is_answer_to (x, r),
     .not_run = says_not_run (x),
     .stream = !x->q.plain && r->status == STATUS_OK
@@ -138,11 +139,11 @@
 {
   if (id == NULL)
     id = own_id (data, http);
-  pu_answer_error (http, id, r, message);
+  pu_respond_error (http, id, r, message);
 }
 
 void
-pu_entry_own_front (pu_front_t *f)
+pu_entry_own_front (pu_frontend_t *f)
 {
-  *f = (pu_front_t){ .id = own_id, .refuse = own_refuse };
+  *f = (pu_frontend_t){ .id = own_id, .refuse = own_refuse };
 }
--- a/libplantainusher/entry/parse.c
+++ b/libplantainusher/entry/parse.c
@@ -16,8 +16,9 @@
 };
 
 static const pu_refusal_t bad_request
-    = { 400, "invalid_request", PU_NOT_RUN, 0 };
-static const pu_refusal_t not_found = { 404, "not_found", PU_NOT_RUN, 0 };
+    = { 400, "invalid_request", PU_RUN_OUTCOME_NOT_RUN, 0 };
+static const pu_refusal_t not_found
+    = { 404, "not_found", PU_RUN_OUTCOME_NOT_RUN, 0 };
 
 static bool refuse (pu_exchange_t *x, const pu_refusal_t *r,
                     const char *format, ...) G_GNUC_PRINTF (3, 4);
@@ -32,7 +33,7 @@
   va_start (args, format);
   message = g_strdup_vprintf (format, args);
   va_end (args);
-  pu_answer_error (x->http, x->q.id, r, message);
+  pu_respond_error (x->http, x->q.id, r, message);
   x->http = NULL;
   g_free (message);
   return false;
@@ -321,7 +322,7 @@
     }
   good = root_read (x, root) && resume_read (x, root);
   json_decref (root);
-  pu_request_header_keep (&x->q, "content-type", "application/json");
+  pu_request_add_header (&x->q, "content-type", "application/json");
   return good;
 }
 
@@ -365,7 +366,7 @@
 
       if (pu_http_header_is_passed (h.name) && !is_set_by_entry (h.name)
           && g_ascii_strcasecmp (h.name, "host") != 0)
-        pu_request_header_keep (&x->q, h.name, h.value);
+        pu_request_add_header (&x->q, h.name, h.value);
     }
 }
 
--- a/libplantainusher/entry/piece.c
+++ b/libplantainusher/entry/piece.c
@@ -3,23 +3,23 @@
 #include <jansson.h>
 #include <string.h>
 
-struct pu_piece_reader
+struct pu_chunk_reader
 {
   json_t *root;    /* the last parsed chunk; the result points into it */
   GString *prefix; /* bytes before the text, with the opening quote */
   GString *suffix; /* bytes after the text, with the closing quote */
   GString *text;   /* of a chunk that was not parsed */
   GString *template_text;    /* of the chunk that the template was made of */
-  pu_piece_t template_piece; /* all but the text, of the same chunk */
+  pu_chunk_t template_piece; /* all but the text, of the same chunk */
   bool has_template;
   bool verified; /* for another text, parsing gave the same result */
   guint parsed_count;
 };
 
-pu_piece_reader_t *
-pu_piece_reader_new (void)
+pu_chunk_reader_t *
+pu_chunk_reader_new (void)
 {
-  pu_piece_reader_t *r = g_new0 (pu_piece_reader_t, 1);
+  pu_chunk_reader_t *r = g_new0 (pu_chunk_reader_t, 1);
 
   r->prefix = g_string_new (NULL);
   r->suffix = g_string_new (NULL);
@@ -29,7 +29,7 @@
 }
 
 void
-pu_piece_reader_free (pu_piece_reader_t *r)
+pu_chunk_reader_free (pu_chunk_reader_t *r)
 {
   if (r == NULL)
     return;
@@ -42,7 +42,7 @@
 }
 
 guint
-pu_piece_reader_parsed (const pu_piece_reader_t *r)
+pu_chunk_reader_parsed_count (const pu_chunk_reader_t *r)
 {
   return r->parsed_count;
 }
@@ -102,8 +102,8 @@
 /* Makes a template of a parsed chunk whose text stands in it once, without
    escapes.  */
 static void
-template_make (pu_piece_reader_t *r, const char *data, gsize len,
-               const pu_piece_t *piece)
+template_make (pu_chunk_reader_t *r, const char *data, gsize len,
+               const pu_chunk_t *piece)
 {
   gsize n = strlen (piece->text);
   const char *place;
@@ -127,8 +127,8 @@
 
 /* Reads a chunk that matches the template, without parsing.  */
 static bool
-template_match (pu_piece_reader_t *r, const char *data, gsize len,
-                pu_piece_t *piece)
+template_match (pu_chunk_reader_t *r, const char *data, gsize len,
+                pu_chunk_t *piece)
 {
   gsize fixed = r->prefix->len + r->suffix->len;
   const char *text = data + r->prefix->len;
@@ -160,7 +160,7 @@
 }
 
 static void
-piece_fill (const json_t *root, pu_piece_t *p)
+piece_fill (const json_t *root, pu_chunk_t *p)
 {
   const json_t *choice = json_array_get (json_object_get (root, "choices"), 0);
   const json_t *tokens
@@ -175,8 +175,8 @@
 }
 
 static bool
-piece_parse (pu_piece_reader_t *r, const char *data, gsize len,
-             pu_piece_t *piece)
+piece_parse (pu_chunk_reader_t *r, const char *data, gsize len,
+             pu_chunk_t *piece)
 {
   json_decref (r->root);
   r->parsed_count++;
@@ -190,8 +190,8 @@
 /* Parses a chunk that matches the template, and drops the template unless both
    ways to read the chunk gave the same result.  */
 static bool
-template_verify (pu_piece_reader_t *r, const char *data, gsize len,
-                 pu_piece_t *piece)
+template_verify (pu_chunk_reader_t *r, const char *data, gsize len,
+                 pu_chunk_t *piece)
 {
   char *template_id = g_strdup (r->template_piece.id);
   bool good = piece_parse (r, data, len, piece);
@@ -211,8 +211,8 @@
 }
 
 bool
-pu_piece_read (pu_piece_reader_t *r, const char *data, gsize len,
-               pu_piece_t *piece)
+pu_chunk_read (pu_chunk_reader_t *r, const char *data, gsize len,
+               pu_chunk_t *piece)
 {
   bool fits = template_match (r, data, len, piece);
 
--- a/libplantainusher/entry/piece.h
+++ b/libplantainusher/entry/piece.h
@@ -24,21 +24,21 @@
   bool finish;      /* the chunk has a finish reason */
   bool is_error;
   gint64 completion_tokens; /* by the usage in the chunk; -1: not given */
-} pu_piece_t;
+} pu_chunk_t;
 
-typedef struct pu_piece_reader pu_piece_reader_t;
+typedef struct pu_chunk_reader pu_chunk_reader_t;
 
-pu_piece_reader_t *pu_piece_reader_new (void);
-void pu_piece_reader_free (pu_piece_reader_t *r);
+pu_chunk_reader_t *pu_chunk_reader_new (void);
+void pu_chunk_reader_free (pu_chunk_reader_t *r);
 
-/* pu_piece_read - reads a chunk of LEN bytes.  Returns false when it is not a
+/* pu_chunk_read - reads a chunk of LEN bytes.  Returns false when it is not a
    JSON object.  PIECE is valid until the next call.  */
-bool pu_piece_read (pu_piece_reader_t *r, const char *data, gsize len,
-                    pu_piece_t *piece);
+bool pu_chunk_read (pu_chunk_reader_t *r, const char *data, gsize len,
+                    pu_chunk_t *piece);
 
-/* pu_piece_reader_parsed - number of chunks that were parsed as JSON; for
-   tests.  */
-guint pu_piece_reader_parsed (const pu_piece_reader_t *r);
+/* pu_chunk_reader_parsed_count - number of chunks that were parsed as JSON;
+   for tests.  */
+guint pu_chunk_reader_parsed_count (const pu_chunk_reader_t *r);
 
 G_END_DECLS
 
--- a/libplantainusher/entry/piece_test.cc
+++ b/libplantainusher/entry/piece_test.cc
@@ -34,37 +34,37 @@
 
 TEST (Piece, SameFrameIsParsedTwice)
 {
-  pu_piece_reader_t *r = pu_piece_reader_new ();
+  pu_chunk_reader_t *r = pu_chunk_reader_new ();
 
   for (const char *text : { "one ", "two ", "kolm õ ", "四", "" })
     {
       const std::string data = chat (text);
-      pu_piece_t p{};
+      pu_chunk_t p{};
 
-      ASSERT_TRUE (pu_piece_read (r, data.data (), data.size (), &p));
+      ASSERT_TRUE (pu_chunk_read (r, data.data (), data.size (), &p));
       EXPECT_STREQ (text, p.text);
       EXPECT_STREQ ("r", p.id);
       EXPECT_FALSE (p.finish);
     }
-  EXPECT_EQ (2u, pu_piece_reader_parsed (r));
-  pu_piece_reader_free (r);
+  EXPECT_EQ (2u, pu_chunk_reader_parsed_count (r));
+  pu_chunk_reader_free (r);
 }
 
 TEST (Piece, AFrameAroundAnotherStringIsNotTrusted)
 {
-  pu_piece_reader_t *r = pu_piece_reader_new ();
+  pu_chunk_reader_t *r = pu_chunk_reader_new ();
 
   for (const char *note : { "t", "u", "v" })
     {
       const std::string data
           = std::string ("{\"x\":{\"content\":\"") + note
             + "\"},\"choices\":[{\"delta\":{\"content\":\"\\u0074\"}}]}";
-      pu_piece_t p{};
+      pu_chunk_t p{};
 
-      ASSERT_TRUE (pu_piece_read (r, data.data (), data.size (), &p));
+      ASSERT_TRUE (pu_chunk_read (r, data.data (), data.size (), &p));
       EXPECT_STREQ ("t", p.text);
     }
-  pu_piece_reader_free (r);
+  pu_chunk_reader_free (r);
 }
 
 TEST (Piece, OtherKinds)
@@ -84,20 +84,20 @@
     { "", false, "", false, false },
     { "{\"choices\":[{\"text\":\"a", false, "", false, false },
   };
-  pu_piece_reader_t *r = pu_piece_reader_new ();
+  pu_chunk_reader_t *r = pu_chunk_reader_new ();
 
   for (const auto &row : table)
     {
-      pu_piece_t p{};
+      pu_chunk_t p{};
 
-      ASSERT_EQ (row.good, pu_piece_read (r, row.data, strlen (row.data), &p));
+      ASSERT_EQ (row.good, pu_chunk_read (r, row.data, strlen (row.data), &p));
       if (!row.good)
         continue;
       EXPECT_STREQ (row.text, p.text);
       EXPECT_EQ (row.finish, p.finish);
       EXPECT_EQ (row.is_error, p.is_error);
     }
-  pu_piece_reader_free (r);
+  pu_chunk_reader_free (r);
 }
 
 /* A reader that has seen other events says the same as a new one, also for
@@ -107,31 +107,31 @@
   const auto texts = *rc::gen::container<std::vector<std::string> > (
       rc::gen::container<std::string> (rc::gen::element (
           'a', 'r', 'm', '"', '\\', ',', '}', 'u', '0', '\n', ' ')));
-  pu_piece_reader_t *r = pu_piece_reader_new ();
+  pu_chunk_reader_t *r = pu_chunk_reader_new ();
 
   for (const auto &text : texts)
     {
       std::string data
           = chat (text, *rc::gen::element<std::string> ("r", "a"));
       const auto at = *rc::gen::inRange<std::size_t> (0, data.size () * 3);
-      pu_piece_reader_t *fresh = pu_piece_reader_new ();
-      pu_piece_t a{};
-      pu_piece_t b{};
+      pu_chunk_reader_t *fresh = pu_chunk_reader_new ();
+      pu_chunk_t a{};
+      pu_chunk_t b{};
 
       if (at < data.size ())
         data[at] = *rc::gen::element ('a', '"', '\\', '}', ':');
-      const bool good = pu_piece_read (r, data.data (), data.size (), &a);
+      const bool good = pu_chunk_read (r, data.data (), data.size (), &a);
       RC_ASSERT (good
-                 == pu_piece_read (fresh, data.data (), data.size (), &b));
+                 == pu_chunk_read (fresh, data.data (), data.size (), &b));
       if (good)
         {
           RC_ASSERT (std::string (a.text) == b.text);
           RC_ASSERT (std::string (a.id ? a.id : "-") == (b.id ? b.id : "-"));
           RC_ASSERT (a.finish == b.finish && a.is_error == b.is_error);
         }
-      pu_piece_reader_free (fresh);
+      pu_chunk_reader_free (fresh);
     }
-  pu_piece_reader_free (r);
+  pu_chunk_reader_free (r);
 }
 
 } // namespace
--- a/libplantainusher/entry/request.c
+++ b/libplantainusher/entry/request.c
@@ -1,7 +1,7 @@
 #include "entry/request.h"
 
 void
-pu_request_header_keep (pu_request_t *q, const char *name, const char *value)
+pu_request_add_header (pu_request_t *q, const char *name, const char *value)
 {
   g_ptr_array_add (q->headers, g_strdup (name));
   g_ptr_array_add (q->headers, g_strdup (value));
--- a/libplantainusher/entry/request.h
+++ b/libplantainusher/entry/request.h
@@ -18,11 +18,11 @@
 /* How an answer is passed on.  */
 typedef enum
 {
-  PU_ANSWER_TOKENS, /* a completion: a stream of events that hold tokens as
-                       JSON, or a whole answer */
-  PU_ANSWER_EVENTS, /* a stream of numbered events whose content is the
-                       caller's matter, or a whole answer */
-  PU_ANSWER_WHOLE   /* gathered, then passed on as it is */
+  PU_RESPONSE_TOKENS,  /* a completion: a stream of events that hold tokens as
+                        JSON, or a whole answer */
+  PU_RESPONSE_EVENTS,  /* a stream of numbered events whose content is the
+                        caller's matter, or a whole answer */
+  PU_RESPONSE_BUFFERED /* gathered, then passed on as it is */
 } pu_answer_kind_t;
 
 typedef struct
@@ -58,18 +58,18 @@
                                                 each; unset where all blocks
                                                 are of one size */
   guint n_prefix;
-  bool sized;          /* prefix_tokens is set */
-  guint64 fingerprint; /* of what makes two requests the same */
-  guint shared_tokens; /* that the prompts of one affinity begin with */
-  guint64 affinity;    /* of what it shares with others: such requests go to
-                          the same copy where it is as good as any; 0: the
-                          fingerprint */
-  guint64 after;       /* number of the last event that the caller has had */
+  bool has_prefix_tokens; /* prefix_tokens is set */
+  guint64 fingerprint;    /* of what makes two requests the same */
+  guint shared_tokens;    /* that the prompts of one affinity begin with */
+  guint64 affinity_key;   /* of what it shares with others: such requests go to
+                         the same copy where it is as good as any; 0: the
+                         fingerprint */
+  guint64 after; /* number of the last event that the caller has had */
 } pu_request_t;
 
-/* pu_request_header_keep - one header more to pass on.  */
-void pu_request_header_keep (pu_request_t *q, const char *name,
-                             const char *value);
+/* pu_request_add_header - one header more to pass on.  */
+void pu_request_add_header (pu_request_t *q, const char *name,
+                            const char *value);
 
 /* pu_request_init, pu_request_clear - an empty request, and its end.  */
 void pu_request_init (pu_request_t *q);
--- a/libplantainusher/entry/request_fuzz.cc
+++ b/libplantainusher/entry/request_fuzz.cc
@@ -149,7 +149,7 @@
   x->en = en;
   x->http = http;
   pu_request_init (&x->q);
-  pu_sent_init (&x->sent);
+  pu_delivered_init (&x->sent);
   return x;
 }
 
@@ -158,7 +158,7 @@
 {
   pu_request_clear (&x->q);
   g_free (x->key);
-  pu_sent_clear (&x->sent);
+  pu_delivered_clear (&x->sent);
   g_free (x);
 }
 
--- a/libplantainusher/entry/rig_test.cc
+++ b/libplantainusher/entry/rig_test.cc
@@ -220,7 +220,8 @@
     return const_cast<const pu_state_t *> (static_cast<node *> (d)->r->state);
   };
   h.ready = [] (void *d) { return static_cast<node *> (d)->ready; };
-  h.in_touch = [] (void *d) { return static_cast<node *> (d)->in_touch; };
+  h.leader_reachable
+      = [] (void *d) { return static_cast<node *> (d)->leader_reachable; };
   h.incarnation = [] (void *) { return guint64{ 1 }; };
   h.propose = propose;
   h.renew = [] (void *, const char *, guint64) {};
@@ -231,7 +232,7 @@
   };
   h.loads = tell_loads;
   h.withdraw = tell_withdrawal;
-  if (n.r->loads_on_demand)
+  if (n.r->model_loads_enabled)
     h.want = [] (void *d, const char *, guint, pu_entry_json_fn *fn,
                  void *fn_data) {
       static_cast<node *> (d)->r->wants.push_back ({ fn, fn_data });
@@ -375,13 +376,13 @@
   o.peer_key = "peer-key-0123456789";
   o.backend_keys = keys;
   o.n_backend_keys = 1;
-  o.progress_ms = 300;
-  o.probe_ms = 300;
-  o.settle_ms = 100;
-  o.propose_ms = 100;
+  o.stream_progress_timeout_ms = 300;
+  o.health_probe_timeout_ms = 300;
+  o.strike_settle_ms = 100;
+  o.log_proposal_timeout_ms = 100;
   o.seed = 1;
   o.test_breaks = breaks;
-  o.loads_to_all = loads_to_all;
+  o.loads_to_all_entries = loads_to_all_entries;
   o.front = front;
   o.hooks = hooks_of (n);
   n.entry = pu_entry_new (&o, nullptr);
--- a/libplantainusher/entry/rig_test.h
+++ b/libplantainusher/entry/rig_test.h
@@ -77,7 +77,7 @@
   std::string name;
   std::string address;
   bool stopped = false;
-  bool in_touch = true;           /* with a voter */
+  bool leader_reachable = true;   /* with a voter */
   bool ready = true;              /* its view may be served from */
   std::vector<guint32> demand_ms; /* of each request that was told */
 };
@@ -105,11 +105,12 @@
   bool quorum = true;
   bool lose_answers = false;
   guint breaks = 0; /* pu_entry_break_t of nodes to be added */
-  const pu_front_t *front = nullptr; /* of nodes to be added; own if null */
+  const pu_frontend_t *front = nullptr; /* of nodes to be added; own if null */
   std::deque<proposal> proposals;
-  std::deque<wanted> wants;     /* copies that entries wait for */
-  bool loads_to_all = false;    /* of nodes to be added */
-  bool loads_on_demand = false; /* of nodes to be added: they ask for copies */
+  std::deque<wanted> wants;          /* copies that entries wait for */
+  bool loads_to_all_entries = false; /* of nodes to be added */
+  bool model_loads_enabled
+      = false;    /* of nodes to be added: they ask for copies */
   int due_ms = 0; /* what they are told until a copy is ready; 0: nothing */
   guint loads_told = 0; /* load reports that went from node to node */
   guint withdrawals_told = 0;
--- a/libplantainusher/entry/servers.c
+++ b/libplantainusher/entry/servers.c
@@ -60,7 +60,7 @@
   s->en = en;
   s->name = g_strdup (name);
   s->handle = PU_ROUTER_NONE;
-  s->number = ++en->last_server;
+  s->number = ++en->last_server_number;
   s->held = g_ptr_array_new ();
   s->copy_overrides
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, override_free);
@@ -246,7 +246,7 @@
   if (strcmp (before, health_name (s)) == 0)
     return;
   pu_log_event (
-      PU_ENTRY_PART, "Backend server changed state.",
+      PU_ENTRY_LOG_SLICE, "Backend server changed state.",
       PU_LOG_TEXT ("server", s->name), PU_LOG_TEXT ("address", s->address),
       PU_LOG_TEXT ("before", before), PU_LOG_TEXT ("now", health_name (s)),
       PU_LOG_NUMBER ("incarnation", s->incarnation),
@@ -335,7 +335,7 @@
   b = pu_state_backend (en->o.hooks.view (en->o.hooks.data), s->name);
   if (b != NULL && b->incarnation == s->incarnation)
     router_update (s, b);
-  pu_router_due (en);
+  pu_entry_schedule_router (en);
 }
 
 void
@@ -343,7 +343,7 @@
 {
   server_watch (s);
   s->aborted_suspects++;
-  s->aborted_until = uv_now (s->en->o.loop) + s->en->o.settle_ms;
+  s->aborted_until = uv_now (s->en->o.loop) + s->en->o.strike_settle_ms;
 }
 
 bool
@@ -510,7 +510,7 @@
     {
       pu_exchange_t *x = g_ptr_array_index (held, i);
 
-      pu_exchange_again (x, x->at.failure);
+      pu_exchange_retry (x, x->at.failure);
     }
   g_ptr_array_free (held, TRUE);
 }
@@ -531,14 +531,14 @@
 
   c.pu_command_u.backend_down.name = s->name;
   c.pu_command_u.backend_down.incarnation = s->incarnation;
-  en->o.hooks.propose (en->o.hooks.data, &c, en->o.propose_ms, ignore_reply,
-                       NULL);
+  en->o.hooks.propose (en->o.hooks.data, &c, en->o.log_proposal_timeout_ms,
+                       ignore_reply, NULL);
 }
 
 static void
 server_mark_dead (pu_server_t *s)
 {
-  pu_log_note (PU_ENTRY_PART,
+  pu_log_note (PU_ENTRY_LOG_SLICE,
                "Backend server %s is down: probes were refused or closed.",
                s->name);
   incarnation_propose_strikes (s, s->incarnation);
@@ -586,14 +586,15 @@
 static void
 probe_start (pu_server_t *s)
 {
-  pu_http_call_options_t o = { .address = s->address,
-                               .method = "GET",
-                               .target = "/health",
-                               .fresh = true,
-                               .first_byte_timeout_ms = s->en->o.probe_ms,
-                               .progress_timeout_ms = s->en->o.probe_ms,
-                               .events = { .on_end = probe_end },
-                               .data = s };
+  pu_http_call_options_t o
+      = { .address = s->address,
+          .method = "GET",
+          .target = "/health",
+          .fresh = true,
+          .first_byte_timeout_ms = s->en->o.health_probe_timeout_ms,
+          .progress_timeout_ms = s->en->o.health_probe_timeout_ms,
+          .events = { .on_end = probe_end },
+          .data = s };
 
   s->probe_at = 0;
   s->probe = pu_http_client_start (s->en->client, &o, NULL);
@@ -613,7 +614,7 @@
 {
   if (s->down)
     return;
-  pu_log_note (PU_ENTRY_PART,
+  pu_log_note (PU_ENTRY_LOG_SLICE,
                "Backend server %s is down: another one has its address.",
                s->name);
   router_remove (s);
@@ -626,8 +627,8 @@
 void
 pu_server_hold (pu_server_t *s, pu_exchange_t *x)
 {
-  x->phase = PU_X_HELD;
-  if (x->at.noted)
+  x->phase = PU_EXCHANGE_PROBING;
+  if (x->at.suspect_tracked)
     pu_suspects_connection_lost (s->en->suspects, x->number);
   g_ptr_array_add (s->held, x);
   if (s->probe == NULL && s->probe_at == 0)
--- a/libplantainusher/entry/spread.c
+++ b/libplantainusher/entry/spread.c
@@ -146,13 +146,13 @@
   const pu_state_t *view = en->o.hooks.view (en->o.hooks.data);
   entry_list_t o = { .en = en };
 
-  if (en->others_view == pu_state_view (view))
+  if (en->other_entries_view == pu_state_membership_version (view))
     return en->others;
   o.seen = g_hash_table_new (g_str_hash, g_str_equal);
   g_ptr_array_set_size (en->others, 0);
   pu_state_each_member (view, add_other_entry, &o);
   g_hash_table_destroy (o.seen);
-  en->others_view = pu_state_view (view);
+  en->other_entries_view = pu_state_membership_version (view);
   return en->others;
 }
 
@@ -200,8 +200,8 @@
   *(guint *)data += b->down ? 0 : 1;
 }
 
-/* With loads_to_all every receiver gets the loads of all backend servers that
-   are up.  */
+/* With loads_to_all_entries every receiver gets the loads of all backend
+   servers that are up.  */
 static void
 receivers_count_all (pu_entry_t *en)
 {
@@ -225,7 +225,7 @@
 receivers_recount (pu_entry_t *en)
 {
   g_hash_table_foreach (en->listeners, receiver_reset, NULL);
-  if (en->o.loads_to_all)
+  if (en->o.loads_to_all_entries)
     {
       receivers_count_all (en);
     }
@@ -269,7 +269,7 @@
 
   if (b == NULL || en->document == NULL || en->o.hooks.loads == NULL)
     return;
-  if (en->o.loads_to_all)
+  if (en->o.loads_to_all_entries)
     {
       load_queue (en, other_entries (en), b->name, &load);
       return;
@@ -337,7 +337,7 @@
   if (s == NULL || s->handle == PU_ROUTER_NONE)
     return;
   pu_router_report (en->router, s->handle, load, uv_now (en->o.loop));
-  pu_router_due (en);
+  pu_entry_schedule_router (en);
   pu_load_forward_queue (en, name, s->incarnation, load);
 }
 
@@ -397,5 +397,5 @@
       if (s != NULL && s->handle != PU_ROUTER_NONE)
         pu_router_report (en->router, s->handle, &report, uv_now (en->o.loop));
     }
-  pu_router_due (en);
+  pu_entry_schedule_router (en);
 }
--- a/libplantainusher/entry/spread_test.cc
+++ b/libplantainusher/entry/spread_test.cc
@@ -114,7 +114,7 @@
     return true;
   };
 
-  r.loads_to_all = true;
+  r.loads_to_all_entries = true;
   for (int i = 0; i < 4; i++)
     nodes.push_back (&r.add_node ("n" + std::to_string (i)));
   backend &engine = r.add_backend ("e1", "", *nodes[0]);
--- a/libplantainusher/entry/stream.c
+++ b/libplantainusher/entry/stream.c
@@ -10,9 +10,9 @@
 
 struct pu_stream
 {
-  pu_sent_t *sent;
+  pu_delivered_t *sent;
   pu_sse_t *sse;
-  pu_piece_reader_t *reader;
+  pu_chunk_reader_t *reader;
   pu_stream_cb cb;
   void *cb_data;
   bool is_from_start;         /* the client had no token before this attempt */
@@ -26,14 +26,14 @@
 };
 
 void
-pu_sent_init (pu_sent_t *s)
+pu_delivered_init (pu_delivered_t *s)
 {
   memset (s, 0, sizeof *s);
   s->text = g_string_new (NULL);
 }
 
 void
-pu_sent_clear (pu_sent_t *s)
+pu_delivered_clear (pu_delivered_t *s)
 {
   if (s->text != NULL)
     g_string_free (s->text, TRUE);
@@ -43,7 +43,7 @@
 /* Forwards an event, with the chunk P in it or NULL, and records what the
    client has received.  */
 static void
-event_forward (pu_stream_t *s, const pu_sse_event_t *ev, const pu_piece_t *p)
+event_forward (pu_stream_t *s, const pu_sse_event_t *ev, const pu_chunk_t *p)
 {
   bool token = p != NULL && *p->text != 0;
 
@@ -74,7 +74,7 @@
 }
 
 static pu_stream_result_t
-token_handle (pu_stream_t *s, const pu_sse_event_t *ev, const pu_piece_t *p)
+token_handle (pu_stream_t *s, const pu_sse_event_t *ev, const pu_chunk_t *p)
 {
   guint64 index = 0;
 
@@ -93,7 +93,7 @@
       event_forward (s, ev, p);
       return PU_STREAM_MORE;
     }
-  return replay_check (s, p->text) ? PU_STREAM_MORE : PU_STREAM_FOREIGN;
+  return replay_check (s, p->text) ? PU_STREAM_MORE : PU_STREAM_MISMATCH;
 }
 
 static bool
@@ -110,31 +110,31 @@
    in an event of its own.  Not checked after a resume, where the usage may
    count only the remaining tokens.  */
 static bool
-has_duplicates (const pu_stream_t *s, const pu_piece_t *p)
+has_duplicates (const pu_stream_t *s, const pu_chunk_t *p)
 {
   return s->is_from_start && p->completion_tokens > 0
          && s->sent->tokens > p->completion_tokens;
 }
 
 static pu_stream_result_t
-chunk_handle (pu_stream_t *s, const pu_sse_event_t *ev, const pu_piece_t *p)
+chunk_handle (pu_stream_t *s, const pu_sse_event_t *ev, const pu_chunk_t *p)
 {
   if (p->is_error)
     return PU_STREAM_BROKEN;
   if (!is_same_completion (s, p->id))
-    return PU_STREAM_FOREIGN;
+    return PU_STREAM_MISMATCH;
   if (*p->text != 0)
     return token_handle (s, ev, p);
   /* A chunk without text holds the role at the start, or the end.  */
   if (p->finish ? !s->sent->finished : s->is_from_start)
     event_forward (s, ev, p);
-  return has_duplicates (s, p) ? PU_STREAM_DOUBLED : PU_STREAM_MORE;
+  return has_duplicates (s, p) ? PU_STREAM_DUPLICATES : PU_STREAM_MORE;
 }
 
 static pu_stream_result_t
 event_handle (pu_stream_t *s, const pu_sse_event_t *ev)
 {
-  pu_piece_t p;
+  pu_chunk_t p;
 
   if (!ev->has_data)
     {
@@ -144,13 +144,13 @@
   if (pu_sse_is_done (ev))
     {
       if (s->replay_tokens_left > 0)
-        return PU_STREAM_FOREIGN;
+        return PU_STREAM_MISMATCH;
       event_forward (s, ev, NULL);
       return PU_STREAM_DONE;
     }
   if (strcmp (ev->name, "error") == 0)
     return PU_STREAM_BROKEN;
-  if (!pu_piece_read (s->reader, ev->data, ev->data_len, &p))
+  if (!pu_chunk_read (s->reader, ev->data, ev->data_len, &p))
     return PU_STREAM_BROKEN;
   return chunk_handle (s, ev, &p);
 }
@@ -166,13 +166,14 @@
 }
 
 pu_stream_t *
-pu_stream_new (pu_sent_t *sent, bool confirmed, pu_stream_cb cb, void *data)
+pu_stream_new (pu_delivered_t *sent, bool confirmed, pu_stream_cb cb,
+               void *data)
 {
   pu_stream_t *s = g_new0 (pu_stream_t, 1);
 
   s->sent = sent;
   s->sse = pu_sse_new (EVENT_MAX_BYTES, on_event, s);
-  s->reader = pu_piece_reader_new ();
+  s->reader = pu_chunk_reader_new ();
   s->cb = cb;
   s->cb_data = data;
   s->is_from_start = sent->tokens == 0;
@@ -186,7 +187,7 @@
   if (s == NULL)
     return;
   pu_sse_free (s->sse);
-  pu_piece_reader_free (s->reader);
+  pu_chunk_reader_free (s->reader);
   g_free (s->id);
   g_free (s);
 }
--- a/libplantainusher/entry/stream.h
+++ b/libplantainusher/entry/stream.h
@@ -28,20 +28,20 @@
   GString *text; /* of all tokens */
   guint tokens;  /* events with text */
   bool finished; /* the event with the finish reason was forwarded */
-} pu_sent_t;
+} pu_delivered_t;
 
-void pu_sent_init (pu_sent_t *s);
-void pu_sent_clear (pu_sent_t *s);
+void pu_delivered_init (pu_delivered_t *s);
+void pu_delivered_clear (pu_delivered_t *s);
 
 typedef enum
 {
-  PU_STREAM_MORE,    /* the stream continues */
-  PU_STREAM_DONE,    /* the end mark has arrived */
-  PU_STREAM_FOREIGN, /* an event of another completion, or a replay with
-                        another text */
-  PU_STREAM_BROKEN,  /* a skipped index, an error, or an event that can't
-                        be read or is too large */
-  PU_STREAM_DOUBLED, /* the client has received more tokens than the usage
+  PU_STREAM_MORE,       /* the stream continues */
+  PU_STREAM_DONE,       /* the end mark has arrived */
+  PU_STREAM_MISMATCH,   /* an event of another completion, or a replay with
+                          another text */
+  PU_STREAM_BROKEN,     /* a skipped index, an error, or an event that can't
+                           be read or is too large */
+  PU_STREAM_DUPLICATES, /* the client has received more tokens than the usage
                         at the end reports: no retry can correct that */
 } pu_stream_result_t;
 
@@ -54,8 +54,8 @@
 
 /* pu_stream_new - a filter for an attempt that was to resume after SENT, which
    the filter updates.  CONFIRMED: the response head confirmed the resume.  */
-pu_stream_t *pu_stream_new (pu_sent_t *sent, bool confirmed, pu_stream_cb cb,
-                            void *data);
+pu_stream_t *pu_stream_new (pu_delivered_t *sent, bool confirmed,
+                            pu_stream_cb cb, void *data);
 void pu_stream_free (pu_stream_t *s);
 
 /* pu_stream_feed - takes LEN BYTES.  Must not be called again after a result
--- a/libplantainusher/entry/stream_fuzz.cc
+++ b/libplantainusher/entry/stream_fuzz.cc
@@ -51,10 +51,10 @@
 read_all (const std::string &bytes, size_t step, guint before, bool confirmed)
 {
   outcome o;
-  pu_sent_t sent;
+  pu_delivered_t sent;
   pu_stream_result_t result = PU_STREAM_MORE;
 
-  pu_sent_init (&sent);
+  pu_delivered_init (&sent);
   for (; sent.tokens < before; sent.tokens++)
     g_string_append (sent.text, "ab");
   pu_stream_t *s = pu_stream_new (&sent, confirmed, on_bytes, &o);
@@ -66,7 +66,7 @@
   o.result = result;
   o.finished = sent.finished;
   pu_stream_free (s);
-  pu_sent_clear (&sent);
+  pu_delivered_clear (&sent);
   return o;
 }
 
@@ -77,31 +77,31 @@
 static bool
 on_event (void *data, const pu_sse_event_t *ev)
 {
-  auto *known = static_cast<pu_piece_reader_t *> (data);
-  pu_piece_reader_t *fresh = pu_piece_reader_new ();
-  pu_piece_t a{};
-  pu_piece_t b{};
-  const bool good = pu_piece_read (known, ev->data, ev->data_len, &a);
+  auto *known = static_cast<pu_chunk_reader_t *> (data);
+  pu_chunk_reader_t *fresh = pu_chunk_reader_new ();
+  pu_chunk_t a{};
+  pu_chunk_t b{};
+  const bool good = pu_chunk_read (known, ev->data, ev->data_len, &a);
 
-  require (good == pu_piece_read (fresh, ev->data, ev->data_len, &b));
+  require (good == pu_chunk_read (fresh, ev->data, ev->data_len, &b));
   if (good)
     {
       require (strcmp (a.text, b.text) == 0 && g_strcmp0 (a.id, b.id) == 0);
       require (a.finish == b.finish && a.is_error == b.is_error);
     }
-  pu_piece_reader_free (fresh);
+  pu_chunk_reader_free (fresh);
   return true;
 }
 
 static void
 check_pieces (const std::string &bytes)
 {
-  pu_piece_reader_t *known = pu_piece_reader_new ();
+  pu_chunk_reader_t *known = pu_chunk_reader_new ();
   pu_sse_t *sse = pu_sse_new (4096, on_event, known);
 
   pu_sse_feed (sse, bytes.data (), bytes.size ());
   pu_sse_free (sse);
-  pu_piece_reader_free (known);
+  pu_chunk_reader_free (known);
 }
 
 extern "C" int
--- a/libplantainusher/entry/stream_test.cc
+++ b/libplantainusher/entry/stream_test.cc
@@ -34,11 +34,11 @@
 /* What a caller gets over several attempts.  */
 struct caller
 {
-  pu_sent_t sent{};
+  pu_delivered_t sent{};
   std::string raw;
 
-  caller () { pu_sent_init (&sent); }
-  ~caller () { pu_sent_clear (&sent); }
+  caller () { pu_delivered_init (&sent); }
+  ~caller () { pu_delivered_clear (&sent); }
 
   static void
   pass (void *d, const char *bytes, gsize len, guint)
@@ -103,9 +103,9 @@
   caller c;
 
   c.attempt (token ("a") + token ("b"));
-  EXPECT_EQ (PU_STREAM_FOREIGN, c.attempt (token ("a") + token ("x")));
-  EXPECT_EQ (PU_STREAM_FOREIGN, c.attempt (token ("ab") + token ("c")));
-  EXPECT_EQ (PU_STREAM_FOREIGN, c.attempt (token ("a") + DONE));
+  EXPECT_EQ (PU_STREAM_MISMATCH, c.attempt (token ("a") + token ("x")));
+  EXPECT_EQ (PU_STREAM_MISMATCH, c.attempt (token ("ab") + token ("c")));
+  EXPECT_EQ (PU_STREAM_MISMATCH, c.attempt (token ("a") + DONE));
   EXPECT_EQ (token ("a") + token ("b"), c.raw);
 }
 
@@ -140,7 +140,7 @@
              PU_STREAM_DONE);
   EXPECT_EQ (
       two.attempt (token ("a") + token ("a") + token ("b") + usage (2) + DONE),
-      PU_STREAM_DOUBLED);
+      PU_STREAM_DUPLICATES);
   EXPECT_EQ (resumed.attempt (token ("a") + token ("b")), PU_STREAM_MORE);
   EXPECT_EQ (resumed.attempt (token ("c") + usage (1) + DONE, true),
              PU_STREAM_DONE);
@@ -161,7 +161,7 @@
 {
   caller c;
 
-  EXPECT_EQ (PU_STREAM_FOREIGN,
+  EXPECT_EQ (PU_STREAM_MISMATCH,
              c.attempt (token ("a") + token ("b", "", "other")));
   EXPECT_EQ ("a", c.text ());
 }
--- a/libplantainusher/entry/strikes.c
+++ b/libplantainusher/entry/strikes.c
@@ -66,7 +66,7 @@
     }
   if (!en->freed)
     pu_strikes_tick (en, now);
-  pu_entry_check (en);
+  pu_entry_check_stopped (en);
 }
 
 static void
@@ -87,8 +87,8 @@
   strike->backend = k->backend;
   strike->incarnation = k->incarnation;
   strike->wall = (guint64)(g_get_real_time () / G_TIME_SPAN_MILLISECOND);
-  en->o.hooks.propose (en->o.hooks.data, &c, en->o.propose_ms, on_proposed,
-                       proposal);
+  en->o.hooks.propose (en->o.hooks.data, &c, en->o.log_proposal_timeout_ms,
+                       on_proposed, proposal);
 }
 
 void
@@ -97,7 +97,7 @@
 {
   pu_strike_t *k = g_new0 (pu_strike_t, 1);
 
-  pu_log_note (PU_ENTRY_PART,
+  pu_log_note (PU_ENTRY_LOG_SLICE,
                "Proposing a strike against request %016" G_GINT64_MODIFIER
                "x for the death of backend server %s.",
                one->fingerprint, s->name);
@@ -126,7 +126,7 @@
   if (k->position == 0 || k->position > pu_state_position (view))
     return false;
   if (k->settled == 0)
-    k->settled = now + k->en->o.settle_ms;
+    k->settled = now + k->en->o.strike_settle_ms;
   s = pu_state_suspect (view, k->fingerprint);
   return k->settled <= now || (s != NULL && s->convicted);
 }
--- a/libplantainusher/entry/trace.c
+++ b/libplantainusher/entry/trace.c
@@ -75,21 +75,21 @@
 pu_trace_queued (const pu_exchange_t *x)
 {
   count (x, "requests_queued_total");
-  pu_log_event (PU_ENTRY_PART, "Queued.", PU_LOG_TEXT ("request", x->q.id),
-                PU_LOG_TEXT ("route", x->q.route),
-                PU_LOG_TEXT ("service", x->q.service),
-                PU_LOG_TEXT ("model", x->q.model),
-                PU_LOG_NUMBER ("ready_copies", ready_copies (x)),
-                PU_LOG_NUMBER ("age_ms", elapsed_ms (x, x->q.arrived)),
-                PU_LOG_NUMBER ("left_ms", time_left_ms (x)),
-                PU_LOG_NUMBER ("document", x->en->document_version));
+  pu_log_event (
+      PU_ENTRY_LOG_SLICE, "Queued.", PU_LOG_TEXT ("request", x->q.id),
+      PU_LOG_TEXT ("route", x->q.route), PU_LOG_TEXT ("service", x->q.service),
+      PU_LOG_TEXT ("model", x->q.model),
+      PU_LOG_NUMBER ("ready_copies", ready_copies (x)),
+      PU_LOG_NUMBER ("age_ms", elapsed_ms (x, x->q.arrived)),
+      PU_LOG_NUMBER ("left_ms", time_left_ms (x)),
+      PU_LOG_NUMBER ("document", x->en->document_version));
 }
 
 void
-pu_trace_wants (const pu_exchange_t *x)
+pu_trace_model_wait (const pu_exchange_t *x)
 {
   count (x, "requests_without_a_copy_total");
-  pu_log_event (PU_ENTRY_PART, "Waits for its model to be loaded.",
+  pu_log_event (PU_ENTRY_LOG_SLICE, "Waits for its model to be loaded.",
                 PU_LOG_TEXT ("request", x->q.id),
                 PU_LOG_TEXT ("model", x->q.model),
                 PU_LOG_NUMBER ("age_ms", elapsed_ms (x, x->q.arrived)),
@@ -105,7 +105,7 @@
 
   count (x, "attempts_total");
   pu_router_backend_load (x->en->router, b, uv_now (x->en->o.loop), &load);
-  pu_log_event (PU_ENTRY_PART, "Sent.", PU_LOG_TEXT ("request", x->q.id),
+  pu_log_event (PU_ENTRY_LOG_SLICE, "Sent.", PU_LOG_TEXT ("request", x->q.id),
                 PU_LOG_TEXT ("route", x->q.route),
                 PU_LOG_TEXT ("service", x->q.service),
                 PU_LOG_TEXT ("model", x->q.model), PU_LOG_TEXT ("to", s->name),
@@ -123,11 +123,11 @@
 void
 pu_trace_relayed (const pu_exchange_t *x, const char *to)
 {
-  pu_log_event (PU_ENTRY_PART, "Relayed.", PU_LOG_TEXT ("request", x->q.id),
-                PU_LOG_TEXT ("service", x->q.service),
-                PU_LOG_TEXT ("model", x->q.model), PU_LOG_TEXT ("to", to),
-                PU_LOG_NUMBER ("hops", x->hops),
-                PU_LOG_NUMBER ("left_ms", time_left_ms (x)));
+  pu_log_event (
+      PU_ENTRY_LOG_SLICE, "Relayed.", PU_LOG_TEXT ("request", x->q.id),
+      PU_LOG_TEXT ("service", x->q.service), PU_LOG_TEXT ("model", x->q.model),
+      PU_LOG_TEXT ("to", to), PU_LOG_NUMBER ("hops", x->hops),
+      PU_LOG_NUMBER ("left_ms", time_left_ms (x)));
 }
 
 void
@@ -135,7 +135,7 @@
 {
   count_labelled (x, "attempts_failed_total", "why",
                   pu_router_failure_name (failure));
-  pu_log_event (PU_ENTRY_PART, "Attempt failed.",
+  pu_log_event (PU_ENTRY_LOG_SLICE, "Attempt failed.",
                 PU_LOG_TEXT ("request", x->q.id),
                 PU_LOG_TEXT ("at", target_name (x)),
                 PU_LOG_TEXT ("why", pu_router_failure_name (failure)),
@@ -153,11 +153,11 @@
   count_labelled (x, "requests_failed_total", "reason", r->type);
   observe (x, "request_failed_ms", elapsed_ms (x, x->q.arrived));
   pu_log_event (
-      PU_ENTRY_PART, "Refused or failed.", PU_LOG_TEXT ("request", x->q.id),
-      PU_LOG_TEXT ("route", x->q.route), PU_LOG_TEXT ("service", x->q.service),
-      PU_LOG_TEXT ("model", x->q.model), PU_LOG_TEXT ("reason", r->type),
-      PU_LOG_TEXT ("why", message),
-      PU_LOG_TEXT ("outcome", pu_outcome_word (r->outcome)),
+      PU_ENTRY_LOG_SLICE, "Refused or failed.",
+      PU_LOG_TEXT ("request", x->q.id), PU_LOG_TEXT ("route", x->q.route),
+      PU_LOG_TEXT ("service", x->q.service), PU_LOG_TEXT ("model", x->q.model),
+      PU_LOG_TEXT ("reason", r->type), PU_LOG_TEXT ("why", message),
+      PU_LOG_TEXT ("outcome", pu_run_outcome_name (r->outcome)),
       PU_LOG_NUMBER ("attempts", x->attempts),
       PU_LOG_NUMBER ("ready_copies", ready_copies (x)),
       PU_LOG_NUMBER ("age_ms", elapsed_ms (x, x->q.arrived)),
@@ -167,12 +167,13 @@
 }
 
 void
-pu_trace_turned_away (const pu_entry_t *en, const char *id,
-                      const pu_refusal_t *r, const char *message)
+pu_trace_rejected (const pu_entry_t *en, const char *id, const pu_refusal_t *r,
+                   const char *message)
 {
   count_at_entry (en, "requests_turned_away_total");
-  pu_log_event (PU_ENTRY_PART, "Turned away.", PU_LOG_TEXT ("request", id),
-                PU_LOG_TEXT ("reason", r->type), PU_LOG_TEXT ("why", message),
+  pu_log_event (PU_ENTRY_LOG_SLICE, "Turned away.",
+                PU_LOG_TEXT ("request", id), PU_LOG_TEXT ("reason", r->type),
+                PU_LOG_TEXT ("why", message),
                 PU_LOG_NUMBER ("open", en->open.length),
                 PU_LOG_NUMBER ("retry_after_ms", r->retry_after_ms),
                 PU_LOG_NUMBER ("document", en->document_version));
@@ -183,7 +184,8 @@
 {
   count (x, "requests_answered_total");
   observe (x, "request_answered_ms", elapsed_ms (x, x->q.arrived));
-  pu_log_event (PU_ENTRY_PART, "Answered.", PU_LOG_TEXT ("request", x->q.id),
+  pu_log_event (PU_ENTRY_LOG_SLICE, "Answered.",
+                PU_LOG_TEXT ("request", x->q.id),
                 PU_LOG_TEXT ("by", target_name (x)),
                 PU_LOG_NUMBER ("status", x->at.status),
                 PU_LOG_NUMBER ("attempts", x->attempts),
@@ -196,10 +198,10 @@
 }
 
 void
-pu_trace_left (const pu_exchange_t *x)
+pu_trace_caller_gone (const pu_exchange_t *x)
 {
   count (x, "requests_left_total");
-  pu_log_event (PU_ENTRY_PART, "The caller has left.",
+  pu_log_event (PU_ENTRY_LOG_SLICE, "The caller has left.",
                 PU_LOG_TEXT ("request", x->q.id),
                 PU_LOG_TEXT ("at", target_name (x)),
                 PU_LOG_NUMBER ("age_ms", elapsed_ms (x, x->q.arrived)),
--- a/libplantainusher/entry/trace.h
+++ b/libplantainusher/entry/trace.h
@@ -16,8 +16,8 @@
 /* pu_trace_queued - X waits in the router's queue.  */
 void pu_trace_queued (const pu_exchange_t *x);
 
-/* pu_trace_wants - X waits until its model is loaded.  */
-void pu_trace_wants (const pu_exchange_t *x);
+/* pu_trace_model_wait - X waits until its model is loaded.  */
+void pu_trace_model_wait (const pu_exchange_t *x);
 
 /* pu_trace_sent - X was sent to the backend server S.  */
 void pu_trace_sent (const pu_exchange_t *x, const pu_server_t *s);
@@ -33,10 +33,10 @@
 void pu_trace_request_failed (const pu_exchange_t *x, const pu_refusal_t *r,
                               const char *message);
 
-/* pu_trace_turned_away - the request ID (may be NULL) is refused with R before
+/* pu_trace_rejected - the request ID (may be NULL) is refused with R before
    any of it is read.  */
-void pu_trace_turned_away (const pu_entry_t *en, const char *id,
-                           const pu_refusal_t *r, const char *message);
+void pu_trace_rejected (const pu_entry_t *en, const char *id,
+                        const pu_refusal_t *r, const char *message);
 
 /* pu_trace_answered - the complete response to X has arrived.  */
 void pu_trace_answered (const pu_exchange_t *x);
@@ -45,9 +45,9 @@
    client.  Counted, not logged.  */
 void pu_trace_first_event (const pu_exchange_t *x);
 
-/* pu_trace_left - X's client closed its connection before the response was
-   complete.  */
-void pu_trace_left (const pu_exchange_t *x);
+/* pu_trace_caller_gone - X's client closed its connection before the response
+   was complete.  */
+void pu_trace_caller_gone (const pu_exchange_t *x);
 
 G_END_DECLS
 
--- a/libplantainusher/entry/wants.c
+++ b/libplantainusher/entry/wants.c
@@ -43,7 +43,7 @@
 }
 
 bool
-pu_want_may (const pu_exchange_t *x)
+pu_model_wait_allowed (const pu_exchange_t *x)
 {
   const pu_entry_t *en = x->en;
 
@@ -80,7 +80,7 @@
 want_refuse (pu_exchange_t *x, const want_t *w, guint64 now)
 {
   const pu_refusal_t r
-      = { STATUS_UNAVAILABLE, "copy", PU_NOT_RUN,
+      = { STATUS_UNAVAILABLE, "copy", PU_RUN_OUTCOME_NOT_RUN,
           w->due_at > now ? (guint)(w->due_at - now) : RETRY_MS };
 
   x->wants = false;
@@ -162,7 +162,7 @@
     {
       waiting_each (w, refuse_in_vain);
     }
-  pu_entry_check (en);
+  pu_entry_check_stopped (en);
 }
 
 static void
@@ -190,7 +190,7 @@
 }
 
 void
-pu_want_begin (pu_exchange_t *x)
+pu_model_wait_begin (pu_exchange_t *x)
 {
   pu_entry_t *en = x->en;
   guint64 now = uv_now (en->o.loop);
@@ -201,15 +201,15 @@
       want_refuse (x, w, now);
       return;
     }
-  x->phase = PU_X_WAITING;
+  x->phase = PU_EXCHANGE_WAITING;
   x->wants = true;
-  pu_trace_wants (x);
+  pu_trace_model_wait (x);
   if (!w->asked && now >= w->again_at)
     want_ask (w);
 }
 
 void
-pu_want_tick (pu_exchange_t *x, guint64 now)
+pu_model_wait_tick (pu_exchange_t *x, guint64 now)
 {
   pu_entry_t *en = x->en;
   want_t *w = want_get (en, x->q.model);
--- a/libplantainusher/placer/follow.c
+++ b/libplantainusher/placer/follow.c
@@ -17,15 +17,15 @@
 pu_follow_copy (pu_follow_t *f, const char *model, const char *version)
 {
   char *name = g_strconcat (model, "\n", version, NULL);
-  guint32 handle = pu_names_get (&f->copies, name);
+  guint32 handle = pu_names_intern (&f->copies, name);
 
   g_free (name);
   if (handle == f->copy_items->len)
     {
       pu_followed_copy_t c;
 
-      c.item = pu_names_get (&f->items, model);
-      c.version = pu_names_get (&f->versions, version);
+      c.item = pu_names_intern (&f->items, model);
+      c.version = pu_names_intern (&f->versions, version);
       g_array_append_val (f->copy_items, c);
       pu_placement_map_copy (f->placement, handle, c.item, c.version);
     }
@@ -88,7 +88,7 @@
   t.max_copies = m->max_copies;
   t.importance = MAX (importance, IMPORTANCE_LEAST);
   if (m->kind == PU_MODEL_ADAPTER)
-    t.base = pu_names_get (&f->items, m->base_name);
+    t.base = pu_names_intern (&f->items, m->base_name);
   if (m->previous_version[0] != '\0')
     {
       copy = pu_follow_copy (f, m->name, m->previous_version);
@@ -107,7 +107,7 @@
     {
       const pu_model_t *m = pu_document_model (d, h);
       pu_plan_item_t t = item_of (f, m, importance[h]);
-      guint32 item = pu_names_get (&f->items, m->name);
+      guint32 item = pu_names_intern (&f->items, m->name);
 
       g_array_set_size (items, MAX (items->len, pu_names_count (&f->items)));
       g_array_index (items, pu_plan_item_t, item) = t;
@@ -278,7 +278,7 @@
 zone_of (pu_follow_t *f, const pu_backend_record *b)
 {
   char *name = g_strconcat (b->region, "/", b->zone, NULL);
-  guint32 zone = pu_names_get (&f->zones, name);
+  guint32 zone = pu_names_intern (&f->zones, name);
 
   g_free (name);
   return zone;
@@ -322,7 +322,7 @@
 
   if (!engine && !pu_names_find (&u->f->backends, b->name, &handle))
     return;
-  handle = pu_names_get (&u->f->backends, b->name);
+  handle = pu_names_intern (&u->f->backends, b->name);
   v = seen_at (u->f, handle);
   if (v->hash == hash)
     return;
@@ -389,7 +389,7 @@
     return;
   open.token = token;
   open.kind = (pu_ledger_kind_t)o->kind;
-  open.backend = pu_names_get (&f->backends, o->backend);
+  open.backend = pu_names_intern (&f->backends, o->backend);
   open.incarnation = o->incarnation;
   open.copy = pu_follow_copy (f, o->model, o->model_version);
   open.memory_mb = o->memory_mb;
@@ -435,9 +435,9 @@
   f->position = pu_state_position (f->state);
   update_closed (f, now);
   declared = update_document (f);
-  if (pu_state_changes (f->state) != f->changes)
+  if (pu_state_change_count (f->state) != f->changes)
     pu_state_each_backend (f->state, update_backend, &u);
-  f->changes = pu_state_changes (f->state);
+  f->changes = pu_state_change_count (f->state);
   pu_state_each_order (f->state, adopt_order, &a);
   return declared || u.lost;
 }
--- a/libplantainusher/placer/names.c
+++ b/libplantainusher/placer/names.c
@@ -24,7 +24,7 @@
 }
 
 guint32
-pu_names_get (pu_names_t *n, const char *name)
+pu_names_intern (pu_names_t *n, const char *name)
 {
   char *kept;
   guint32 handle;
@@ -38,10 +38,11 @@
 }
 
 guint32
-pu_names_get_incarnation (pu_names_t *n, const char *name, guint64 incarnation)
+pu_names_intern_incarnation (pu_names_t *n, const char *name,
+                             guint64 incarnation)
 {
   char *key = g_strdup_printf ("%s#%" G_GUINT64_FORMAT, name, incarnation);
-  guint32 handle = pu_names_get (n, key);
+  guint32 handle = pu_names_intern (n, key);
 
   g_free (key);
   return handle;
--- a/libplantainusher/placer/names.h
+++ b/libplantainusher/placer/names.h
@@ -20,13 +20,13 @@
 void pu_names_init (pu_names_t *n);
 void pu_names_clear (pu_names_t *n);
 
-/* pu_names_get - the handle of NAME, made when new.  */
-guint32 pu_names_get (pu_names_t *n, const char *name);
+/* pu_names_intern - the handle of NAME, made when new.  */
+guint32 pu_names_intern (pu_names_t *n, const char *name);
 
-/* pu_names_get_incarnation - the handle of one incarnation of NAME: what was
-   asked of an earlier one never counts for a later one.  */
-guint32 pu_names_get_incarnation (pu_names_t *n, const char *name,
-                                  guint64 incarnation);
+/* pu_names_intern_incarnation - the handle of one incarnation of NAME: what
+   was asked of an earlier one never counts for a later one.  */
+guint32 pu_names_intern_incarnation (pu_names_t *n, const char *name,
+                                     guint64 incarnation);
 
 /* pu_names_find - false when NAME has no handle.  */
 bool pu_names_find (const pu_names_t *n, const char *name, guint32 *handle);
--- a/libplantainusher/placer/placer.c
+++ b/libplantainusher/placer/placer.c
@@ -187,7 +187,8 @@
 
   if (o == NULL)
     return;
-  pu_follow_failed (p->follow, pu_names_get (&p->follow->backends, o->backend),
+  pu_follow_failed (p->follow,
+                    pu_names_intern (&p->follow->backends, o->backend),
                     pu_follow_copy (p->follow, o->model, o->model_version));
 }
 
@@ -348,7 +349,8 @@
 pu_placer_new (const pu_placer_options_t *o)
 {
   pu_placer_t *p = g_new0 (pu_placer_t, 1);
-  pu_control_duty_t duty = { "placement", on_begin, on_tick, on_end, p };
+  pu_control_leader_task_t duty
+      = { "placement", on_begin, on_tick, on_end, p };
   pu_sends_options_t s = { 0 };
 
   p->o = *o;
@@ -363,7 +365,7 @@
   p->awaited = g_hash_table_new (NULL, NULL);
   p->actions = g_array_new (FALSE, FALSE, sizeof (pu_orders_action_t));
   get_counters (p);
-  pu_control_add_duty (o->control, &duty);
+  pu_control_add_leader_task (o->control, &duty);
   pu_control_on_demand (o->control, on_demand, p);
   return p;
 }
--- a/libplantainusher/placer/placer_test.cc
+++ b/libplantainusher/placer/placer_test.cc
@@ -34,10 +34,10 @@
   pu_names_t n;
 
   pu_names_init (&n);
-  const guint32 first = pu_names_get_incarnation (&n, "i-1", 1000);
-  EXPECT_NE (first, pu_names_get_incarnation (&n, "i-1", 2000));
-  EXPECT_EQ (first, pu_names_get_incarnation (&n, "i-1", 1000));
-  EXPECT_NE (first, pu_names_get_incarnation (&n, "i-2", 1000));
+  const guint32 first = pu_names_intern_incarnation (&n, "i-1", 1000);
+  EXPECT_NE (first, pu_names_intern_incarnation (&n, "i-1", 2000));
+  EXPECT_EQ (first, pu_names_intern_incarnation (&n, "i-1", 1000));
+  EXPECT_NE (first, pu_names_intern_incarnation (&n, "i-2", 1000));
   pu_names_clear (&n);
 }
 
--- a/libplantainusher/placer/sequenced.c
+++ b/libplantainusher/placer/sequenced.c
@@ -24,8 +24,8 @@
 #define FORECAST_FAST_S 1.0
 #define FORECAST_MID_S 2.0
 #define FORECAST_SLOW_S 2.0
-#define FORECAST_HELD_S 3.0
-#define FORECAST_LEAD_S 1.0
+#define FORECAST_PEAK_DECAY_S 3.0
+#define FORECAST_HORIZON_S 1.0
 
 #define STORE_BURST 3.0
 
@@ -57,7 +57,7 @@
 static void
 item_declare (lead_t *l, const pu_model_t *m)
 {
-  guint32 item = pu_names_get (&l->items, m->name);
+  guint32 item = pu_names_intern (&l->items, m->name);
   pu_plan_item_t t = { .name = pu_names_name (&l->items, item),
                        .base = PU_PLAN_NONE,
                        .previous_version = PU_PLAN_NONE,
@@ -72,7 +72,7 @@
     {
       pu_dispatcher_set_adapter (l->dispatcher, item);
       pu_adapters_add (l->adapters, item,
-                       pu_names_get (&l->items, m->base_name));
+                       pu_names_intern (&l->items, m->base_name));
     }
   else
     {
@@ -99,8 +99,8 @@
   o.forecast.fast_s = FORECAST_FAST_S;
   o.forecast.mid_s = FORECAST_MID_S;
   o.forecast.slow_s = FORECAST_SLOW_S;
-  o.forecast.peak_decay_s = FORECAST_HELD_S;
-  o.forecast.horizon_s = FORECAST_LEAD_S;
+  o.forecast.peak_decay_s = FORECAST_PEAK_DECAY_S;
+  o.forecast.horizon_s = FORECAST_HORIZON_S;
   pu_planner_set_options (l->planner, &o);
   l->store_rate = p->store_loads_per_s;
 }
@@ -193,7 +193,8 @@
 
   for (u_int i = 0; i < b->copies.copies_len; i++)
     {
-      guint32 item = pu_names_get (&l->items, b->copies.copies_val[i].model);
+      guint32 item
+          = pu_names_intern (&l->items, b->copies.copies_val[i].model);
 
       pu_dispatcher_mark_loaded (l->dispatcher, handle, item,
                                  pu_sequenced_now (s));
@@ -210,8 +211,8 @@
 
   if (b->kind != PU_BACKEND_ENGINE)
     return;
-  handle
-      = pu_names_get_incarnation (&l->engine_names, b->name, b->incarnation);
+  handle = pu_names_intern_incarnation (&l->engine_names, b->name,
+                                        b->incarnation);
   engine_new (s, handle, b);
   e = pu_sequenced_engine (l, handle);
   g_free (e->address);
@@ -233,9 +234,9 @@
   const pu_state_t *state = pu_control_state (s->o.control);
   lead_t *l = s->lead;
 
-  if (pu_state_changes (state) == l->changes)
+  if (pu_state_change_count (state) == l->changes)
     return;
-  l->changes = pu_state_changes (state);
+  l->changes = pu_state_change_count (state);
   document_take (s);
   for (guint i = 0; i < l->engines->len; i++)
     pu_sequenced_engine (l, i)->seen = false;
@@ -323,7 +324,7 @@
       p.committed_mb += copy.memory_mb;
       g_array_append_val (s->copies, copy);
     }
-  p.zone = pu_names_get (&l->zones, e->zone);
+  p.zone = pu_names_intern (&l->zones, e->zone);
   p.memory_mb = c->memory_mb - MIN (c->memory_mb, adapter_room (l, c));
   p.usable = e->usable && pu_dispatcher_accepts_orders (l->dispatcher, handle);
   p.closed
@@ -628,7 +629,8 @@
 pu_sequenced_new (const pu_sequenced_options_t *o)
 {
   pu_sequenced_t *s = g_new0 (pu_sequenced_t, 1);
-  pu_control_duty_t duty = { "placement", on_begin, on_tick, on_end, s };
+  pu_control_leader_task_t duty
+      = { "placement", on_begin, on_tick, on_end, s };
   pu_http_client_options_t c
       = { .loop = o->loop, .connect_timeout_ms = o->connect_ms };
 
@@ -647,7 +649,7 @@
           = pu_counters_get (o->counters, "placement_reports_fetched_total");
       s->lost = pu_counters_get (o->counters, "placement_answers_lost_total");
     }
-  pu_control_add_duty (o->control, &duty);
+  pu_control_add_leader_task (o->control, &duty);
   pu_control_on_demand (o->control, on_demand, s);
   pu_control_on_want (o->control, pu_sequenced_on_want, s);
   return s;
--- a/libplantainusher/placer/sequenced.h
+++ b/libplantainusher/placer/sequenced.h
@@ -30,7 +30,7 @@
   pu_control_t *control;
   const char *name;        /* of this instance: the holder of its orders */
   pu_counters_t *counters; /* may be NULL */
-  const pu_order_wire_t *wire;
+  const pu_order_protocol_t *wire;
   guint32 connect_ms;
   guint32 answer_ms;  /* an engine answers orders and reports within this */
   guint32 plan_ms;    /* between two plans */
--- a/libplantainusher/placer/wire.h
+++ b/libplantainusher/placer/wire.h
@@ -54,7 +54,7 @@
      findings.  */
   bool (*report_read) (const char *text, gsize len, pu_wire_report_t *r,
                        pu_findings_t *f);
-} pu_order_wire_t;
+} pu_order_protocol_t;
 
 G_END_DECLS
 
--- a/libplantainusher/state/backend_delta_test.cc
+++ b/libplantainusher/state/backend_delta_test.cc
@@ -156,7 +156,7 @@
     pu_reply r{};
 
     if (c.type == PU_COMMAND_BACKEND_UP)
-      pu_state_apply_delta (state, position, &c, &r, &delta, &is_public);
+      pu_state_apply_report (state, position, &c, &r, &delta, &is_public);
     else
       pu_state_apply (state, position, &c, &r);
     pu_reply_clear (&r);
@@ -249,7 +249,7 @@
         if (i.position > a.from && i.position <= a.position)
           apply_entry (i);
       }
-    pu_state_skip (state, a.position);
+    pu_state_skip_to (state, a.position);
   }
 
   /* Takes a random reply in flight: replies are lost, duplicated, delayed or
@@ -413,7 +413,7 @@
   bool detected = false;
 
   for (unsigned seed = 1; seed <= 50 && !detected; seed++)
-    detected = !copies_agree (seed, PU_STATE_BREAK_DELTA_BASE);
+    detected = !copies_agree (seed, PU_STATE_BREAK_NO_DELTA_CHECK);
   EXPECT_TRUE (detected);
 }
 
--- a/libplantainusher/state/delta.c
+++ b/libplantainusher/state/delta.c
@@ -90,7 +90,7 @@
 }
 
 void
-pu_state_shrink_submit (const pu_state_t *s, pu_submit *c)
+pu_state_delta_encode_submit (const pu_state_t *s, pu_submit *c)
 {
   const pu_doc_record *d = pu_state_document (s);
   size_t base_len;
--- a/libplantainusher/state/state_fuzz_test.cc
+++ b/libplantainusher/state/state_fuzz_test.cc
@@ -192,7 +192,7 @@
         continue;
       if (!pu_state_each_changed_backend (s.state, since, put, &reader))
         pu_state_each_backend (s.state, put, &reader);
-      since = pu_state_changes (s.state);
+      since = pu_state_change_count (s.state);
       pu_state_each_backend (s.state, put, &expected);
       if (reader != expected)
         return false;
@@ -236,13 +236,14 @@
 
 TEST (StateFuzz, InjectedFaultsAreDetected)
 {
-  EXPECT_TRUE (is_detected (highest_rank_is_in_force, PU_STATE_BREAK_RANK));
+  EXPECT_TRUE (
+      is_detected (highest_rank_is_in_force, PU_STATE_BREAK_NO_RANK_CHECK));
   EXPECT_TRUE (
       is_detected (claims_are_at_most_once, PU_STATE_BREAK_REGRANT_UNKNOWN));
   EXPECT_TRUE (
-      is_detected (claims_are_at_most_once, PU_STATE_BREAK_LATE_COPY));
+      is_detected (claims_are_at_most_once, PU_STATE_BREAK_REOPEN_CLAIM));
   EXPECT_TRUE (
-      is_detected (versions_are_sequential, PU_STATE_BREAK_BASE_VERSION));
+      is_detected (versions_are_sequential, PU_STATE_BREAK_NO_BASE_CHECK));
 }
 
 /* A voter that restores an image must stay equal to the voter that made it,
--- a/libplantainusher/state/state_test.cc
+++ b/libplantainusher/state/state_test.cc
@@ -120,24 +120,24 @@
 
   s.backend ("a", 1, 1);
   s.backend ("b", 1, 1);
-  uint64_t seen = pu_state_changes (s.state);
+  uint64_t seen = pu_state_change_count (s.state);
   EXPECT_EQ ("b a ", changed_backends (s, 0));
   EXPECT_EQ ("", changed_backends (s, seen));
   s.backend ("a", 1, 1);
   EXPECT_EQ ("", changed_backends (s, seen)) << "the same report again";
   s.backend ("a", 1, 2);
   EXPECT_EQ ("a ", changed_backends (s, seen));
-  seen = pu_state_changes (s.state);
+  seen = pu_state_change_count (s.state);
   s.down (PU_COMMAND_BACKEND_LEAVING, "b", 1);
   EXPECT_EQ ("b ", changed_backends (s, seen));
-  seen = pu_state_changes (s.state);
+  seen = pu_state_change_count (s.state);
   s.down (PU_COMMAND_BACKEND_DOWN, "b", 1);
   EXPECT_EQ ("b ", changed_backends (s, seen));
   bytes = s.image (true);
   ASSERT_TRUE (
       pu_state_decode (s.state, bytes.data (), bytes.size (), nullptr));
   EXPECT_EQ ("all", changed_backends (s, seen)) << "an image";
-  EXPECT_EQ ("", changed_backends (s, pu_state_changes (s.state)));
+  EXPECT_EQ ("", changed_backends (s, pu_state_change_count (s.state)));
 }
 
 /* When more than 1024 backend servers are down, the record of one is evicted.
@@ -149,7 +149,7 @@
   for (int i = 0; i < 1025; i++)
     {
       const std::string name = "b" + std::to_string (i);
-      const uint64_t seen = pu_state_changes (s.state);
+      const uint64_t seen = pu_state_change_count (s.state);
 
       s.backend (name, 1, 0);
       EXPECT_EQ (PU_OUTCOME_DONE, s.down (PU_COMMAND_BACKEND_DOWN, name, 1));
@@ -322,7 +322,7 @@
       = strdup (std::to_string (pu_state_position (to.state)).c_str ());
   c.pu_command_u.submit.author = strdup ("");
   c.pu_command_u.submit.text = strdup (text.c_str ());
-  pu_state_shrink_submit (from.state, &c.pu_command_u.submit);
+  pu_state_delta_encode_submit (from.state, &c.pu_command_u.submit);
   text_bytes = strlen (c.pu_command_u.submit.text);
   EXPECT_TRUE (
       pu_state_apply (to.state, pu_state_position (to.state) + 1, &c, &r));
