--- a/libplantainusher/daemon/hooks.c
+++ b/libplantainusher/daemon/hooks.c
@@ -91,7 +91,7 @@
   h->propose = entry_propose;
   h->renew = entry_renew;
   h->demand = entry_demand;
-  h->want = entry_want;
+  h->request_model_load = entry_want;
   h->loads = pu_daemon_loads_out;
   h->withdraw = pu_daemon_withdraw_out;
   h->data = d;
--- a/libplantainusher/entry/admit.c
+++ b/libplantainusher/entry/admit.c
@@ -1,4 +1,4 @@
-/* Admission: whether a request is accepted, and the begin of its exchange.  */
+/* Admission: whether a request is accepted, and the start of its exchange.  */
 
 #include "entry/entry_private.h"
 #include "entry/trace.h"
@@ -42,7 +42,7 @@
   x->number = ++en->last_number;
   pu_request_init (&x->q);
   x->avoid = g_ptr_array_new_with_free_func (g_free);
-  pu_delivered_init (&x->sent);
+  pu_delivered_init (&x->delivered);
   return x;
 }
 
@@ -167,6 +167,6 @@
   x = exchange_new (en, http);
   x->q.arrived = arrived;
   read = en->front.read (en->front.data, en->document, http, &x->q);
-  x->last_event = x->q.after;
+  x->last_event = x->q.last_event;
   exchange_begin_or_free (x, read);
 }
--- a/libplantainusher/entry/announce.c
+++ b/libplantainusher/entry/announce.c
@@ -255,7 +255,8 @@
   const pu_finding_t *first = pu_findings_get (f, 0);
 
   en->invalid_reports++;
-  if (pu_log_limited (&en->bad_logged, loop_now (en), INVALID_LOG_PERIOD_MS))
+  if (pu_log_limited (&en->invalid_report_logged_at, loop_now (en),
+                      INVALID_LOG_PERIOD_MS))
     {
       pu_log_warn (PU_ENTRY_LOG_SLICE,
                    "%" G_GUINT64_FORMAT " invalid reports so far; the latest: "
--- a/libplantainusher/entry/attempt.c
+++ b/libplantainusher/entry/attempt.c
@@ -49,24 +49,24 @@
     {
       pu_suspects_finished (suspects, x->number);
     }
-  if (at->apart && cut)
+  if (at->as_suspect && cut)
     {
       pu_server_suspect_aborted (at->server);
     }
-  else if (at->apart)
+  else if (at->as_suspect)
     {
       pu_server_count_suspect (x->en, at->server, false);
     }
 }
 
 void
-pu_kept_clear (pu_kept_t *k)
+pu_saved_failure_clear (pu_saved_failure_t *k)
 {
-  if (k->whole != NULL)
-    g_byte_array_free (k->whole, TRUE);
-  if (k->passed != NULL)
-    g_ptr_array_free (k->passed, TRUE);
-  *k = (pu_kept_t){ 0 };
+  if (k->body != NULL)
+    g_byte_array_free (k->body, TRUE);
+  if (k->headers != NULL)
+    g_ptr_array_free (k->headers, TRUE);
+  *k = (pu_saved_failure_t){ 0 };
 }
 
 void
@@ -83,10 +83,10 @@
   g_free (at->content_type);
   g_free (at->outcome);
   g_free (at->retry_after);
-  if (at->whole != NULL)
-    g_byte_array_free (at->whole, TRUE);
-  if (at->passed != NULL)
-    g_ptr_array_free (at->passed, TRUE);
+  if (at->body != NULL)
+    g_byte_array_free (at->body, TRUE);
+  if (at->headers != NULL)
+    g_ptr_array_free (at->headers, TRUE);
   pu_stream_free (at->stream);
   pu_events_free (at->events);
   memset (at, 0, sizeof *at);
@@ -203,9 +203,9 @@
   const char *tokens = pu_http_response_header (r, "x-resume-tokens");
   guint64 n = 0;
 
-  return x->sent.tokens > 0 && tokens != NULL
+  return x->delivered.tokens > 0 && tokens != NULL
          && g_ascii_string_to_unsigned (tokens, 10, 0, G_MAXUINT32, &n, NULL)
-         && n == x->sent.tokens;
+         && n == x->delivered.tokens;
 }
 
 /* Creates the parser for a response that is a stream of events.  */
@@ -218,7 +218,7 @@
     {
     case PU_RESPONSE_TOKENS:
       at->stream
-          = pu_stream_new (&x->sent,
+          = pu_stream_new (&x->delivered,
                            resume_confirmed (x, r)
                                || pu_entry_fault_injected (
                                    x->en, PU_ENTRY_BREAK_FORWARD_REPLAY),
@@ -266,7 +266,7 @@
       return;
     }
   front->answer (front->data, &x->q, x->at.server->name, r, &x->at.answer);
-  x->at.passed = forwarded_headers (r);
+  x->at.headers = forwarded_headers (r);
 }
 
 static void
@@ -280,7 +280,7 @@
   at->status = r->status;
   response_head_read (x, r);
   at->streaming = at->answer.stream;
-  at->whole = g_byte_array_new ();
+  at->body = g_byte_array_new ();
   if (at->streaming)
     stream_parser_create (x, r);
   if (!at->streaming && !at->answer.foreign && x->ticket != 0
@@ -293,13 +293,13 @@
 {
   pu_attempt_t *at = &x->at;
 
-  if (at->whole->len + len > x->en->o.body_max)
+  if (at->body->len + len > x->en->o.body_max)
     {
       at->overflow = true;
     }
   else
     {
-      g_byte_array_append (at->whole, (const guint8 *)bytes, (guint)len);
+      g_byte_array_append (at->body, (const guint8 *)bytes, (guint)len);
     }
 }
 
@@ -387,7 +387,7 @@
 {
   const pu_attempt_t *at = &x->at;
   json_t *root
-      = json_loadb ((const char *)at->whole->data, at->whole->len, 0, NULL);
+      = json_loadb ((const char *)at->body->data, at->body->len, 0, NULL);
   const char *type = "refused";
   const char *message = "Another entry refused the request.";
   pu_refusal_t r = { .status = at->status, .outcome = PU_RUN_OUTCOME_UNKNOWN };
@@ -468,12 +468,12 @@
 static void
 failure_save (pu_exchange_t *x)
 {
-  if (status_means_not_run (x->at.status) || x->at.whole == NULL)
+  if (status_means_not_run (x->at.status) || x->at.body == NULL)
     return;
-  pu_kept_clear (&x->kept);
-  x->kept.status = x->at.status;
-  x->kept.passed = g_steal_pointer (&x->at.passed);
-  x->kept.whole = g_steal_pointer (&x->at.whole);
+  pu_saved_failure_clear (&x->saved_failure);
+  x->saved_failure.status = x->at.status;
+  x->saved_failure.headers = g_steal_pointer (&x->at.headers);
+  x->saved_failure.body = g_steal_pointer (&x->at.body);
 }
 
 /* Forwards the bytes after the last complete event of a stream: the response
@@ -504,7 +504,7 @@
 
   if (a->foreign)
     return RESPONSE_BROKEN;
-  if (a->elsewhere)
+  if (a->replaced)
     return RESPONSE_REPLACED;
   if (a->absent)
     return RESPONSE_ABSENT;
@@ -679,7 +679,7 @@
       = { .request = &x->q,
           .server = s != NULL ? s->name : "",
           .left_ms = x->q.deadline > now ? x->q.deadline - now : 1,
-          .after = x->last_event };
+          .last_event = x->last_event };
 
   pu_header_list_init (h);
   for (guint i = 0; i + 1 < x->q.headers->len; i += 2)
@@ -706,7 +706,7 @@
                        (guint64)x->predicted_ms * HEAD_TIMEOUT_FACTOR);
 
   /* Where the request can't be retried, an earlier timeout gains nothing.  */
-  if (!x->q.repeatable || x->q.plain || x->q.here)
+  if (!x->q.repeatable || x->q.plain || x->q.never_relayed)
     limit = left;
   return (guint)MIN (limit, left);
 }
@@ -716,8 +716,8 @@
             const pu_header_list_t *h)
 {
   bool has_body = g_bytes_get_size (x->q.body) > 0;
-  GBytes *body = x->sent.tokens > 0 ? pu_exchange_resume_body (x)
-                                    : g_bytes_ref (x->q.body);
+  GBytes *body = x->delivered.tokens > 0 ? pu_exchange_resume_body (x)
+                                         : g_bytes_ref (x->q.body);
   pu_http_call_options_t o
       = { .address = address,
           .method = x->q.method,
@@ -729,7 +729,7 @@
           /* A reused connection that died while it was idle costs a retry,
              which a request that may run only once does not get; here it is
              the front's word that counts.  */
-          .fresh = !x->q.repeatable && !x->q.here,
+          .fresh = !x->q.repeatable && !x->q.never_relayed,
           .first_byte_timeout_ms = first_byte_timeout_ms (x),
           .progress_timeout_ms = x->en->o.stream_progress_timeout_ms,
           .events = { on_head, on_body, on_end },
@@ -751,11 +751,11 @@
 {
   pu_suspects_t *suspects = x->en->suspects;
 
-  if (x->q.plain || x->q.here)
+  if (x->q.plain || x->q.never_relayed)
     return;
   if (pu_suspects_is_suspect (suspects, x->q.fingerprint, now_of (x)))
     {
-      x->at.apart = true;
+      x->at.as_suspect = true;
       pu_server_count_suspect (x->en, s, true);
     }
   pu_suspects_started (suspects, x->number, x->q.fingerprint, s->number,
--- a/libplantainusher/entry/builtin_frontend.c
+++ b/libplantainusher/entry/builtin_frontend.c
@@ -61,8 +61,8 @@
   pu_header_list_add_number (h, "X-Timeout-Ms", left);
   if (x->key != NULL)
     pu_header_list_add (h, "Idempotency-Key", x->key);
-  if (x->sent.tokens > 0)
-    pu_header_list_add_number (h, "X-Resume-Tokens", x->sent.tokens);
+  if (x->delivered.tokens > 0)
+    pu_header_list_add_number (h, "X-Resume-Tokens", x->delivered.tokens);
 }
 
 /* --- responses --- */
--- a/libplantainusher/entry/deliver.c
+++ b/libplantainusher/entry/deliver.c
@@ -41,7 +41,7 @@
 static void
 forwarded_head_send (pu_exchange_t *x)
 {
-  GArray *headers = headers_of (x->at.passed);
+  GArray *headers = headers_of (x->at.headers);
 
   x->head_sent = true;
   pu_http_respond_start (x->http, x->at.status,
@@ -73,7 +73,7 @@
 {
   if (x->head_sent)
     return;
-  if (x->at.passed != NULL)
+  if (x->at.headers != NULL)
     {
       forwarded_head_send (x);
     }
@@ -99,16 +99,16 @@
 static void
 progress_report (pu_exchange_t *x, guint total)
 {
-  if (x->at.suspect_tracked && !x->at.begun)
+  if (x->at.suspect_tracked && !x->at.reported_to_suspects)
     {
-      x->at.begun = true;
+      x->at.reported_to_suspects = true;
       pu_suspects_answered (x->en->suspects, x->number);
     }
   if (x->ticket == 0)
     return;
-  if (!x->at.counted)
+  if (!x->at.reported_to_router)
     {
-      x->at.counted = true;
+      x->at.reported_to_router = true;
       pu_router_first_token (x->en->router, x->ticket, now_of (x));
     }
   pu_router_tokens (x->en->router, x->ticket, total, now_of (x));
@@ -123,7 +123,7 @@
     progress_report (x, pu_stream_tokens (x->at.stream));
   if (x->once)
     {
-      g_byte_array_append (x->at.whole, (const guint8 *)bytes, (guint)len);
+      g_byte_array_append (x->at.body, (const guint8 *)bytes, (guint)len);
       return;
     }
   stream_write (x, bytes, len);
@@ -138,11 +138,12 @@
 
   if (x->events > 0)
     {
-      x->pause_ms = MAX (x->pause_ms, (guint)(now - x->last_event_at));
+      x->max_event_gap_ms
+          = MAX (x->max_event_gap_ms, (guint)(now - x->last_event_at));
     }
   else
     {
-      x->first_ms = (guint)(now - x->q.arrived);
+      x->first_event_ms = (guint)(now - x->q.arrived);
       pu_trace_first_event (x);
     }
   x->last_event_at = now;
@@ -205,11 +206,11 @@
 
   if (x->http == NULL)
     return;
-  headers
-      = at->passed != NULL ? headers_of (at->passed) : completion_headers (x);
-  pu_http_respond (
-      x->http, at->status, (const pu_http_header_t *)(void *)headers->data,
-      headers->len, (const char *)at->whole->data, at->whole->len);
+  headers = at->headers != NULL ? headers_of (at->headers)
+                                : completion_headers (x);
+  pu_http_respond (x->http, at->status,
+                   (const pu_http_header_t *)(void *)headers->data,
+                   headers->len, (const char *)at->body->data, at->body->len);
   g_array_free (headers, TRUE);
   x->http = NULL;
 }
@@ -217,11 +218,12 @@
 void
 pu_deliver_saved_failure (pu_exchange_t *x)
 {
-  GArray *headers = headers_of (x->kept.passed);
+  GArray *headers = headers_of (x->saved_failure.headers);
 
-  pu_http_respond (
-      x->http, x->kept.status, (const pu_http_header_t *)(void *)headers->data,
-      headers->len, (const char *)x->kept.whole->data, x->kept.whole->len);
+  pu_http_respond (x->http, x->saved_failure.status,
+                   (const pu_http_header_t *)(void *)headers->data,
+                   headers->len, (const char *)x->saved_failure.body->data,
+                   x->saved_failure.body->len);
   g_array_free (headers, TRUE);
   x->http = NULL;
 }
@@ -232,15 +234,15 @@
   const pu_attempt_t *at = &x->at;
   pu_once_result_t result = { .status = (guint)at->status,
                               .content_type = at->content_type,
-                              .body = at->whole->data,
-                              .len = at->whole->len };
+                              .body = at->body->data,
+                              .len = at->body->len };
   static const pu_refusal_t large
       = { STATUS_BAD_GATEWAY, "too_large", PU_RUN_OUTCOME_RAN, 0 };
   char *text = NULL;
 
   if (result.content_type == NULL)
     result.content_type = "";
-  if (at->whole->len > PU_RESULT_MAX)
+  if (at->body->len > PU_RESULT_MAX)
     {
       text = pu_error_json_text (
           &large, "The request ran; its response is too large to store.");
--- a/libplantainusher/entry/entries.c
+++ b/libplantainusher/entry/entries.c
@@ -39,13 +39,13 @@
 void
 pu_rates_tick (pu_entry_t *en, guint64 now)
 {
-  double seconds = (double)(now - en->second) / RATE_PERIOD_MS;
+  double seconds = (double)(now - en->rates_updated_at) / RATE_PERIOD_MS;
   GHashTableIter it;
   gpointer name;
 
-  if (now - en->second < RATE_PERIOD_MS || en->document == NULL)
+  if (now - en->rates_updated_at < RATE_PERIOD_MS || en->document == NULL)
     return;
-  en->second = now;
+  en->rates_updated_at = now;
   for (guint i = 0; i < pu_document_services (en->document); i++)
     {
       const char *service = pu_document_service (en->document, i)->name;
--- a/libplantainusher/entry/entry.c
+++ b/libplantainusher/entry/entry.c
@@ -8,7 +8,7 @@
 enum
 {
   TICK_MS = 50,
-  LOADS_CHECK_MS = 200,     /* how often due load reports are forwarded */
+  LOADS_CHECK_MS = 200,     /* interval of pu_load_forward_tick */
   PREFIX_BLOCK_TOKENS = 64, /* 256 bytes of prompt, see parse.c */
   HEADER_MAX_BYTES = 32768,
   BODY_MAX_BYTES = 8 * 1024 * 1024,
@@ -207,9 +207,9 @@
   pu_exchanges_tick (en, now);
   pu_startup_tick (en, now);
   pu_rates_tick (en, now);
-  if (now - en->loads_sent_at >= LOADS_CHECK_MS)
+  if (now - en->load_forward_ticked_at >= LOADS_CHECK_MS)
     {
-      en->loads_sent_at = now;
+      en->load_forward_ticked_at = now;
       pu_load_forward_tick (en, now);
     }
   pu_entry_check_stopped (en);
@@ -260,8 +260,8 @@
 {
   en->servers
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, pu_server_free);
-  en->waiting = g_hash_table_new (NULL, NULL);
-  en->others = g_ptr_array_new_with_free_func (g_free);
+  en->ticking_servers = g_hash_table_new (NULL, NULL);
+  en->other_addresses = g_ptr_array_new_with_free_func (g_free);
   en->other_entries_view = G_MAXUINT64;
   en->reporters = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
                                          pu_reporter_free);
@@ -276,8 +276,8 @@
   en->claims = g_hash_table_new (NULL, NULL);
   en->tickets = g_hash_table_new (g_int64_hash, g_int64_equal);
   en->numbers = g_hash_table_new (g_int64_hash, g_int64_equal);
-  en->listeners = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
-                                         pu_load_receiver_free);
+  en->load_receivers = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
+                                              pu_load_receiver_free);
   en->load_ids = g_hash_table_new (g_int64_hash, g_int64_equal);
   en->model_waits = g_hash_table_new_full (g_str_hash, g_str_equal, NULL,
                                            pu_model_wait_free);
@@ -332,11 +332,11 @@
   pu_once_free (en->once);
   pu_suspects_free (en->suspects);
   pu_document_unref (en->document);
-  g_hash_table_destroy (en->listeners);
+  g_hash_table_destroy (en->load_receivers);
   g_hash_table_destroy (en->load_ids);
   g_hash_table_destroy (en->model_waits);
-  g_hash_table_destroy (en->waiting);
-  g_ptr_array_free (en->others, TRUE);
+  g_hash_table_destroy (en->ticking_servers);
+  g_ptr_array_free (en->other_addresses, TRUE);
   g_hash_table_destroy (en->servers);
   g_hash_table_destroy (en->reporters);
   g_hash_table_destroy (en->strikes);
@@ -391,7 +391,7 @@
       return NULL;
     }
   en->client = pu_http_client_new (&client);
-  en->second = uv_now (o->loop);
+  en->rates_updated_at = uv_now (o->loop);
   timers_start (en);
   pu_view_sync (en);
   return en;
--- a/libplantainusher/entry/entry.h
+++ b/libplantainusher/entry/entry.h
@@ -34,7 +34,7 @@
   guint running;
   guint waiting;
   guint age_ms; /* since the backend server's report was received */
-  guint64 at;   /* loop time of that; not sent to other entries */
+  guint64 at;   /* time of that, uv_now; not sent to other entries */
 } pu_entry_load_t;
 
 /* pu_entry_load_id - the id of an incarnation of a backend server in load
@@ -71,9 +71,9 @@
   void (*renew) (void *data, const char *backend, guint64 incarnation);
   void (*demand) (void *data, const char *model, guint32 requests,
                   guint32 stream_ms);
-  /* As pu_agent_want; may be NULL.  */
-  void (*want) (void *data, const char *model, guint timeout_ms,
-                pu_entry_json_fn *fn, void *fn_data);
+  /* Asks the leader to have MODEL loaded, as pu_agent_want; may be NULL.  */
+  void (*request_model_load) (void *data, const char *model, guint timeout_ms,
+                              pu_entry_json_fn *fn, void *fn_data);
   /* Sends N load reports to the daemon with the peer address ADDRESS.  They
      are valid until the next ones, for LIFE_MS at most.  May be NULL.  */
   void (*loads) (void *data, const char *address, const pu_entry_load_t *loads,
--- a/libplantainusher/entry/entry_private.h
+++ b/libplantainusher/entry/entry_private.h
@@ -17,7 +17,8 @@
  * entry_private - the entry's tables and the state of one request, shared by
  * the source files of the entry.
  *
- * "Loop time" is uv_now of the entry's loop, in milliseconds.
+ * "Loop time" is uv_now of the entry's loop, in milliseconds.  A "suspect" is
+ * a request that may have crashed a backend server (suspects/suspects.h).
  */
 
 G_BEGIN_DECLS
@@ -55,23 +56,25 @@
   char *name;
   char *address;
   guint64 incarnation;
-  guint64 load_id;            /* of the incarnation */
+  guint64 load_id;            /* pu_entry_load_id of the incarnation */
   pu_router_backend_t handle; /* PU_ROUTER_NONE when down */
   guint number;               /* key in the suspects' table; never reused */
   bool leaving;
-  bool plain;     /* serves a plain service, not models */
-  bool down;      /* according to the view, or found dead by this entry */
-  guint suspects; /* suspects that this entry runs there; while there are any,
-                     it sends nothing else */
-  guint aborted_suspects; /* those of the suspects that were cancelled or broke
-                      off: they may still crash the server */
-  GPtrArray *held; /* of pu_exchange_t: wait for the result of the probe */
+  bool plain; /* serves a plain service, not models */
+  bool down;  /* according to the view, or found dead by this entry */
+  guint running_suspects; /* suspects that this entry runs there; while there
+                             are any, it sends the server nothing else */
+  guint aborted_suspects; /* those of running_suspects whose attempt was
+                             cancelled or lost its connection: they may still
+                             run, and crash the server */
+  GPtrArray
+      *held_exchanges; /* of pu_exchange_t: wait for the result of the probe */
   pu_entry_t *en;
   pu_http_call_t *probe;
-  guint refused;         /* consecutive probes that were refused or closed */
+  guint failed_probes;   /* consecutive probes that were refused or closed */
   guint64 probe_at;      /* loop time of the next probe; 0: none */
   guint64 aborted_until; /* loop time until which aborted_suspects is still
-                          counted in suspects */
+                          counted in running_suspects */
   guint64 local_down_until; /* loop time until which the server is taken for
                          dead, whatever the view says; 0: not found dead */
   GHashTable
@@ -92,8 +95,8 @@
 
 typedef enum
 {
-  PU_EXCHANGE_WAITING,  /* for an identical request, for a suspect to release a
-                    copy,  or for its model to be loaded */
+  PU_EXCHANGE_WAITING,  /* for an identical request, for a suspect to end that
+                           occupies a copy, or for its model to be loaded */
   PU_EXCHANGE_CLAIMING, /* the claim of its key is being proposed or recorded
                          */
   PU_EXCHANGE_QUEUED,   /* in the router's queue */
@@ -113,18 +116,19 @@
   char *entry;         /* name of the other entry */
   int status;
   pu_response_class_t answer;
-  GPtrArray *passed; /* alternating names and values of the response headers to
-                        forward; NULL: none */
-  bool streaming;    /* the response is a stream of events */
-  bool answered;     /* the response head was received */
-  bool begun;        /* the first token was reported to the suspects' table */
-  bool counted;      /* the first token was reported to the router */
+  GPtrArray *headers; /* alternating names and values of the response headers
+                        to forward; NULL: none */
+  bool streaming;     /* the response is a stream of events */
+  bool answered;      /* the response head was received */
+  bool reported_to_suspects; /* the first token was reported to the suspects'
+                                table */
+  bool reported_to_router;   /* the first token was reported to the router */
   bool suspect_tracked; /* the attempt is recorded in the suspects' table */
-  bool apart;           /* the attempt runs as a suspect */
+  bool as_suspect;      /* the attempt runs as a suspect */
   char *content_type;
   char *outcome;               /* X-Outcome of the response */
   char *retry_after;           /* Retry-After of the response */
-  GByteArray *whole;           /* body of a buffered response */
+  GByteArray *body;            /* of a buffered response */
   pu_stream_t *stream;         /* PU_RESPONSE_TOKENS */
   pu_events_t *events;         /* PU_RESPONSE_EVENTS */
   bool overflow;               /* the buffered response is too large */
@@ -137,10 +141,10 @@
    elsewhere.  The caller gets it if no later attempt does better.  */
 typedef struct
 {
-  int status; /* 0: no response is kept */
-  GPtrArray *passed;
-  GByteArray *whole;
-} pu_kept_t;
+  int status;         /* 0: no response is kept */
+  GPtrArray *headers; /* as in pu_attempt_t */
+  GByteArray *body;
+} pu_saved_failure_t;
 
 /* One request of a caller, from its admission to its final response.  */
 struct pu_exchange
@@ -162,8 +166,9 @@
                      request that runs elsewhere; 0: it does not wait */
   guint duplicate_wait_server; /* number of the backend server that it is kept
                                   from */
-  bool no_copy;                /* waits for a suspect to release a copy */
-  bool wants;                  /* waits for its model to be loaded */
+  bool waits_for_suspect; /* no copy of its model is ready, because a suspect
+                             occupies one: waits until that ends */
+  bool waits_for_model;   /* waits for its model to be loaded */
   pu_ticket_t ticket;
   pu_once_handle_t claim;
   guint attempts;
@@ -171,13 +176,13 @@
                         been tried */
   GPtrArray *avoid;   /* names of entries whose relay failed */
   pu_attempt_t at;
-  pu_kept_t kept;
-  pu_delivered_t sent; /* the part of a token stream sent to the caller */
-  guint64 last_event;  /* number of the last event that the caller received */
-  guint events; /* number of events that this entry sent to the caller */
-  guint64 last_event_at; /* loop time of the last of them */
-  guint first_ms;        /* from the arrival to the first of them */
-  guint pause_ms;        /* the longest gap between two of them */
+  pu_saved_failure_t saved_failure;
+  pu_delivered_t delivered; /* the part of a token stream sent to the caller */
+  guint64 last_event; /* number of the last event that the caller received */
+  guint events;       /* number of events that this entry sent to the caller */
+  guint64 last_event_at;  /* loop time of the last of them */
+  guint first_event_ms;   /* from the arrival to the first of them */
+  guint max_event_gap_ms; /* the longest gap between two of them */
   guint resumed; /* tokens that the caller had received through the entry
                     that relayed the request here */
   bool head_sent;
@@ -205,39 +210,41 @@
   guint64 document_version;
   guint64 rejected_version;     /* of the last document that was invalid */
   pu_document_parse_t *parsing; /* next document; NULL: none is being parsed */
-  guint64 changes;   /* change count of the view that was last applied */
-  GPtrArray *others; /* peer addresses of all other entries */
-  guint64 other_entries_view; /* version of the member view that `others` is
-                                 from */
+  guint64 changes; /* change count of the view that was last applied */
+  GPtrArray *other_addresses; /* peer addresses of all other entries */
+  guint64 other_entries_view; /* version of the view's members that
+                                 other_addresses was made from */
   GHashTable *servers;        /* name -> pu_server_t */
-  GHashTable *waiting;   /* set of pu_server_t that have a timer pending */
+  GHashTable
+      *ticking_servers;  /* set of pu_server_t that have a pending timer */
   GHashTable *reporters; /* name -> pu_reporter_t */
   GHashTable *strikes;   /* &fingerprint -> pu_strike_t */
   GHashTable *suspect_fingerprints; /* set of &fingerprint, as in the view */
   GHashTable *rates;  /* service -> double: requests per second */
   GHashTable *counts; /* service -> guint: requests in the current second */
-  GHashTable *mean_run_ms; /* model -> double: mean run time of a request */
-  GHashTable *claims;      /* once handle -> pu_exchange_t */
-  GHashTable *tickets;     /* &ticket -> pu_exchange_t */
-  GHashTable *numbers;     /* &number -> pu_exchange_t */
-  GQueue open;             /* of pu_exchange_t */
-  GQueue startup_queue;    /* of held_request_t of startup.c */
-  gsize startup_bytes;     /* total size of their bodies */
-  GHashTable *listeners;   /* peer address -> listener_t of spread.c */
-  GHashTable *load_ids;    /* &load_id -> pu_server_t */
-  GHashTable *model_waits; /* model -> model_wait_t of model_wait.c */
+  GHashTable *mean_run_ms;    /* model -> double: mean run time of a request */
+  GHashTable *claims;         /* once handle -> pu_exchange_t */
+  GHashTable *tickets;        /* &ticket -> pu_exchange_t */
+  GHashTable *numbers;        /* &number -> pu_exchange_t */
+  GQueue open;                /* of pu_exchange_t */
+  GQueue startup_queue;       /* of held_request_t of startup.c */
+  gsize startup_bytes;        /* total size of their bodies */
+  GHashTable *load_receivers; /* peer address -> load_receiver_t of spread.c */
+  GHashTable *load_ids;       /* &load_id -> pu_server_t */
+  GHashTable *model_waits;    /* model -> model_wait_t of model_wait.c */
   uv_timer_t tick_timer;
   uv_timer_t router_timer; /* next call of pu_router_schedule */
   guint open_handles;      /* of libuv */
   guint pending; /* callbacks of proposals, load requests and parses to come */
   guint64 last_number;
   guint last_server_number;
-  guint64 second;        /* loop time when the rates were last updated */
-  guint64 loads_sent_at; /* loop time of the last pu_load_forward_tick */
+  guint64 rates_updated_at; /* loop time when the rates were last updated */
+  guint64
+      load_forward_ticked_at; /* loop time of the last pu_load_forward_tick */
   guint64 receivers_counted_at; /* loop time when the backend servers that each
-                        listener receives loads of were last counted */
+                        load receiver is sent loads of were last counted */
   guint64 invalid_reports;
-  guint64 bad_logged;
+  guint64 invalid_report_logged_at; /* loop time; limits the log lines */
   GRand *random;
   bool leaving;
   bool stopping;
@@ -318,8 +325,8 @@
 /* pu_startup_hold - queues HTTP until there is a document.  Returns false if
    the queue is full or the entry is stopping.  When all instances restart at
    the same time, each has no document for about a second.  Refusing requests
-   in that second lost a twentieth of a minute's requests, because callers
-   often have no retries left by then.  */
+   in that second lost a twentieth of all requests of that minute, because
+   callers often have no retries left by then.  */
 bool pu_startup_hold (pu_entry_t *en, pu_http_request_t *http);
 
 /* pu_startup_admit - begins the queued requests if there is a document.  */
@@ -342,8 +349,8 @@
 void pu_model_wait_begin (pu_exchange_t *x);
 
 /* pu_model_wait_tick - for a waiting X: offers it to the router once there is
-   a ready copy, refuses it when its caller is about to leave, or asks the
-   leader again.  */
+   a ready copy, refuses it when its caller is about to disconnect, or
+   asks the leader again.  */
 void pu_model_wait_tick (pu_exchange_t *x, guint64 now);
 
 /* --- demand.c: demand reported to the leader --- */
@@ -358,10 +365,10 @@
 
 /* --- spread.c: load reports forwarded to other entries --- */
 
-/* pu_load_forward_interval_ms - the interval between load reports to an entry
-   that receives those of HEARD backend servers.  It grows with HEARD, so that
-   the traffic does not.  */
-guint pu_load_forward_interval_ms (guint heard);
+/* pu_load_forward_interval_ms - the interval between the load reports that are
+   sent to an entry which receives the loads of N_BACKENDS backend servers.  It
+   grows with N_BACKENDS, so that the traffic does not.  */
+guint pu_load_forward_interval_ms (guint n_backends);
 
 /* pu_load_forward_lifetime_ms - how long a load report that is sent every
    INTERVAL_MS stays valid.  */
@@ -380,7 +387,7 @@
 /* pu_load_forward_tick - sends the queued load reports to the entries whose
    interval has passed.  */
 void pu_load_forward_tick (pu_entry_t *en, guint64 now);
-void pu_load_receiver_free (gpointer listener);
+void pu_load_receiver_free (gpointer receiver);
 
 /* --- servers.c: backend servers in the router, probes, crashes --- */
 
@@ -413,8 +420,8 @@
    those of its adapters until loop time UNTIL.  */
 void pu_server_withdraw (pu_server_t *s, const char *model, guint64 until);
 
-/* pu_server_is_withdrawn - whether the copy of MODEL on S gets no new requests
-   until loop time UNTIL or later.  */
+/* pu_server_is_withdrawn - whether pu_server_withdraw applies to the copy of
+   MODEL on S until loop time UNTIL or longer.  */
 bool pu_server_is_withdrawn (const pu_server_t *s, const char *model,
                              guint64 until);
 
@@ -427,8 +434,9 @@
  * server. */
 void pu_server_remove_held (pu_exchange_t *x);
 
-/* pu_server_count_suspect - a suspect begins, or else ends, to run at S. While
-   suspects run there, this entry sends S nothing else.  */
+/* pu_server_count_suspect - counts a suspect that starts to run at S or, if
+   BEGINS is false, that ended there.  While suspects run there, this entry
+   sends S nothing else.  */
 void pu_server_count_suspect (pu_entry_t *en, pu_server_t *s, bool begins);
 
 /* pu_servers_copy_isolated - whether there is a backend server with a copy of
@@ -436,8 +444,8 @@
    there.  */
 bool pu_servers_copy_isolated (const pu_entry_t *en, const char *model);
 
-/* pu_server_suspect_aborted - a suspect at S was cancelled or broke off.  It
-   counts as running for strike_settle_ms more.  */
+/* pu_server_suspect_aborted - the attempt of a suspect at S was cancelled or
+   lost its connection.  It counts as running for strike_settle_ms more.  */
 void pu_server_suspect_aborted (pu_server_t *s);
 
 /* --- strikes.c: strikes against requests --- */
@@ -603,8 +611,8 @@
 bool pu_attempt_start (pu_exchange_t *x, pu_server_t *s);
 bool pu_attempt_relay (pu_exchange_t *x, const pu_directory_entry_t *to);
 
-/* pu_kept_clear - frees the kept response.  */
-void pu_kept_clear (pu_kept_t *k);
+/* pu_saved_failure_clear - frees the response in K, which is then empty.  */
+void pu_saved_failure_clear (pu_saved_failure_t *k);
 
 /* pu_attempt_clear - ends the attempt of X and cancels its call.  */
 void pu_attempt_clear (pu_exchange_t *x);
--- a/libplantainusher/entry/entry_test.cc
+++ b/libplantainusher/entry/entry_test.cc
@@ -33,7 +33,7 @@
   caller whole;
 
   r.call_chat (stream, n, "hi", true, { { "X-Request-Id", "q1" } });
-  EXPECT_TRUE (stream.whole ());
+  EXPECT_TRUE (stream.is_complete ());
   EXPECT_EQ ("q1", stream.headers["x-request-id"]);
   EXPECT_EQ (engine_text (4), stream.text ());
   EXPECT_TRUE (contains (stream.body, DONE_EVENT));
@@ -116,7 +116,7 @@
       caller c;
 
       r.call_chat (c, n, "hi", true);
-      EXPECT_TRUE (c.whole ());
+      EXPECT_TRUE (c.is_complete ());
     }
   EXPECT_TRUE (a.executed_ids.empty ());
   EXPECT_EQ (4u, b.executed_ids.size ());
@@ -139,7 +139,7 @@
       b.truncate_after_tokens = cut;
       b.supports_resume = GetParam ();
       r.call_chat (c, n, "hi", true);
-      EXPECT_TRUE (c.whole ());
+      EXPECT_TRUE (c.is_complete ());
       EXPECT_EQ (engine_text (4), c.text ());
       EXPECT_EQ (2u, b.executed_ids.size ());
       EXPECT_EQ (cut > 0, contains (b.request_bodies[1], "resume_text"));
@@ -154,10 +154,10 @@
 
   b.truncate_after_tokens = 2;
   r.send_chat (c, n, "hi", true);
-  r.until ([this] { return c.text () == engine_text (2); });
+  r.run_until ([this] { return c.text () == engine_text (2); });
   b.sends_wrong_id = true;
   r.finish (c);
-  EXPECT_FALSE (c.whole ());
+  EXPECT_FALSE (c.is_complete ());
   EXPECT_EQ (engine_text (2), c.text ());
   EXPECT_TRUE (contains (c.body, "event: error"));
   EXPECT_TRUE (contains (c.body, "\"outcome\":\"ran\""));
@@ -170,7 +170,7 @@
   b.truncate_after_tokens = 0;
   r.call_chat (c, n, "hi", false);
   EXPECT_EQ (200, c.status);
-  EXPECT_TRUE (c.whole ());
+  EXPECT_TRUE (c.is_complete ());
   EXPECT_EQ (2u, b.executed_ids.size ());
 }
 
@@ -208,10 +208,10 @@
 
   a.stalls = true;
   r.send_chat (c, n, "hi", true);
-  r.until ([this] { return c.text () == engine_text (4); });
+  r.run_until ([this] { return c.text () == engine_text (4); });
   a.stalls = false;
   r.finish (c);
-  EXPECT_TRUE (c.whole ());
+  EXPECT_TRUE (c.is_complete ());
   EXPECT_EQ (engine_text (4), c.text ());
 }
 
@@ -221,10 +221,10 @@
 
   b.stalls = true;
   r.send_chat (c, n, "hi", true);
-  r.until ([this] { return !c.body.empty (); });
+  r.run_until ([this] { return !c.body.empty (); });
   EXPECT_EQ (1u, pu_entry_in_flight (n.entry));
   pu_http_call_cancel (c.call);
-  r.until ([&] {
+  r.run_until ([&] {
     return pu_entry_in_flight (n.entry) == 0
            && pu_http_server_requests (b.server) == 0;
   });
@@ -249,13 +249,13 @@
 
   a.stalls = true;
   r.send_chat (c, n, "hi", true);
-  r.until ([this] { return !c.body.empty (); });
+  r.run_until ([this] { return !c.body.empty (); });
   r.add_backend ("e2", "", n);
   r.kill (a);
   r.finish (c);
-  EXPECT_TRUE (c.whole ());
+  EXPECT_TRUE (c.is_complete ());
   EXPECT_EQ (engine_text (4), c.text ());
-  r.until ([&] { return !r.backend_is_up (a); });
+  r.run_until ([&] { return !r.backend_is_up (a); });
 }
 
 TEST_F (Entry, PoisonRequestKillsAtMostTwoBackendServers)
@@ -278,7 +278,7 @@
       r.send_chat (good, n, "good" + std::to_string (i), true);
       r.finish (poison);
       r.finish (good);
-      EXPECT_TRUE (good.whole ()) << good.body;
+      EXPECT_TRUE (good.is_complete ()) << good.body;
       rejected += poison.status == 422 ? 1 : 0;
     }
   for (const auto *b : all)
@@ -307,7 +307,7 @@
   for (caller &c : poisons)
     {
       r.finish (c);
-      EXPECT_FALSE (c.whole () && c.status == 200);
+      EXPECT_FALSE (c.is_complete () && c.status == 200);
     }
   for (const auto *b : all)
     {
@@ -335,17 +335,17 @@
 
   a.stalls = true;
   r.send_chat (suspect, n, "slow", true);
-  r.until ([&] { return !suspect.body.empty (); });
+  r.run_until ([&] { return !suspect.body.empty (); });
   backend &b = r.add_backend ("e2", "", n);
   b.stalls = true;
   r.kill (a);
-  r.until ([&] { return b.executed_ids.size () == 1; });
+  r.run_until ([&] { return b.executed_ids.size () == 1; });
   b.stalls = false;
   r.call_chat (c, n, "hi", true);
   EXPECT_EQ (200, c.status) << c.body;
-  EXPECT_TRUE (c.whole ());
+  EXPECT_TRUE (c.is_complete ());
   r.finish (suspect);
-  EXPECT_TRUE (suspect.whole ()) << suspect.body;
+  EXPECT_TRUE (suspect.is_complete ()) << suspect.body;
 }
 
 /* A process that is exiting may still accept the probe's connection and close
@@ -358,7 +358,7 @@
   a.truncate_after_tokens = 0;
   r.call_chat (c, n, "hi", true);
   EXPECT_EQ (503, c.status);
-  r.until ([&] { return !r.backend_is_up (a); });
+  r.run_until ([&] { return !r.backend_is_up (a); });
   EXPECT_EQ (1u, a.executed_ids.size ());
 }
 
@@ -386,7 +386,7 @@
       caller c;
 
       r.call_chat (c, n, "hi", true);
-      EXPECT_TRUE (c.whole ());
+      EXPECT_TRUE (c.is_complete ());
     }
   EXPECT_TRUE (a.executed_ids.empty ());
   EXPECT_EQ (4u, b.executed_ids.size ());
@@ -486,7 +486,7 @@
   r.call (first, n, "POST", "/services/board/assign", "{}", KEY_HEADER);
   EXPECT_EQ (200, first.status);
   EXPECT_EQ ("ran", first.headers["x-outcome"]);
-  r.until ([this] { return pu_entry_in_flight (n.entry) == 0; });
+  r.run_until ([this] { return pu_entry_in_flight (n.entry) == 0; });
   r.call (again, m, "POST", "/services/board/assign", "{}", KEY_HEADER);
   EXPECT_EQ (first.body, again.body);
   r.call (other, m, "POST", "/services/board/assign", "{1}", KEY_HEADER);
@@ -518,7 +518,7 @@
   b.rejects_requests = true;
   r.call (c, n, "POST", "/services/board/assign", "{}", KEY_HEADER);
   EXPECT_EQ ("not-run", c.headers["x-outcome"]);
-  r.until ([this] { return pu_entry_in_flight (n.entry) == 0; });
+  r.run_until ([this] { return pu_entry_in_flight (n.entry) == 0; });
   b.rejects_requests = false;
   r.call (again, n, "POST", "/services/board/assign", "{}", KEY_HEADER);
   EXPECT_EQ (200, again.status);
@@ -547,12 +547,12 @@
   b.stalls = true;
   b.token_count = 0;
   r.send (c, n, "POST", "/services/board/assign", "{}", KEY_HEADER);
-  r.until ([&b] { return b.pending_requests.size () == 1; });
+  r.run_until ([&b] { return b.pending_requests.size () == 1; });
   pu_http_call_cancel (c.call);
   for (int i = 0; i < 50; i++)
     uv_run (&r.loop, UV_RUN_ONCE);
   pu_http_respond (b.pending_requests[0], 200, nullptr, 0, "done", 4);
-  r.until ([this] { return pu_entry_in_flight (n.entry) == 0; });
+  r.run_until ([this] { return pu_entry_in_flight (n.entry) == 0; });
   r.call (again, n, "POST", "/services/board/assign", "{}", KEY_HEADER);
   EXPECT_EQ ("done", again.body);
   EXPECT_EQ (1u, b.executed_ids.size ());
@@ -604,7 +604,7 @@
       caller c;
 
       r.call_chat (c, *n, "hi", true, { { "X-Request-Id", "q" } });
-      EXPECT_TRUE (c.whole ());
+      EXPECT_TRUE (c.is_complete ());
       EXPECT_EQ (engine_text (4), c.text ());
     }
   EXPECT_EQ (4u, engine->executed_ids.size ());
@@ -617,7 +617,7 @@
 
   engine->stalls = true;
   r.send_chat (c, out, "hi", true);
-  r.until ([this] { return c.text () == engine_text (4); });
+  r.run_until ([this] { return c.text () == engine_text (4); });
   engine->stalls = false;
   for (auto *n : nodes)
     if (contains (set, n->address))
@@ -628,7 +628,7 @@
         pu_entry_abort (n->entry);
       }
   r.finish (c);
-  EXPECT_TRUE (c.whole ()) << c.body;
+  EXPECT_TRUE (c.is_complete ()) << c.body;
   EXPECT_EQ (engine_text (4), c.text ());
 }
 
@@ -638,10 +638,10 @@
 
   engine->stalls = true;
   r.send_chat (c, out, "hi", true);
-  r.until ([this] { return c.text () == engine_text (4); });
+  r.run_until ([this] { return c.text () == engine_text (4); });
   r.kill (*engine);
   r.finish (c);
-  EXPECT_FALSE (c.whole ());
+  EXPECT_FALSE (c.is_complete ());
   EXPECT_TRUE (contains (c.body, "event: error")) << c.body;
   EXPECT_TRUE (contains (c.body, "\"outcome\":\"ran\"")) << c.body;
 }
@@ -652,7 +652,7 @@
      not in the service's set, still relays the request.  */
   r.call_chat (c, entry_outside_set (), "hi", true,
                { { "X-Relay-Hop", "1" }, { "X-Relay-Key", "guess" } });
-  EXPECT_TRUE (c.whole ());
+  EXPECT_TRUE (c.is_complete ());
 }
 
 TEST_F (MultipleEntries, LeavingEntryIsNotListedButServes)
@@ -662,7 +662,7 @@
   pu_entry_leave (nodes[0]->entry);
   EXPECT_FALSE (contains (service_entries (), nodes[0]->address));
   r.call_chat (c, *nodes[0], "hi", true);
-  EXPECT_TRUE (c.whole ());
+  EXPECT_TRUE (c.is_complete ());
   r.call (health, *nodes[0], "GET", "/healthz", "");
   EXPECT_EQ (503, health.status);
 }
@@ -671,14 +671,14 @@
 {
   engine->stalls = true;
   r.send_chat (c, *nodes[0], "hi", true);
-  r.until ([this] { return c.text () == engine_text (4); });
+  r.run_until ([this] { return c.text () == engine_text (4); });
   pu_entry_stop (
       nodes[0]->entry, [] (void *d) { *static_cast<bool *> (d) = true; },
       &nodes[0]->stopped);
   engine->stalls = false;
   r.finish (c);
-  EXPECT_TRUE (c.whole ());
-  r.until ([this] { return nodes[0]->stopped; });
+  EXPECT_TRUE (c.is_complete ());
+  r.run_until ([this] { return nodes[0]->stopped; });
 }
 
 TEST_F (Entry, ModelsAndDump)
--- a/libplantainusher/entry/exchange.c
+++ b/libplantainusher/entry/exchange.c
@@ -16,10 +16,10 @@
 pu_exchange_free (pu_exchange_t *x)
 {
   pu_request_clear (&x->q);
-  pu_kept_clear (&x->kept);
+  pu_saved_failure_clear (&x->saved_failure);
   g_free (x->key);
   g_ptr_array_free (x->avoid, TRUE);
-  pu_delivered_clear (&x->sent);
+  pu_delivered_clear (&x->delivered);
   g_free (x);
 }
 
@@ -68,7 +68,7 @@
 static pu_run_outcome_t
 overall_outcome (const pu_exchange_t *x, pu_run_outcome_t o)
 {
-  if (x->sent.tokens > 0 || x->events > 0)
+  if (x->delivered.tokens > 0 || x->events > 0)
     return PU_RUN_OUTCOME_RAN;
   if (o == PU_RUN_OUTCOME_NOT_RUN && x->may_have_run)
     return PU_RUN_OUTCOME_UNKNOWN;
@@ -115,7 +115,7 @@
     {
       pu_http_respond_abort (x->http);
     }
-  else if (x->http != NULL && x->kept.status != 0
+  else if (x->http != NULL && x->saved_failure.status != 0
            && final.outcome != PU_RUN_OUTCOME_NOT_RUN)
     {
       pu_deliver_saved_failure (x);
@@ -243,7 +243,7 @@
 static bool
 is_crash_tracked (const pu_exchange_t *x)
 {
-  return !x->q.plain && !x->q.here;
+  return !x->q.plain && !x->q.never_relayed;
 }
 
 static bool
@@ -286,7 +286,7 @@
     }
   /* A request that may run only once is not relayed: each further hop is
      another place where its outcome can be lost.  */
-  if (x->once || !x->q.repeatable || x->q.here)
+  if (x->once || !x->q.repeatable || x->q.never_relayed)
     {
       relay = false;
     }
@@ -392,8 +392,8 @@
       fail_convicted (x);
       return false;
     }
-  if (verdict != PU_SUSPECTS_WAIT && (!is_suspect (x) || s->suspects == 0)
-      && !defer_from (x, s))
+  if (verdict != PU_SUSPECTS_WAIT
+      && (!is_suspect (x) || s->running_suspects == 0) && !defer_from (x, s))
     return true;
   ticket_cancel (x);
   x->phase = PU_EXCHANGE_WAITING;
@@ -450,9 +450,9 @@
           pu_model_wait_begin (x);
           break;
         }
-      x->no_copy
+      x->waits_for_suspect
           = d->reason == PU_ROUTER_REASON_COPY && is_blocked_by_suspect (x);
-      if (!x->no_copy)
+      if (!x->waits_for_suspect)
         {
           pu_exchange_fail_refused (x, d);
           break;
@@ -500,7 +500,7 @@
     return false;
   if (crash_verdict (x) != PU_SUSPECTS_RUN_ISOLATED)
     return true;
-  return !x->once && x->q.repeatable && !x->q.here
+  return !x->once && x->q.repeatable && !x->q.never_relayed
          && suspect_next_hop (x, &to);
 }
 
@@ -589,7 +589,7 @@
 wait_is_over (const pu_exchange_t *x)
 {
   if (crash_verdict (x) == PU_SUSPECTS_WAIT
-      || (x->no_copy && is_blocked_by_suspect (x)))
+      || (x->waits_for_suspect && is_blocked_by_suspect (x)))
     return false;
   return x->duplicate_wait_since == 0
          || !must_avoid (x, x->duplicate_wait_server);
@@ -609,7 +609,7 @@
     {
       fail_deadline (x);
     }
-  else if (x->phase == PU_EXCHANGE_WAITING && x->wants)
+  else if (x->phase == PU_EXCHANGE_WAITING && x->waits_for_model)
     {
       pu_model_wait_tick (x, now);
     }
--- a/libplantainusher/entry/faults_test.cc
+++ b/libplantainusher/entry/faults_test.cc
@@ -185,7 +185,7 @@
                               : "status 200 without the full answer" + context;
     if (a.c.text () != text.substr (0, a.c.text ().size ()))
       return "stream is not a prefix of the answer" + context;
-    if (a.c.whole () && a.c.text () != text)
+    if (a.c.is_complete () && a.c.text () != text)
       return "stream ended as complete before the full answer" + context;
     return "";
   }
--- a/libplantainusher/entry/front.h
+++ b/libplantainusher/entry/front.h
@@ -40,7 +40,7 @@
   const pu_request_t *request;
   const char *server; /* name of the backend server that the attempt is for */
   guint64 left_ms;    /* until the deadline */
-  guint64 after;      /* number of the last event that the caller received */
+  guint64 last_event; /* number of the last event that the caller received */
 } pu_attempt_params_t;
 
 /* A list of headers under construction.  */
@@ -63,17 +63,19 @@
 /* What the response head of a backend server says.  */
 typedef struct
 {
-  bool foreign;   /* the response is to another request */
-  bool not_run;   /* the request did not run */
-  bool absent;    /* not run: the server lacks the model or adapter */
-  bool elsewhere; /* not run: another process has the address now */
-  bool stream;    /* the body is a stream of events */
-  bool failed;    /* the server failed to serve the request */
+  bool foreign;  /* the response is to another request */
+  bool not_run;  /* the request did not run */
+  bool absent;   /* not run: the server lacks the model or adapter */
+  bool replaced; /* not run: another process has the address now */
+  bool stream;   /* the body is a stream of events */
+  bool failed;   /* the server failed to serve the request, which may have
+                    run unless not_run is set */
 } pu_response_class_t;
 
 typedef struct
 {
-  /* Reads HTTP into Q, which is empty.  On false HTTP was sent an error.  */
+  /* Reads HTTP into Q, which is empty.  Returns false after it responded to
+     HTTP with an error.  */
   bool (*read) (void *data, const pu_document_t *d, pu_http_request_t *http,
                 pu_request_t *q);
   /* The request id in HTTP, or NULL.  */
--- a/libplantainusher/entry/model_wait.c
+++ b/libplantainusher/entry/model_wait.c
@@ -16,8 +16,8 @@
   /* A caller that is about to disconnect is refused with a Retry-After this
      long before: a first event would hardly reach it in that time.  */
   CALLER_LEAVE_MARGIN_MS = 100,
-  /* Callers honour a Retry-After of up to this fraction of the time they have
-     left, as the users' protocol specifies.  */
+  /* Callers honour a Retry-After of up to the time they have left divided by
+     this, as the users' protocol specifies.  */
   RETRY_AFTER_DIVISOR = 3,
   DEFAULT_RETRY_AFTER_MS = 1000, /* if it is not known when a copy is ready */
   STATUS_UNAVAILABLE = 503,
@@ -28,9 +28,10 @@
 {
   pu_entry_t *en;
   char *model;
-  bool in_flight;       /* a load request to the leader */
+  bool in_flight;       /* a load request was sent to the leader and has no
+                           reply yet */
   guint64 retry_at;     /* loop time of the next load request */
-  guint64 ready_at;     /* loop time before which no copy is ready */
+  guint64 ready_at;     /* estimated loop time before which no copy is ready */
   guint64 estimated_at; /* loop time when ready_at was received; 0: it is not
                            known */
 } model_wait_t;
@@ -49,7 +50,8 @@
 {
   const pu_entry_t *en = x->en;
 
-  return en->o.hooks.want != NULL && !x->q.plain && x->q.here
+  return en->o.hooks.request_model_load != NULL && !x->q.plain
+         && x->q.never_relayed
          && pu_document_find_model (en->document, x->q.model)
                 != PU_HANDLE_NONE;
 }
@@ -58,7 +60,7 @@
 static guint64
 caller_leaves_at (const pu_exchange_t *x)
 {
-  return x->q.leaves != 0 ? x->q.leaves : x->q.deadline;
+  return x->q.disconnect_at != 0 ? x->q.disconnect_at : x->q.deadline;
 }
 
 /* Whether the caller of X is served no worse by retrying later than by waiting
@@ -86,7 +88,7 @@
                            w->ready_at > now ? (guint)(w->ready_at - now)
                                              : DEFAULT_RETRY_AFTER_MS };
 
-  x->wants = false;
+  x->waits_for_model = false;
   pu_exchange_fail (x, &r,
                     "The model is not loaded on any backend server yet.");
 }
@@ -105,7 +107,7 @@
     {
       const pu_exchange_t *x = l->data;
 
-      if (x->wants && strcmp (x->q.model, w->model) == 0)
+      if (x->waits_for_model && strcmp (x->q.model, w->model) == 0)
         g_array_append_val (numbers, x->number);
     }
   for (guint i = 0; i < numbers->len; i++)
@@ -113,7 +115,7 @@
       pu_exchange_t *x = g_hash_table_lookup (
           en->numbers, &g_array_index (numbers, guint64, i));
 
-      if (x != NULL && x->wants)
+      if (x != NULL && x->waits_for_model)
         fn (x, w, uv_now (en->o.loop));
     }
   g_array_free (numbers, TRUE);
@@ -125,7 +127,7 @@
 {
   (void)w;
   (void)now;
-  x->wants = false;
+  x->waits_for_model = false;
   pu_exchange_offer (x);
 }
 
@@ -178,8 +180,8 @@
 
   w->in_flight = true;
   en->pending++;
-  en->o.hooks.want (en->o.hooks.data, w->model, LOAD_REQUEST_TIMEOUT_MS,
-                    on_load_reply, w);
+  en->o.hooks.request_model_load (en->o.hooks.data, w->model,
+                                  LOAD_REQUEST_TIMEOUT_MS, on_load_reply, w);
 }
 
 static model_wait_t *
@@ -209,7 +211,7 @@
       return;
     }
   x->phase = PU_EXCHANGE_WAITING;
-  x->wants = true;
+  x->waits_for_model = true;
   pu_trace_model_wait (x);
   if (!w->in_flight && now >= w->retry_at)
     load_request_send (w);
--- a/libplantainusher/entry/parse.c
+++ b/libplantainusher/entry/parse.c
@@ -291,8 +291,8 @@
     return true;
   if (!number_header (x, "x-resume-tokens", 0, G_MAXINT32, 0, &tokens))
     return false;
-  g_string_assign (x->sent.text, text);
-  x->sent.tokens = (guint)tokens;
+  g_string_assign (x->delivered.text, text);
+  x->delivered.tokens = (guint)tokens;
   x->resumed = (guint)tokens;
   return true;
 }
@@ -334,7 +334,8 @@
   json_t *root = json_loadb (body, len, 0, NULL);
   char *text;
 
-  json_object_set_new (root, "resume_text", json_string (x->sent.text->str));
+  json_object_set_new (root, "resume_text",
+                       json_string (x->delivered.text->str));
   text = json_dumps (root, JSON_COMPACT);
   json_decref (root);
   return g_bytes_new_with_free_func (text, strlen (text), free, text);
--- a/libplantainusher/entry/request.h
+++ b/libplantainusher/entry/request.h
@@ -20,7 +20,7 @@
 typedef enum
 {
   PU_RESPONSE_TOKENS,  /* a completion: a stream of events with tokens in JSON,
-                        or  a buffered response */
+                          or a buffered response */
   PU_RESPONSE_EVENTS,  /* a stream of numbered events with opaque content, or a
                         buffered response */
   PU_RESPONSE_BUFFERED /* buffered, then forwarded unchanged */
@@ -31,26 +31,26 @@
   char *id;
   char *method;
   char *target;       /* path and query at the backend server */
-  char *service;      /* whose backend servers run it */
+  char *service;      /* service whose backend servers run it */
   char *route;        /* name of the router's service whose limits, targets and
                          retries apply; NULL: `service` */
   char *model;        /* "" for a plain service */
   GPtrArray *headers; /* alternating names and values to forward */
   GBytes *body;
   pu_response_kind_t answer;
-  bool plain;         /* for a plain service */
-  bool stream;        /* the caller wants a stream */
-  bool repeatable;    /* may run more than once */
-  bool resumable;     /* a broken stream may be resumed at another backend
-                         server */
-  bool here;          /* is never relayed: any entry serves it */
-  guint priority;     /* 0..9, 9 first */
-  guint attempts_max; /* backend servers that it may be sent to; 0: the
-                         router's default */
-  guint64 arrived;    /* loop time, ms */
-  guint64 deadline;   /* loop time, ms: a later response is useless */
-  guint64 leaves;  /* loop time, ms, when the caller disconnects if it has not
-                      received a first event; 0: at the deadline */
+  bool plain;            /* for a plain service */
+  bool stream;           /* the caller wants a stream */
+  bool repeatable;       /* may run more than once */
+  bool resumable;        /* a broken stream may be resumed at another backend
+                            server */
+  bool never_relayed;    /* any entry serves it */
+  guint priority;        /* 0..9, 9 first */
+  guint attempts_max;    /* backend servers that it may be sent to; 0: the
+                            router's default */
+  guint64 arrived;       /* loop time, ms */
+  guint64 deadline;      /* loop time, ms: a later response is useless */
+  guint64 disconnect_at; /* loop time, ms, when the caller disconnects if it
+                      has not received a first event; 0: at the deadline */
   guint target_ms; /* for the first event or a buffered response; 0: none */
   guint gap_ms;    /* target for the longest gap between events; 0: none */
   guint prompt_tokens;
@@ -65,9 +65,9 @@
   guint shared_tokens;    /* length of the prompt prefix that requests with the
                              same affinity share */
   guint64 affinity_key;   /* hash of the shared prefix: requests with the same
-                         value   go to the same copy unless another is better; 0:
-                         the   fingerprint is used */
-  guint64 after; /* number of the last event that the caller received */
+                             value go to the same copy unless another is
+                             better; 0: the fingerprint is used */
+  guint64 last_event; /* number of the last event that the caller received */
 } pu_request_t;
 
 /* pu_request_add_header - adds a header to forward.  Copies NAME and VALUE.
--- a/libplantainusher/entry/request_fuzz.cc
+++ b/libplantainusher/entry/request_fuzz.cc
@@ -150,7 +150,7 @@
   x->en = en;
   x->http = http;
   pu_request_init (&x->q);
-  pu_delivered_init (&x->sent);
+  pu_delivered_init (&x->delivered);
   return x;
 }
 
@@ -159,7 +159,7 @@
 {
   pu_request_clear (&x->q);
   g_free (x->key);
-  pu_delivered_clear (&x->sent);
+  pu_delivered_clear (&x->delivered);
   g_free (x);
 }
 
@@ -195,7 +195,7 @@
   pu_exchange_t *y;
   gsize len;
 
-  g_string_append (x->sent.text, "got \"so\" far");
+  g_string_append (x->delivered.text, "got \"so\" far");
   GBytes *body = pu_exchange_resume_body (x);
   const void *bytes = g_bytes_get_data (body, &len);
   http.method = "POST";
@@ -214,8 +214,8 @@
   require (x->q.fingerprint == y->q.fingerprint);
   require (x->q.prompt_tokens == y->q.prompt_tokens);
   require (x->q.max_tokens == y->q.max_tokens && x->q.stream == y->q.stream);
-  require (y->relayed && y->resumed == 3 && y->sent.tokens == 3);
-  require (strcmp (x->sent.text->str, y->sent.text->str) == 0);
+  require (y->relayed && y->resumed == 3 && y->delivered.tokens == 3);
+  require (strcmp (x->delivered.text->str, y->delivered.text->str) == 0);
   exchange_free (y);
 }
 
--- a/libplantainusher/entry/rig_test.cc
+++ b/libplantainusher/entry/rig_test.cc
@@ -237,8 +237,8 @@
   h.loads = deliver_load_reports;
   h.withdraw = deliver_withdrawal;
   if (n.owner->model_loads_enabled)
-    h.want = [] (void *d, const char *, guint, pu_entry_json_fn *fn,
-                 void *fn_data) {
+    h.request_model_load = [] (void *d, const char *, guint,
+                               pu_entry_json_fn *fn, void *fn_data) {
       static_cast<node *> (d)->owner->load_requests.push_back (
           { fn, fn_data });
     };
@@ -294,7 +294,7 @@
   uv_timer_init (&loop, &log_timer);
   log_timer.data = this;
   uv_timer_start (&log_timer, on_log_timer, LOG_TICK_MS, LOG_TICK_MS);
-  submit (rig_document);
+  submit_document (rig_document);
 }
 
 rig::~rig ()
@@ -313,11 +313,11 @@
     }
   for (auto &n : nodes)
     {
-      until ([&n] { return n.stopped; });
+      run_until ([&n] { return n.stopped; });
       pu_entry_free (n.entry);
       n.entry = nullptr;
     }
-  until ([this] { return proposals.empty (); });
+  run_until ([this] { return proposals.empty (); });
   uv_close (reinterpret_cast<uv_handle_t *> (&log_timer), nullptr);
   uv_run (&loop, UV_RUN_DEFAULT);
   EXPECT_EQ (0, uv_loop_close (&loop));
@@ -325,7 +325,7 @@
 }
 
 void
-rig::until (const std::function<bool ()> &done)
+rig::run_until (const std::function<bool ()> &done)
 {
   const guint64 limit = uv_now (&loop) + WAIT_LIMIT_MS;
 
@@ -345,7 +345,7 @@
 }
 
 void
-rig::submit (const char *document)
+rig::submit_document (const char *document)
 {
   pu_command c{};
   static char author[] = "test";
@@ -426,7 +426,7 @@
   b.server = pu_http_server_new (&o, nullptr);
   b.address = "127.0.0.1:" + std::to_string (pu_http_server_port (b.server));
   EXPECT_EQ (200, announce (b, to));
-  until ([&] { return backend_is_up (b); });
+  run_until ([&] { return backend_is_up (b); });
   return b;
 }
 
@@ -535,7 +535,7 @@
 void
 rig::finish (caller &c)
 {
-  until ([&c] { return c.ended; });
+  run_until ([&c] { return c.ended; });
 }
 
 void
--- a/libplantainusher/entry/rig_test.h
+++ b/libplantainusher/entry/rig_test.h
@@ -74,7 +74,7 @@
 
   /* Whether the answer ended and is complete.  */
   bool
-  whole () const
+  is_complete () const
   {
     return ended && end_kind == PU_HTTP_END_COMPLETE;
   }
@@ -132,9 +132,9 @@
   guint load_reports_sent = 0; /* load reports from node to node */
   guint withdrawals_sent = 0;
 
-  /* Options of the nodes added after they are set.  */
+  /* Options of the nodes that are added later.  */
   guint test_breaks = 0;                /* pu_entry_break_t */
-  const pu_frontend_t *front = nullptr; /* NULL: the entry's own */
+  const pu_frontend_t *front = nullptr; /* NULL: the built-in one */
   bool loads_to_all_entries = false;
   bool model_loads_enabled = false; /* the nodes can request model loads */
   std::list<node> nodes;
@@ -144,9 +144,13 @@
   ~rig ();
 
   /* Runs the loop until DONE is true; the test fails if that takes 20 s.  */
-  void until (const std::function<bool ()> &done);
+  void run_until (const std::function<bool ()> &done);
+
+  /* Applies C to the state at once; all nodes see the new view.  */
   void apply (const pu_command &c, pu_reply *r = nullptr);
-  void submit (const char *document);
+
+  /* Puts DOCUMENT into force.  */
+  void submit_document (const char *document);
   node &add_node (const std::string &name, bool ready = true);
 
   /* Adds a backend server, announced to the entry TO; an engine if SERVICE is
--- a/libplantainusher/entry/servers.c
+++ b/libplantainusher/entry/servers.c
@@ -42,7 +42,7 @@
   pu_server_t *s = server;
 
   pu_http_call_cancel (s->probe);
-  g_ptr_array_free (s->held, TRUE);
+  g_ptr_array_free (s->held_exchanges, TRUE);
   g_hash_table_destroy (s->copy_overrides);
   g_free (s->name);
   g_free (s->address);
@@ -61,7 +61,7 @@
   s->name = g_strdup (name);
   s->handle = PU_ROUTER_NONE;
   s->number = ++en->last_server_number;
-  s->held = g_ptr_array_new ();
+  s->held_exchanges = g_ptr_array_new ();
   s->copy_overrides
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, override_free);
   g_hash_table_insert (en->servers, s->name, s);
@@ -73,7 +73,7 @@
 static void
 server_watch (pu_server_t *s)
 {
-  g_hash_table_add (s->en->waiting, s);
+  g_hash_table_add (s->en->ticking_servers, s);
 }
 
 static bool
@@ -196,7 +196,7 @@
     .kind = s->plain ? PU_ROUTER_PLAIN : PU_ROUTER_ENGINE,
     .region = b->region,
     .zone = b->zone,
-    .leaving = s->leaving || s->suspects > 0,
+    .leaving = s->leaving || s->running_suspects > 0,
   };
 
   copies_append (s, b, plain, copies);
@@ -226,7 +226,7 @@
   g_hash_table_insert (s->en->load_ids, &s->load_id, s);
   s->leaving = false;
   s->local_down_until = 0;
-  s->refused = 0;
+  s->failed_probes = 0;
 }
 
 /* The state of S at this entry, as logged.  */
@@ -324,7 +324,7 @@
 {
   const pu_backend_record *b;
 
-  s->suspects += begins ? 1 : -1;
+  s->running_suspects += begins ? 1 : -1;
   if (s->handle == PU_ROUTER_NONE)
     return;
   if (begins)
@@ -359,7 +359,7 @@
       const pu_server_t *s = value;
       const pu_backend_record *b;
 
-      if (s->suspects == 0 || s->down)
+      if (s->running_suspects == 0 || s->down)
         continue;
       b = pu_state_backend (view, s->name);
       if (b != NULL && is_reported (b, model))
@@ -501,10 +501,10 @@
 static void
 held_retry (pu_server_t *s)
 {
-  GPtrArray *held = s->held;
+  GPtrArray *held = s->held_exchanges;
 
-  s->held = g_ptr_array_new ();
-  s->refused = 0;
+  s->held_exchanges = g_ptr_array_new ();
+  s->failed_probes = 0;
   s->probe_at = 0;
   for (guint i = 0; i < held->len; i++)
     {
@@ -572,7 +572,7 @@
       held_retry (s);
       return;
     }
-  if (++s->refused >= PROBES_UNTIL_DOWN)
+  if (++s->failed_probes >= PROBES_UNTIL_DOWN)
     {
       server_mark_dead (s);
     }
@@ -630,7 +630,7 @@
   x->phase = PU_EXCHANGE_PROBING;
   if (x->at.suspect_tracked)
     pu_suspects_connection_lost (s->en->suspects, x->number);
-  g_ptr_array_add (s->held, x);
+  g_ptr_array_add (s->held_exchanges, x);
   if (s->probe == NULL && s->probe_at == 0)
     probe_start (s);
 }
@@ -639,7 +639,7 @@
 pu_server_remove_held (pu_exchange_t *x)
 {
   if (x->at.server != NULL)
-    g_ptr_array_remove (x->at.server->held, x);
+    g_ptr_array_remove (x->at.server->held_exchanges, x);
 }
 
 /* Ends the local down state of S: the view's record applies again.  */
@@ -671,7 +671,7 @@
 void
 pu_servers_tick (pu_entry_t *en, guint64 now)
 {
-  GList *all = g_hash_table_get_keys (en->waiting);
+  GList *all = g_hash_table_get_keys (en->ticking_servers);
 
   for (const GList *l = all; l != NULL; l = l->next)
     {
@@ -679,7 +679,7 @@
 
       server_tick (s, now);
       if (!has_timer (s))
-        g_hash_table_remove (en->waiting, s);
+        g_hash_table_remove (en->ticking_servers, s);
     }
   g_list_free (all);
 }
--- a/libplantainusher/entry/spread.c
+++ b/libplantainusher/entry/spread.c
@@ -58,13 +58,13 @@
 static load_receiver_t *
 receiver_get_or_add (pu_entry_t *en, const char *address)
 {
-  load_receiver_t *l = g_hash_table_lookup (en->listeners, address);
+  load_receiver_t *l = g_hash_table_lookup (en->load_receivers, address);
 
   if (l != NULL)
     return l;
   l = g_new0 (load_receiver_t, 1);
   l->queued = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  g_hash_table_insert (en->listeners, g_strdup (address), l);
+  g_hash_table_insert (en->load_receivers, g_strdup (address), l);
   return l;
 }
 
@@ -134,7 +134,7 @@
 
   if (*m->caller_address != '\0' && strcmp (m->name, o->en->name) != 0
       && g_hash_table_add (o->seen, m->peer_address))
-    g_ptr_array_add (o->en->others, g_strdup (m->peer_address));
+    g_ptr_array_add (o->en->other_addresses, g_strdup (m->peer_address));
 }
 
 /* Returns the peer addresses of all other entries.  With hundreds of entries
@@ -147,13 +147,13 @@
   entry_list_t o = { .en = en };
 
   if (en->other_entries_view == pu_state_view (view))
-    return en->others;
+    return en->other_addresses;
   o.seen = g_hash_table_new (g_str_hash, g_str_equal);
-  g_ptr_array_set_size (en->others, 0);
+  g_ptr_array_set_size (en->other_addresses, 0);
   pu_state_each_member (view, add_other_entry, &o);
   g_hash_table_destroy (o.seen);
   en->other_entries_view = pu_state_view (view);
-  return en->others;
+  return en->other_addresses;
 }
 
 /* Returns the peer addresses of the other entries that receive the loads of B.
@@ -224,7 +224,7 @@
 static void
 receivers_recount (pu_entry_t *en)
 {
-  g_hash_table_foreach (en->listeners, receiver_reset, NULL);
+  g_hash_table_foreach (en->load_receivers, receiver_reset, NULL);
   if (en->o.loads_to_all_entries)
     {
       receivers_count_all (en);
@@ -234,7 +234,7 @@
       pu_state_each_backend (en->o.hooks.view (en->o.hooks.data),
                              receivers_count_backend, en);
     }
-  g_hash_table_foreach_remove (en->listeners, has_no_backends, NULL);
+  g_hash_table_foreach_remove (en->load_receivers, has_no_backends, NULL);
 }
 
 /* --- sending --- */
@@ -318,7 +318,7 @@
       en->receivers_counted_at = now;
       receivers_recount (en);
     }
-  g_hash_table_iter_init (&it, en->listeners);
+  g_hash_table_iter_init (&it, en->load_receivers);
   while (g_hash_table_iter_next (&it, &address, &receiver))
     {
       load_receiver_t *l = receiver;
--- a/libplantainusher/entry/spread_test.cc
+++ b/libplantainusher/entry/spread_test.cc
@@ -78,7 +78,7 @@
 TEST_F (LoadExchange, OnlyEntriesOfTheServiceReceiveReports)
 {
   r.announce (*engine, *nodes[0], load);
-  r.until ([this] {
+  r.run_until ([this] {
     return other_entries_at (static_cast<json_int_t> (engine->seq)) > 0;
   });
   EXPECT_LE (other_entries_at (static_cast<json_int_t> (engine->seq)), 2u);
@@ -88,13 +88,13 @@
 TEST_F (LoadExchange, NewerReportReplacesOneNotYetSent)
 {
   r.announce (*engine, *nodes[0], load);
-  r.until ([this] {
+  r.run_until ([this] {
     return other_entries_at (static_cast<json_int_t> (engine->seq)) > 0;
   });
   const guint first = r.load_reports_sent;
   for (int i = 0; i < 5; i++)
     r.announce (*engine, *nodes[0], load);
-  r.until ([this] {
+  r.run_until ([this] {
     return other_entries_at (static_cast<json_int_t> (engine->seq)) > 0;
   });
   /* A newer report replaces one that is still queued, so each entry received
@@ -124,12 +124,12 @@
   for (node *n : nodes)
     pu_entry_view_changed (n->entry);
   r.announce (engine, *nodes[0], load);
-  r.until ([&] { return all_received (engine); });
+  r.run_until ([&] { return all_received (engine); });
   nodes.push_back (&r.add_node ("n4"));
   for (node *n : nodes)
     pu_entry_view_changed (n->entry);
   r.announce (engine, *nodes[0], load);
-  r.until ([&] { return all_received (engine); });
+  r.run_until ([&] { return all_received (engine); });
   EXPECT_EQ (7u, r.load_reports_sent) << "three entries, then four";
 }
 
@@ -157,7 +157,7 @@
   EXPECT_TRUE (all_ready (0));
   r.announce (*engine, *nodes[0], load);
   EXPECT_TRUE (all_ready (0));
-  r.until ([&] { return all_ready (1); });
+  r.run_until ([&] { return all_ready (1); });
 }
 
 TEST_F (LoadExchange, ReportOfAnotherIncarnationIsIgnored)
--- a/libplantainusher/entry/trace.c
+++ b/libplantainusher/entry/trace.c
@@ -190,9 +190,9 @@
                 PU_LOG_NUMBER ("status", x->at.status),
                 PU_LOG_NUMBER ("attempts", x->attempts),
                 PU_LOG_NUMBER ("events", x->events),
-                PU_LOG_NUMBER ("first_ms", x->first_ms),
+                PU_LOG_NUMBER ("first_ms", x->first_event_ms),
                 PU_LOG_NUMBER ("target_ms", x->q.target_ms),
-                PU_LOG_NUMBER ("pause_ms", x->pause_ms),
+                PU_LOG_NUMBER ("pause_ms", x->max_event_gap_ms),
                 PU_LOG_NUMBER ("pause_target_ms", x->q.gap_ms),
                 PU_LOG_NUMBER ("age_ms", elapsed_ms (x, x->q.arrived)));
 }
--- a/libplantainusher/entry/view.c
+++ b/libplantainusher/entry/view.c
@@ -59,7 +59,8 @@
                     g_memdup2 (&fingerprint, sizeof fingerprint));
 }
 
-/* A suspect that the view no longer contains was lifted.  */
+/* Applies the suspects of the view.  One that the view no longer contains was
+   cleared in the log, and is removed here too.  */
 static void
 suspects_sync (pu_entry_t *en, const pu_state_t *view)
 {
