--- a/bench/log_bench.cc
+++ b/bench/log_bench.cc
@@ -251,7 +251,7 @@
   Cluster c (voters);
   Submitter s{ c, 0, 0, 0, 0, {} };
   std::string tail = ".v" + std::to_string (voters);
-  c.options.sync_each = each;
+  c.options.sync_each_entry = each;
   c.start_all ();
   if (!c.ready ())
     return 0;
@@ -365,7 +365,7 @@
   Cluster c (3);
   Submitter s{ c, 0, 0, 0, 0, {} };
   c.options.replica.snapshot_entries = 512;
-  c.options.replica.snapshot_together = together;
+  c.options.replica.snapshot_unstaggered = together;
   for (auto &m : c.machines)
     m->padding = image;
   c.start_all ();
--- a/libplantainusher/agent/agent_private.h
+++ b/libplantainusher/agent/agent_private.h
@@ -32,7 +32,7 @@
   bool closing;
   bool announcing;
   uint64_t announced_at; /* position of the last announcement's entry */
-  uint64_t told;         /* pu_state_changes at the last on_change */
+  uint64_t told;         /* pu_state_change_count at the last on_change */
 
   /* voters.c: addresses, the preferred one first */
   GPtrArray *join;
--- a/libplantainusher/agent/hold.c
+++ b/libplantainusher/agent/hold.c
@@ -57,7 +57,7 @@
     return NULL;
   if (r->image.image_len == 0)
     pu_agent_apply_entries (s, r);
-  pu_state_skip (s, r->position);
+  pu_state_skip_to (s, r->position);
   return s;
 }
 
--- a/libplantainusher/agent/propose.c
+++ b/libplantainusher/agent/propose.c
@@ -237,7 +237,7 @@
   if (c->type != PU_COMMAND_SUBMIT
       || !pu_command_decode (&copy, data, size, &e))
     return whole;
-  pu_state_shrink_submit (a->view, &copy.pu_command_u.submit);
+  pu_state_delta_encode_submit (a->view, &copy.pu_command_u.submit);
   bytes = pu_command_encode (&copy);
   pu_command_clear (&copy);
   g_bytes_unref (whole);
--- a/libplantainusher/agent/view.c
+++ b/libplantainusher/agent/view.c
@@ -107,7 +107,7 @@
     {
       a->cluster = r->cluster;
       a->confirmed = true;
-      pu_state_skip (a->view, r->position);
+      pu_state_skip_to (a->view, r->position);
     }
   return true;
 }
@@ -151,7 +151,7 @@
 void
 pu_agent_tell (pu_agent_t *a)
 {
-  uint64_t changes = pu_state_changes (a->view);
+  uint64_t changes = pu_state_change_count (a->view);
 
   if (!pu_agent_ready (a) || changes + 1 == a->told)
     return;
--- a/libplantainusher/control/control.c
+++ b/libplantainusher/control/control.c
@@ -19,7 +19,7 @@
   o->tick_ms = TICK_MS;
   o->sessions_ms = SESSIONS_MS;
   o->gather_ms = GATHER_MS;
-  o->electing_ms = ELECTING_MS;
+  o->startup_grace_ms = ELECTING_MS;
   o->ring_entries = RING_ENTRIES;
   o->ring_bytes = RING_BYTES;
   pu_state_options_init (&o->state);
@@ -66,20 +66,21 @@
 {
   if (command->type == PU_COMMAND_BACKEND_UP)
     {
-      return pu_state_apply_delta (c->state, index, command, reply, delta,
-                                   feeds);
+      return pu_state_apply_report (c->state, index, command, reply, delta,
+                                    feeds);
     }
   *delta = NULL;
   *feeds = pu_command_is_public (command);
   return pu_state_apply (c->state, index, command, reply);
 }
 
-static pu_news_t
+static pu_pace_urgency_t
 news_of (const pu_command *command, const GBytes *delta)
 {
   if (delta != NULL)
-    return PU_NEWS_GATHERED;
-  return command->type == PU_COMMAND_SUBMIT ? PU_NEWS_AT_ONCE : PU_NEWS_SOON;
+    return PU_PACE_BATCHED;
+  return command->type == PU_COMMAND_SUBMIT ? PU_PACE_IMMEDIATE
+                                            : PU_PACE_RATE_LIMITED;
 }
 
 static void
@@ -98,18 +99,18 @@
       pu_log_warn (PU_CONTROL_PART,
                    "Skipped the entry at %" G_GUINT64_FORMAT ": %s", index,
                    e.message);
-      pu_state_skip (c->state, index);
+      pu_state_skip_to (c->state, index);
       return;
     }
   if (apply (c, index, &command, &reply, &delta, &feeds))
     {
-      pu_control_keep_reply (c, index, &reply);
+      pu_control_store_reply (c, index, &reply);
       pu_reply_clear (&reply);
     }
   if (feeds)
     {
       pu_feed_add (c->feed, index, bytes, len, delta);
-      pu_control_polls_wake (c, news_of (&command, delta));
+      pu_control_polls_notify (c, news_of (&command, delta));
     }
   pu_command_clear (&command);
 }
@@ -131,9 +132,9 @@
 
   if (!pu_state_decode (c->state, bytes, len, e))
     return false;
-  pu_state_skip (c->state, index);
+  pu_state_skip_to (c->state, index);
   pu_feed_reset (c->feed, index);
-  pu_control_polls_wake (c, PU_NEWS_AT_ONCE);
+  pu_control_polls_notify (c, PU_PACE_IMMEDIATE);
   return true;
 }
 
@@ -144,7 +145,7 @@
 
   (void)term;
   if (!leader)
-    pu_control_lead_end (c);
+    pu_control_leadership_end (c);
 }
 
 /* --- procedures and time --- */
@@ -173,7 +174,7 @@
   c->heard_leader
       = c->heard_leader || pu_control_leader_address (c)[0] != '\0';
   pu_control_polls_tick (c, now);
-  pu_control_lead_tick (c, now);
+  pu_control_leadership_tick (c, now);
   pu_control_send_sessions (c, now);
 }
 
@@ -238,7 +239,7 @@
 static void
 control_free (pu_control_t *c)
 {
-  pu_control_lead_clear (c);
+  pu_control_leadership_clear (c);
   pu_control_proposals_clear (c);
   pu_sessions_free (c->sessions);
   pu_feed_free (c->feed);
@@ -264,7 +265,7 @@
   c->sessions = pu_sessions_new ();
   c->pool = pool_new (o);
   pu_control_proposals_init (c);
-  pu_control_lead_init (c);
+  pu_control_leadership_init (c);
   pu_control_polls_init (c);
   group_options (o, c, &g);
   c->group = pu_group_new (&g, e);
@@ -285,9 +286,9 @@
 }
 
 void
-pu_control_leave (pu_control_t *c)
+pu_control_step_down (pu_control_t *c)
 {
-  pu_group_leave (c->group);
+  pu_group_transfer_leadership (c->group);
 }
 
 static void
@@ -313,7 +314,7 @@
       pu_rpc_server_remove (c->options.server, PU_RPC_PROGRAM_CONTROL,
                             PU_CONTROL_VERSION, procs[i].proc);
     }
-  pu_control_lead_end (c);
+  pu_control_leadership_end (c);
   pu_rpc_timer_free (c->tick);
   pu_control_polls_clear (c);
   pu_control_drop_forwards (c);
@@ -345,15 +346,16 @@
 }
 
 void
-pu_control_add_duty (pu_control_t *c, const pu_control_duty_t *duty)
+pu_control_add_leader_task (pu_control_t *c,
+                            const pu_control_leader_task_t *duty)
 {
-  g_array_append_val (c->duties, *duty);
+  g_array_append_val (c->leader_tasks, *duty);
 }
 
 void
-pu_control_meet (pu_control_t *c, const char *address)
+pu_control_add_seed (pu_control_t *c, const char *address)
 {
-  pu_group_meet (c->group, address);
+  pu_group_add_seed (c->group, address);
 }
 
 void
@@ -384,7 +386,8 @@
       o, "state",
       json_pack ("{s:I, s:I, s:I}", "position",
                  (json_int_t)pu_state_position (c->state), "view",
-                 (json_int_t)pu_state_view (c->state), "document_version",
+                 (json_int_t)pu_state_membership_version (c->state),
+                 "document_version",
                  (json_int_t)(d == NULL ? 0 : d->doc_version)));
   if (!c->leading)
     return o;
--- a/libplantainusher/control/control.h
+++ b/libplantainusher/control/control.h
@@ -43,12 +43,12 @@
   guint32 replace_after_ms;
   guint32 voters_wanted; /* 0: operators alone add voters */
   guint32 snapshot_entries;
-  guint32 connect_ms;  /* to other voters */
-  guint32 tick_ms;     /* 100: polls are answered and duties run */
-  guint32 gather_ms;   /* 250: changes of copies wait for others */
-  guint32 electing_ms; /* 3000: a voter that started less than that ago, and
-                          has heard of no leader since, gives what its daemon
-                          has kept to daemons that have no state */
+  guint32 connect_ms;       /* to other voters */
+  guint32 tick_ms;          /* 100: polls are answered and duties run */
+  guint32 gather_ms;        /* 250: changes of copies wait for others */
+  guint32 startup_grace_ms; /* 3000: a voter that started less than that ago,
+                          and has heard of no leader since, gives what its
+                          daemon has kept to daemons that have no state */
   /* The public state that the daemon has kept, or NULL.  May be NULL.  */
   const pu_state_t *(*kept) (void *data);
   void *kept_data;
@@ -73,9 +73,9 @@
    NULL with the error of pu_group_new.  */
 pu_control_t *pu_control_new (const pu_control_options_t *o, pu_error_t *e);
 
-/* pu_control_leave - the graceful stop begins: a leader hands over.  Wait
+/* pu_control_step_down - the graceful stop begins: a leader hands over.  Wait
    until pu_control_is_leader is false, two seconds at most, then close.  */
-void pu_control_leave (pu_control_t *c);
+void pu_control_step_down (pu_control_t *c);
 
 /* pu_control_close - answers all that waits, closes the log and then calls
    CLOSED (may be NULL); C is gone then.  Free the server after that.  */
@@ -86,8 +86,9 @@
    there stay.  */
 void pu_control_set_claims_max (pu_control_t *c, guint32 claims_max);
 
-/* pu_control_meet - a voter may stand at ADDRESS, see pu_group_meet.  */
-void pu_control_meet (pu_control_t *c, const char *address);
+/* pu_control_add_seed - a voter may stand at ADDRESS, see pu_group_add_seed.
+ */
+void pu_control_add_seed (pu_control_t *c, const char *address);
 
 /* pu_control_state - the full state as applied on this voter.  */
 const pu_state_t *pu_control_state (const pu_control_t *c);
@@ -122,10 +123,11 @@
   void (*tick) (void *data, uint64_t now);
   void (*end) (void *data);
   void *data;
-} pu_control_duty_t;
+} pu_control_leader_task_t;
 
-/* pu_control_add_duty - adds DUTY (copied); functions may be NULL.  */
-void pu_control_add_duty (pu_control_t *c, const pu_control_duty_t *duty);
+/* pu_control_add_leader_task - adds DUTY (copied); functions may be NULL.  */
+void pu_control_add_leader_task (pu_control_t *c,
+                                 const pu_control_leader_task_t *duty);
 
 /* pu_control_on_demand - FN gets on the leader what daemons reported: REQUESTS
    for MODEL that need STREAM_MS in all.  */
--- a/libplantainusher/control/control_private.h
+++ b/libplantainusher/control/control_private.h
@@ -27,8 +27,8 @@
   pu_feed_t *feed;
   pu_sessions_t *sessions;
   pu_membership_t *membership;
-  GHashTable *heard; /* on the leader: name of a daemon -> heard_t */
-  GArray *duties;    /* pu_control_duty_t */
+  GHashTable *heard; /* on the leader: name of a daemon -> daemon_session_t */
+  GArray *leader_tasks; /* pu_control_leader_task_t */
   pu_control_demand_fn *demand;
   void *demand_data;
   pu_control_want_fn *want;
@@ -78,8 +78,8 @@
 /* proposals.c */
 void pu_control_proposals_init (pu_control_t *c);
 void pu_control_proposals_clear (pu_control_t *c);
-void pu_control_keep_reply (pu_control_t *c, uint64_t position,
-                            const pu_reply *r);
+void pu_control_store_reply (pu_control_t *c, uint64_t position,
+                             const pu_reply *r);
 void pu_control_on_propose (void *data, pu_rpc_call_t *call,
                             const guint8 *body, size_t n);
 
@@ -90,8 +90,8 @@
 /* polls.c */
 void pu_control_polls_init (pu_control_t *c);
 void pu_control_polls_clear (pu_control_t *c);
-/* pu_control_polls_wake - there is something NEW for those who wait.  */
-void pu_control_polls_wake (pu_control_t *c, pu_news_t news);
+/* pu_control_polls_notify - there is something NEW for those who wait.  */
+void pu_control_polls_notify (pu_control_t *c, pu_pace_urgency_t news);
 void pu_control_polls_tick (pu_control_t *c, uint64_t now);
 void pu_control_on_poll (void *data, pu_rpc_call_t *call, const guint8 *body,
                          size_t n);
@@ -99,14 +99,14 @@
                                 const guint8 *body, size_t n);
 
 /* lead.c */
-void pu_control_lead_init (pu_control_t *c);
-void pu_control_lead_clear (pu_control_t *c);
+void pu_control_leadership_init (pu_control_t *c);
+void pu_control_leadership_clear (pu_control_t *c);
 json_t *pu_control_sessions_json (pu_control_t *c);
 void pu_control_on_sessions (void *data, pu_rpc_call_t *call,
                              const guint8 *body, size_t n);
 void pu_control_send_sessions (pu_control_t *c, uint64_t now);
-void pu_control_lead_tick (pu_control_t *c, uint64_t now);
-void pu_control_lead_end (pu_control_t *c);
+void pu_control_leadership_tick (pu_control_t *c, uint64_t now);
+void pu_control_leadership_end (pu_control_t *c);
 
 G_END_DECLS
 
--- a/libplantainusher/control/control_test.cc
+++ b/libplantainusher/control/control_test.cc
@@ -52,7 +52,7 @@
   std::vector<pu_log_peer> peers;
   pu_agent_t *agent = nullptr;
   guint32 session_ms = 8000;
-  guint32 electing_ms = 3000;
+  guint32 startup_grace_ms = 3000;
   pu_state_t *kept = nullptr; /* by the voters' daemons */
   int changes = 0;
   uint64_t position = 0; /* that the agent has shown */
@@ -115,7 +115,7 @@
   start (Voter &v)
   {
     pu_control_options_t o;
-    pu_control_duty_t duty = {};
+    pu_control_leader_task_t duty = {};
     pu_error_t e;
 
     if (v.server == nullptr)
@@ -140,11 +140,11 @@
     o.ring_entries = 8;
     for (int i = 0; i < 2; i++)
       {
-        o.membership.least_ms[i] = session_ms;
-        o.membership.most_ms[i] = 2 * session_ms;
+        o.membership.min_timeout_ms[i] = session_ms;
+        o.membership.max_timeout_ms[i] = 2 * session_ms;
       }
-    o.membership.route_ms = session_ms;
-    o.electing_ms = electing_ms;
+    o.membership.route_timeout_ms = session_ms;
+    o.startup_grace_ms = startup_grace_ms;
     o.kept = [] (void *d) -> const pu_state_t * {
       return static_cast<Control *> (d)->kept;
     };
@@ -161,7 +161,7 @@
       x->ticks++;
       x->acted_without_lease |= !pu_control_is_leader (x->control);
     };
-    pu_control_add_duty (v.control, &duty);
+    pu_control_add_leader_task (v.control, &duty);
   }
 
   void
@@ -726,7 +726,7 @@
 {
   struct
   {
-    guint32 electing_ms;
+    guint32 startup_grace_ms;
     bool ready;
   } const rows[] = { { patience_ms, true }, { 0, false } };
   constexpr guint64 polls_ms = 500;
@@ -750,12 +750,12 @@
     {
       pu_agent_free (agent);
       stop (*voters[0]);
-      electing_ms = row.electing_ms;
+      startup_grace_ms = row.startup_grace_ms;
       start (*voters[0]);
       start_agent ();
       guint64 end = uv_now (&loop) + polls_ms;
       run_until ([&] { return uv_now (&loop) >= end; });
-      EXPECT_EQ (pu_agent_ready (agent), row.ready) << row.electing_ms;
+      EXPECT_EQ (pu_agent_ready (agent), row.ready) << row.startup_grace_ms;
       EXPECT_EQ (version (), row.ready ? 1U : 0U);
       EXPECT_EQ (leader (), nullptr);
     }
--- a/libplantainusher/control/lead.c
+++ b/libplantainusher/control/lead.c
@@ -11,32 +11,33 @@
   uint64_t position;
   uint64_t heard;
   char *voter;
-} heard_t;
+} daemon_session_t;
 
 static void
 heard_free (gpointer p)
 {
-  heard_t *h = p;
+  daemon_session_t *h = p;
 
   g_free (h->voter);
   g_free (h);
 }
 
 void
-pu_control_lead_init (pu_control_t *c)
+pu_control_leadership_init (pu_control_t *c)
 {
   c->membership = pu_membership_new (&c->options.membership);
   c->heard
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, heard_free);
-  c->duties = g_array_new (FALSE, FALSE, sizeof (pu_control_duty_t));
+  c->leader_tasks
+      = g_array_new (FALSE, FALSE, sizeof (pu_control_leader_task_t));
 }
 
 void
-pu_control_lead_clear (pu_control_t *c)
+pu_control_leadership_clear (pu_control_t *c)
 {
   pu_membership_free (c->membership);
   g_hash_table_unref (c->heard);
-  g_array_unref (c->duties);
+  g_array_unref (c->leader_tasks);
 }
 
 /* --- sessions --- */
@@ -45,11 +46,11 @@
 heard_take (pu_control_t *c, const pu_session *s, const char *voter,
             uint64_t at)
 {
-  heard_t *h = g_hash_table_lookup (c->heard, s->name);
+  daemon_session_t *h = g_hash_table_lookup (c->heard, s->name);
 
   if (h == NULL)
     {
-      h = g_new0 (heard_t, 1);
+      h = g_new0 (daemon_session_t, 1);
       g_hash_table_insert (c->heard, g_strdup (s->name), h);
     }
   if (s->incarnation < h->incarnation || at < h->heard)
@@ -72,14 +73,16 @@
               uint64_t now)
 {
   heard_take (c, s, voter, before (now, s->age_ms));
-  pu_membership_heard (c->membership, PU_SUBJECT_MEMBER, s->name,
-                       s->incarnation, voter, before (now, s->age_ms));
+  pu_membership_record_heartbeat (c->membership, PU_SUBJECT_MEMBER, s->name,
+                                  s->incarnation, voter,
+                                  before (now, s->age_ms));
   for (u_int i = 0; i < s->renewals.renewals_len; i++)
     {
       const pu_renewal *r = &s->renewals.renewals_val[i];
 
-      pu_membership_heard (c->membership, PU_SUBJECT_BACKEND, r->backend,
-                           r->incarnation, s->name, before (now, r->age_ms));
+      pu_membership_record_heartbeat (c->membership, PU_SUBJECT_BACKEND,
+                                      r->backend, r->incarnation, s->name,
+                                      before (now, r->age_ms));
     }
   for (u_int i = 0; i < s->demand.demand_len && c->demand != NULL; i++)
     {
@@ -92,7 +95,7 @@
 static void
 sessions_take (pu_control_t *c, const pu_sessions *m, uint64_t now)
 {
-  pu_membership_route_heard (c->membership, m->voter, now);
+  pu_membership_record_route_heartbeat (c->membership, m->voter, now);
   for (u_int i = 0; i < m->sessions.sessions_len; i++)
     {
       session_take (c, &m->sessions.sessions_val[i], m->voter, now);
@@ -198,7 +201,7 @@
 }
 
 static void
-bury (pu_control_t *c, const pu_membership_verdict_t *v)
+bury (pu_control_t *c, const pu_membership_failure_t *v)
 {
   pu_down down = { .name = (char *)v->name, .incarnation = v->incarnation };
   pu_command command = { 0 };
@@ -224,7 +227,7 @@
 membership_tick (pu_control_t *c, uint64_t now)
 {
   GArray *verdicts
-      = g_array_new (FALSE, FALSE, sizeof (pu_membership_verdict_t));
+      = g_array_new (FALSE, FALSE, sizeof (pu_membership_failure_t));
   expect_t x = { c, now };
 
   pu_state_each_member (c->state, expect_member, &x);
@@ -232,7 +235,7 @@
   pu_membership_tick (c->membership, now, verdicts);
   for (guint i = 0; i < verdicts->len; i++)
     {
-      bury (c, &g_array_index (verdicts, pu_membership_verdict_t, i));
+      bury (c, &g_array_index (verdicts, pu_membership_failure_t, i));
     }
   g_array_unref (verdicts);
 }
@@ -248,7 +251,7 @@
       = json_integer_value (json_object_get (status, "applied"));
 
   json_decref (status);
-  return (uint64_t)applied >= pu_group_committed (c->group);
+  return (uint64_t)applied >= pu_group_commit_index (c->group);
 }
 
 static void
@@ -258,13 +261,13 @@
   c->term = pu_group_term (c->group);
   pu_log_note (PU_CONTROL_PART, "Leads in term %" G_GUINT64_FORMAT ".",
                c->term);
-  pu_membership_begin (c->membership, now);
+  pu_membership_reset (c->membership, now);
   g_hash_table_remove_all (c->heard);
   g_hash_table_remove_all (c->proposers);
-  for (guint i = 0; i < c->duties->len; i++)
+  for (guint i = 0; i < c->leader_tasks->len; i++)
     {
-      const pu_control_duty_t *d
-          = &g_array_index (c->duties, pu_control_duty_t, i);
+      const pu_control_leader_task_t *d
+          = &g_array_index (c->leader_tasks, pu_control_leader_task_t, i);
 
       if (d->begin != NULL)
         d->begin (d->data, now, c->term);
@@ -272,16 +275,16 @@
 }
 
 void
-pu_control_lead_end (pu_control_t *c)
+pu_control_leadership_end (pu_control_t *c)
 {
   if (!c->leading)
     return;
   c->leading = false;
   pu_log_note (PU_CONTROL_PART, "Leads no more.");
-  for (guint i = 0; i < c->duties->len; i++)
+  for (guint i = 0; i < c->leader_tasks->len; i++)
     {
-      const pu_control_duty_t *d
-          = &g_array_index (c->duties, pu_control_duty_t, i);
+      const pu_control_leader_task_t *d
+          = &g_array_index (c->leader_tasks, pu_control_leader_task_t, i);
 
       if (d->end != NULL)
         d->end (d->data);
@@ -289,12 +292,12 @@
 }
 
 void
-pu_control_lead_tick (pu_control_t *c, uint64_t now)
+pu_control_leadership_tick (pu_control_t *c, uint64_t now)
 {
   bool holds = pu_group_holds_lease (c->group);
 
   if (c->leading && (!holds || pu_group_term (c->group) != c->term))
-    pu_control_lead_end (c);
+    pu_control_leadership_end (c);
   if (!holds)
     return;
   if (!c->leading && !is_caught_up (c))
@@ -302,10 +305,10 @@
   if (!c->leading)
     lead_begin (c, now);
   membership_tick (c, now);
-  for (guint i = 0; i < c->duties->len; i++)
+  for (guint i = 0; i < c->leader_tasks->len; i++)
     {
-      const pu_control_duty_t *d
-          = &g_array_index (c->duties, pu_control_duty_t, i);
+      const pu_control_leader_task_t *d
+          = &g_array_index (c->leader_tasks, pu_control_leader_task_t, i);
 
       if (d->tick != NULL && pu_group_holds_lease (c->group))
         d->tick (d->data, now);
@@ -326,12 +329,12 @@
   g_hash_table_iter_init (&iter, c->heard);
   while (g_hash_table_iter_next (&iter, &key, &value))
     {
-      const heard_t *h = value;
+      const daemon_session_t *h = value;
       uint64_t silent = now - h->heard;
       uint64_t allowed = 0;
 
-      pu_membership_silent (c->membership, PU_SUBJECT_MEMBER, key, now,
-                            &silent, &allowed);
+      pu_membership_get_silence (c->membership, PU_SUBJECT_MEMBER, key, now,
+                                 &silent, &allowed);
       json_array_append_new (
           list,
           json_pack ("{s:s, s:I, s:I, s:I, s:I, s:s}", "name", key,
@@ -349,8 +352,8 @@
   uint64_t allowed;
 
   if (!c->leading
-      || !pu_membership_silent (c->membership, PU_SUBJECT_BACKEND, name,
-                                pu_control_now (c), &silent, &allowed))
+      || !pu_membership_get_silence (c->membership, PU_SUBJECT_BACKEND, name,
+                                     pu_control_now (c), &silent, &allowed))
     return G_MAXUINT64;
   return silent;
 }
--- a/libplantainusher/control/pace.c
+++ b/libplantainusher/control/pace.c
@@ -1,22 +1,22 @@
 #include "control/pace.h"
 
 static uint64_t
-due_of (const pu_pace_t *p, pu_news_t news, uint64_t now)
+due_of (const pu_pace_t *p, pu_pace_urgency_t news, uint64_t now)
 {
   switch (news)
     {
-    case PU_NEWS_AT_ONCE:
+    case PU_PACE_IMMEDIATE:
       return now;
-    case PU_NEWS_SOON:
+    case PU_PACE_RATE_LIMITED:
       return MAX (now, p->told_at + PU_PACE_SOON_MS);
-    case PU_NEWS_GATHERED:
+    case PU_PACE_BATCHED:
       return now + p->gather_ms;
     }
   return now;
 }
 
 uint64_t
-pu_pace_news (pu_pace_t *p, pu_news_t news, uint64_t now)
+pu_pace_news (pu_pace_t *p, pu_pace_urgency_t news, uint64_t now)
 {
   uint64_t due = due_of (p, news, now);
 
--- a/libplantainusher/control/pace.h
+++ b/libplantainusher/control/pace.h
@@ -23,15 +23,15 @@
 
 typedef enum
 {
-  PU_NEWS_AT_ONCE, /* a document: in force everywhere within seconds */
-  PU_NEWS_SOON,    /* at once after a pause, else gathered */
-  PU_NEWS_GATHERED /* always gathered: a change of copies, which costs less
+  PU_PACE_IMMEDIATE,    /* a document: in force everywhere within seconds */
+  PU_PACE_RATE_LIMITED, /* at once after a pause, else gathered */
+  PU_PACE_BATCHED /* always gathered: a change of copies, which costs less
                       than half of the bytes of its answer and poll */
-} pu_news_t;
+} pu_pace_urgency_t;
 
 typedef struct
 {
-  uint32_t gather_ms; /* PU_NEWS_GATHERED waits for so long */
+  uint32_t gather_ms; /* PU_PACE_BATCHED waits for so long */
   uint64_t told;      /* up to this position all who wait were told */
   uint64_t told_at;   /* when, ms */
   uint64_t due;       /* when the rest is to be told, ms; with WAITS */
@@ -40,7 +40,7 @@
 
 /* pu_pace_news - there is something NEW.  Returns the ms from NOW until it,
    and all that waits, is to be told.  */
-uint64_t pu_pace_news (pu_pace_t *p, pu_news_t news, uint64_t now);
+uint64_t pu_pace_news (pu_pace_t *p, pu_pace_urgency_t news, uint64_t now);
 
 /* pu_pace_tell - now is when all up to POSITION is told.  */
 void pu_pace_tell (pu_pace_t *p, uint64_t position, uint64_t now);
--- a/libplantainusher/control/pace_test.cc
+++ b/libplantainusher/control/pace_test.cc
@@ -24,9 +24,9 @@
 {
   pu_pace_t p = Pace ();
 
-  EXPECT_EQ (0U, pu_pace_news (&p, PU_NEWS_SOON, 10000));
+  EXPECT_EQ (0U, pu_pace_news (&p, PU_PACE_RATE_LIMITED, 10000));
   pu_pace_tell (&p, 1, 10000);
-  EXPECT_EQ (0U, pu_pace_news (&p, PU_NEWS_SOON, 10000 + soon));
+  EXPECT_EQ (0U, pu_pace_news (&p, PU_PACE_RATE_LIMITED, 10000 + soon));
 }
 
 /* 3,000 backend servers check in within three seconds: those who poll are told
@@ -48,7 +48,7 @@
       if (!p.waits)
         oldest = now;
       position++;
-      due = now + pu_pace_news (&p, PU_NEWS_SOON, now);
+      due = now + pu_pace_news (&p, PU_PACE_RATE_LIMITED, now);
     }
   EXPECT_LE (told, 31);
   EXPECT_GE (told, 28);
@@ -60,8 +60,8 @@
   pu_pace_t p = Pace ();
 
   pu_pace_tell (&p, 1, 10000);
-  EXPECT_EQ (soon - 10, pu_pace_news (&p, PU_NEWS_SOON, 10010));
-  EXPECT_EQ (0U, pu_pace_news (&p, PU_NEWS_AT_ONCE, 10020));
+  EXPECT_EQ (soon - 10, pu_pace_news (&p, PU_PACE_RATE_LIMITED, 10010));
+  EXPECT_EQ (0U, pu_pace_news (&p, PU_PACE_IMMEDIATE, 10020));
   pu_pace_tell (&p, 3, 10020);
   EXPECT_FALSE (p.waits);
 }
@@ -71,9 +71,9 @@
 {
   pu_pace_t p = Pace ();
 
-  EXPECT_EQ (gather, pu_pace_news (&p, PU_NEWS_GATHERED, 10000));
-  EXPECT_EQ (gather - 100, pu_pace_news (&p, PU_NEWS_GATHERED, 10100));
-  EXPECT_EQ (0U, pu_pace_news (&p, PU_NEWS_SOON, 10110));
+  EXPECT_EQ (gather, pu_pace_news (&p, PU_PACE_BATCHED, 10000));
+  EXPECT_EQ (gather - 100, pu_pace_news (&p, PU_PACE_BATCHED, 10100));
+  EXPECT_EQ (0U, pu_pace_news (&p, PU_PACE_RATE_LIMITED, 10110));
 }
 
 /* One that was on its way while the others were told is not made to wait; one
@@ -83,7 +83,7 @@
   pu_pace_t p = Pace ();
 
   pu_pace_tell (&p, 7, 10000);
-  pu_pace_news (&p, PU_NEWS_SOON, 10010);
+  pu_pace_news (&p, PU_PACE_RATE_LIMITED, 10010);
   EXPECT_TRUE (pu_pace_is_late (&p, 6));
   EXPECT_FALSE (pu_pace_is_late (&p, 7));
 }
--- a/libplantainusher/control/polls.c
+++ b/libplantainusher/control/polls.c
@@ -39,7 +39,7 @@
     {
       const pu_log_member *m = &config->members.members_val[i];
 
-      if (!pu_log_counts (m->role))
+      if (!pu_log_role_is_voting (m->role))
         continue;
       XXH64_update (h, m->peer.name, strlen (m->peer.name) + 1);
       XXH64_update (h, m->peer.address, strlen (m->peer.address) + 1);
@@ -58,7 +58,7 @@
   u_int n = 0;
 
   r->cluster = config->cluster;
-  r->voters_at = pu_group_config_at (group);
+  r->voters_at = pu_group_config_index (group);
   r->voters_hash = voters_hash (config);
   if (r->voters_hash == knows)
     return;
@@ -66,7 +66,7 @@
     {
       const pu_log_member *m = &config->members.members_val[i];
 
-      if (!pu_log_counts (m->role) || n == PU_CONTROL_VOTERS_MAX)
+      if (!pu_log_role_is_voting (m->role) || n == PU_CONTROL_VOTERS_MAX)
         continue;
       voters[n].name = m->peer.name;
       voters[n].address = m->peer.address;
@@ -82,7 +82,7 @@
 is_electing (const pu_control_t *c)
 {
   return !c->heard_leader
-         && pu_control_now (c) < c->started + c->options.electing_ms;
+         && pu_control_now (c) < c->started + c->options.startup_grace_ms;
 }
 
 /* image_state - the state that a daemon without one may be given; NULL when
@@ -194,7 +194,7 @@
 static bool
 is_behind (const pu_control_t *c, const poll_t *p)
 {
-  uint64_t ms = pu_group_behind_ms (c->group);
+  uint64_t ms = pu_group_commit_lag_ms (c->group);
 
   return needs_image (c, p) ? ms > 0 : ms > BEHIND_MAX_MS;
 }
@@ -274,7 +274,7 @@
 }
 
 void
-pu_control_polls_wake (pu_control_t *c, pu_news_t news)
+pu_control_polls_notify (pu_control_t *c, pu_pace_urgency_t news)
 {
   uint64_t wait_ms;
 
@@ -322,7 +322,7 @@
       pu_rpc_call_garbage (call);
       return;
     }
-  pu_sessions_heard (c->sessions, &args, now);
+  pu_sessions_add_poll (c->sessions, &args, now);
   p = g_new0 (poll_t, 1);
   p->control = c;
   p->call = call;
--- a/libplantainusher/control/proposals.c
+++ b/libplantainusher/control/proposals.c
@@ -174,7 +174,7 @@
 }
 
 void
-pu_control_keep_reply (pu_control_t *c, uint64_t position, const pu_reply *r)
+pu_control_store_reply (pu_control_t *c, uint64_t position, const pu_reply *r)
 {
   uint64_t *key;
 
@@ -318,9 +318,9 @@
       return NULL;
     }
   if (command->type == PU_COMMAND_SUBMIT)
-    pu_state_shrink_submit (c->state, &command->pu_command_u.submit);
+    pu_state_delta_encode_submit (c->state, &command->pu_command_u.submit);
   if (command->type == PU_COMMAND_CLAIM && c->options.claims_max > 0
-      && pu_state_claims (c->state) >= c->options.claims_max)
+      && pu_state_claim_count (c->state) >= c->options.claims_max)
     {
       pu_error_set (e, PU_ERROR_UNAVAILABLE,
                     "%u keys are kept, no more fit; the call was not run.",
--- a/libplantainusher/control/query.c
+++ b/libplantainusher/control/query.c
@@ -34,7 +34,7 @@
     {
       const pu_log_member *m = &config->members.members_val[i];
 
-      if (pu_log_counts (m->role))
+      if (pu_log_role_is_voting (m->role))
         json_array_append_new (names, json_string (m->peer.name));
     }
   return json_pack ("{s:o}", "voters", names);
--- a/libplantainusher/control/sessions.c
+++ b/libplantainusher/control/sessions.c
@@ -121,7 +121,7 @@
 }
 
 void
-pu_sessions_heard (pu_sessions_t *s, const pu_poll *p, uint64_t now)
+pu_sessions_add_poll (pu_sessions_t *s, const pu_poll *p, uint64_t now)
 {
   session_t *n = session_get (s, p->name);
 
--- a/libplantainusher/control/sessions.h
+++ b/libplantainusher/control/sessions.h
@@ -18,8 +18,8 @@
 pu_sessions_t *pu_sessions_new (void);
 void pu_sessions_free (pu_sessions_t *s);
 
-/* pu_sessions_heard - takes in poll P, which came at NOW.  */
-void pu_sessions_heard (pu_sessions_t *s, const pu_poll *p, uint64_t now);
+/* pu_sessions_add_poll - takes in poll P, which came at NOW.  */
+void pu_sessions_add_poll (pu_sessions_t *s, const pu_poll *p, uint64_t now);
 
 /* pu_sessions_message - a new message of VOTER with all that was heard, ages
    as of NOW.  Free it with pu_sessions_message_free.  */
--- a/libplantainusher/daemon/build.c
+++ b/libplantainusher/daemon/build.c
@@ -144,10 +144,11 @@
 static void
 set_membership (const pu_settings_t *s, pu_membership_options_t *m)
 {
-  m->least_ms[PU_SUBJECT_MEMBER] = s->timing.session_ms;
-  m->most_ms[PU_SUBJECT_MEMBER] = ROUTE_SHARE * s->timing.session_ms;
-  m->least_ms[PU_SUBJECT_BACKEND] = s->timing.backend_lease_ms;
-  m->most_ms[PU_SUBJECT_BACKEND] = s->timing.order_life_ms / SILENT_SHARE;
+  m->min_timeout_ms[PU_SUBJECT_MEMBER] = s->timing.session_ms;
+  m->max_timeout_ms[PU_SUBJECT_MEMBER] = ROUTE_SHARE * s->timing.session_ms;
+  m->min_timeout_ms[PU_SUBJECT_BACKEND] = s->timing.backend_lease_ms;
+  m->max_timeout_ms[PU_SUBJECT_BACKEND]
+      = s->timing.order_life_ms / SILENT_SHARE;
 }
 
 static void
@@ -309,7 +310,7 @@
   pu_daemon_t *d = data;
 
   for (size_t i = 0; d->control != NULL && i < n; i++)
-    pu_control_meet (d->control, addresses[i]);
+    pu_control_add_seed (d->control, addresses[i]);
 }
 
 static bool
--- a/libplantainusher/daemon/daemon.c
+++ b/libplantainusher/daemon/daemon.c
@@ -38,7 +38,7 @@
   if (e->kind != PU_OK)
     pu_log_warn (PART, "Leaving is not in the log: %s", e->message);
   if (d->control != NULL)
-    pu_control_leave (d->control);
+    pu_control_step_down (d->control);
 }
 
 static void
@@ -50,7 +50,7 @@
   if (e->kind != PU_OK)
     pu_log_warn (PART, "The departure is not in the log: %s", e->message);
   if (d->control != NULL)
-    pu_control_leave (d->control);
+    pu_control_step_down (d->control);
   enter (d, PU_DAEMON_HANDING);
 }
 
--- a/libplantainusher/entry/admit.c
+++ b/libplantainusher/entry/admit.c
@@ -18,7 +18,7 @@
   if (x->claim != 0)
     return;
   if (x->once && x->phase == PU_EXCHANGE_CLAIMING)
-    pu_once_give_up (x->en->once, x->number, uv_now (x->en->o.loop));
+    pu_once_remove_caller (x->en->once, x->number, uv_now (x->en->o.loop));
   pu_exchange_finish (x);
 }
 
--- a/libplantainusher/entry/attempt.c
+++ b/libplantainusher/entry/attempt.c
@@ -88,7 +88,7 @@
   if (at->headers != NULL)
     g_ptr_array_free (at->headers, TRUE);
   pu_stream_free (at->stream);
-  pu_events_free (at->events);
+  pu_event_filter_free (at->events);
   memset (at, 0, sizeof *at);
 }
 
@@ -225,8 +225,8 @@
                            pu_deliver_tokens, x);
       break;
     case PU_RESPONSE_EVENTS:
-      at->events = pu_events_new (x->last_event, EVENT_MAX_BYTES,
-                                  pu_deliver_events, x);
+      at->events = pu_event_filter_new (x->last_event, EVENT_MAX_BYTES,
+                                        pu_deliver_events, x);
       break;
     case PU_RESPONSE_BUFFERED:
       at->streaming = false;
@@ -326,7 +326,7 @@
 
   if (at->events != NULL)
     {
-      at->broken = !pu_events_feed (at->events, bytes, len);
+      at->broken = !pu_event_filter_feed (at->events, bytes, len);
       return true;
     }
   result = pu_stream_feed (at->stream, bytes, len);
@@ -482,7 +482,7 @@
 partial_event_flush (pu_exchange_t *x)
 {
   if (x->at.events != NULL)
-    pu_events_flush (x->at.events);
+    pu_event_filter_flush (x->at.events);
 }
 
 /* What the complete response of a backend server means for its request.  */
@@ -609,7 +609,7 @@
 response_closed (pu_exchange_t *x)
 {
   if (!pu_entry_uses_builtin_frontend (x->en)
-      && (x->at.events == NULL || !pu_events_has_partial (x->at.events)))
+      && (x->at.events == NULL || !pu_event_filter_has_partial (x->at.events)))
     {
       front_complete (x);
     }
--- a/libplantainusher/entry/claim.c
+++ b/libplantainusher/entry/claim.c
@@ -37,7 +37,7 @@
 }
 
 static void
-begin_reject (pu_exchange_t *x, pu_once_begin_t why)
+begin_reject (pu_exchange_t *x, pu_once_begin_result_t why)
 {
   static const pu_refusal_t too_old
       = { 410, "key_too_old", PU_RUN_OUTCOME_NOT_RUN, 0 };
@@ -50,20 +50,20 @@
 
   switch (why)
     {
-    case PU_ONCE_ACCEPTED:
+    case PU_ONCE_BEGIN_ACCEPTED:
       break;
-    case PU_ONCE_TOO_OLD:
+    case PU_ONCE_BEGIN_KEY_EXPIRED:
       pu_exchange_fail (x, &too_old, "The Idempotency-Key is too old.");
       break;
-    case PU_ONCE_BAD_KEY:
+    case PU_ONCE_BEGIN_INVALID_KEY:
       pu_exchange_fail (x, &bad_key,
                         "The Idempotency-Key is empty or too long.");
       break;
-    case PU_ONCE_KEY_MISMATCH:
+    case PU_ONCE_BEGIN_KEY_REUSED:
       pu_exchange_fail (x, &key_reused,
                         "The Idempotency-Key was used for another request.");
       break;
-    case PU_ONCE_FULL:
+    case PU_ONCE_BEGIN_OVERLOADED:
       pu_exchange_fail (
           x, &overloaded,
           "Too many at-most-once calls are in progress at this entry.");
@@ -75,13 +75,13 @@
 pu_claim_begin (pu_exchange_t *x)
 {
   pu_entry_t *en = x->en;
-  pu_once_begin_t begun;
+  pu_once_begin_result_t begun;
 
   x->phase = PU_EXCHANGE_CLAIMING;
   begun = pu_once_begin (en->once, x->number, x->q.service, x->key,
-                         call_fingerprint (x), pu_once_key_wall (x->key),
+                         call_fingerprint (x), pu_once_key_time_ms (x->key),
                          wall_now (), x->window_ms, loop_now (en));
-  if (begun != PU_ONCE_ACCEPTED)
+  if (begun != PU_ONCE_BEGIN_ACCEPTED)
     {
       begin_reject (x, begun);
     }
@@ -124,38 +124,40 @@
          && c->owner_incarnation == en->o.hooks.incarnation (en->o.hooks.data);
 }
 
-static pu_once_claimed_t
+static pu_once_claim_result_t
 seen_claim_result (const proposal_t *proposal, const pu_claim_record *c)
 {
   if (c == NULL)
-    return PU_ONCE_REFUSED;
+    return PU_ONCE_CLAIM_REFUSED;
   if (is_own_claim (proposal, c))
-    return PU_ONCE_CLOSED;
-  return c->phase == PU_CLAIM_RAN ? PU_ONCE_KEPT : PU_ONCE_LOST;
+    return PU_ONCE_CLAIM_ALREADY_CLOSED;
+  return c->phase == PU_CLAIM_RAN ? PU_ONCE_CLAIM_COMPLETED
+                                  : PU_ONCE_CLAIM_OWNER_LOST;
 }
 
-static pu_once_claimed_t
+static pu_once_claim_result_t
 claim_result (const proposal_t *proposal, const pu_reply *r,
               const pu_error_t *e)
 {
   if (r == NULL)
-    return e->kind == PU_ERROR_TIMEOUT ? PU_ONCE_TIMEOUT : PU_ONCE_REFUSED;
+    return e->kind == PU_ERROR_TIMEOUT ? PU_ONCE_CLAIM_TIMED_OUT
+                                       : PU_ONCE_CLAIM_REFUSED;
   if (pu_break_active (PU_BREAK_CLAIM_AGAIN))
-    return PU_ONCE_GRANTED;
+    return PU_ONCE_CLAIM_GRANTED;
   switch (r->outcome)
     {
     case PU_OUTCOME_DONE:
-      return PU_ONCE_GRANTED;
+      return PU_ONCE_CLAIM_GRANTED;
     case PU_OUTCOME_SEEN:
       return seen_claim_result (proposal, r->claim);
     case PU_OUTCOME_CONFLICT:
-      return PU_ONCE_MISMATCH;
+      return PU_ONCE_CLAIM_KEY_REUSED;
     case PU_OUTCOME_BUSY:
-      return PU_ONCE_OPEN;
+      return PU_ONCE_CLAIM_IN_PROGRESS;
     case PU_OUTCOME_REFUSED:
-      return PU_ONCE_REFUSED;
+      return PU_ONCE_CLAIM_REFUSED;
     }
-  return PU_ONCE_REFUSED;
+  return PU_ONCE_CLAIM_REFUSED;
 }
 
 static void
@@ -163,18 +165,18 @@
 {
   proposal_t *proposal = data;
   pu_entry_t *en = proposal->en;
-  pu_once_claimed_t claimed = claim_result (proposal, r, e);
+  pu_once_claim_result_t claimed = claim_result (proposal, r, e);
   pu_once_result_t result = { .content_type = "" };
 
-  if (claimed == PU_ONCE_KEPT)
+  if (claimed == PU_ONCE_CLAIM_COMPLETED)
     {
       result = (pu_once_result_t){ r->claim->status, r->claim->content_type,
                                    r->claim->result.result_val,
                                    r->claim->result.result_len };
     }
-  pu_once_claimed (en->once, proposal->handle, claimed,
-                   r != NULL ? r->position : 0,
-                   claimed == PU_ONCE_KEPT ? &result : NULL, loop_now (en));
+  pu_once_claimed (
+      en->once, proposal->handle, claimed, r != NULL ? r->position : 0,
+      claimed == PU_ONCE_CLAIM_COMPLETED ? &result : NULL, loop_now (en));
   proposal_end (proposal);
   pu_claim_run_actions (en);
   pu_entry_check_stopped (en);
@@ -220,11 +222,11 @@
 {
   switch (outcome)
     {
-    case PU_ONCE_RAN:
+    case PU_ONCE_OUTCOME_RAN:
       return PU_CLAIM_RAN;
-    case PU_ONCE_NOT_RUN:
+    case PU_ONCE_OUTCOME_NOT_RUN:
       return PU_CLAIM_NOT_RUN;
-    case PU_ONCE_UNKNOWN:
+    case PU_ONCE_OUTCOME_UNKNOWN:
       return PU_CLAIM_UNKNOWN;
     }
   return PU_CLAIM_UNKNOWN;
@@ -241,7 +243,7 @@
   done->position = a->position;
   done->phase = claim_phase (a->outcome);
   done->content_type = "";
-  if (a->outcome == PU_ONCE_RAN)
+  if (a->outcome == PU_ONCE_OUTCOME_RAN)
     {
       done->status = a->result.status;
       done->content_type = (char *)a->result.content_type;
@@ -277,7 +279,7 @@
   /* All callers have disconnected before the request was sent.  */
   if (x == NULL)
     {
-      pu_once_finished (en->once, a->handle, PU_ONCE_NOT_RUN, NULL,
+      pu_once_finished (en->once, a->handle, PU_ONCE_OUTCOME_NOT_RUN, NULL,
                         loop_now (en));
       return;
     }
@@ -364,21 +366,21 @@
     {
       switch (a.type)
         {
-        case PU_ONCE_CLAIM:
+        case PU_ONCE_ACTION_CLAIM:
           claim_propose (en, &a);
           if (pu_break_active (PU_BREAK_CLAIM_EARLY))
             {
-              pu_once_claimed (en->once, a.handle, PU_ONCE_GRANTED, 0, NULL,
-                               loop_now (en));
+              pu_once_claimed (en->once, a.handle, PU_ONCE_CLAIM_GRANTED, 0,
+                               NULL, loop_now (en));
             }
           break;
-        case PU_ONCE_DISPATCH:
+        case PU_ONCE_ACTION_DISPATCH:
           claim_dispatch (en, &a);
           break;
-        case PU_ONCE_RECORD:
+        case PU_ONCE_ACTION_RECORD:
           record_propose (en, &a);
           break;
-        case PU_ONCE_ANSWER:
+        case PU_ONCE_ACTION_ANSWER:
           caller_answer (en, &a);
           break;
         }
--- a/libplantainusher/entry/deliver.c
+++ b/libplantainusher/entry/deliver.c
@@ -154,12 +154,12 @@
 {
   pu_exchange_t *x = data;
 
-  x->last_event = pu_events_last_id (x->at.events);
+  x->last_event = pu_event_filter_last_id (x->at.events);
   if (n > 0)
     {
       pacing_record (x);
       x->events += n;
-      progress_report (x, pu_events_count (x->at.events));
+      progress_report (x, pu_event_filter_count (x->at.events));
     }
   stream_write (x, bytes, len);
 }
@@ -249,6 +249,6 @@
       result = (pu_once_result_t){ STATUS_BAD_GATEWAY, "application/json",
                                    text, strlen (text) };
     }
-  pu_claim_finished (x, PU_ONCE_RAN, &result);
+  pu_claim_finished (x, PU_ONCE_OUTCOME_RAN, &result);
   g_free (text);
 }
--- a/libplantainusher/entry/entry.c
+++ b/libplantainusher/entry/entry.c
@@ -536,7 +536,7 @@
 guint
 pu_entry_in_flight (const pu_entry_t *en)
 {
-  return en->open.length + pu_once_busy (en->once);
+  return en->open.length + pu_once_count_active (en->once);
 }
 
 static json_t *
@@ -571,7 +571,7 @@
       (int)pu_http_server_connections (en->server), "backend_connections",
       (int)pu_http_client_open (en->client), "idle_connections",
       (int)pu_http_client_idle (en->client), "claims_at_work",
-      (int)pu_once_busy (en->once), "suspects_running",
+      (int)pu_once_count_active (en->once), "suspects_running",
       (int)pu_suspects_in_flight (en->suspects), "bad_announcements",
       (json_int_t)en->invalid_reports, "document_version",
       (json_int_t)en->document_version, "reporters", reporters_json (en),
--- a/libplantainusher/entry/entry_private.h
+++ b/libplantainusher/entry/entry_private.h
@@ -130,7 +130,7 @@
   char *retry_after;           /* Retry-After of the response */
   GByteArray *body;            /* of a buffered response */
   pu_stream_t *stream;         /* PU_RESPONSE_TOKENS */
-  pu_events_t *events;         /* PU_RESPONSE_EVENTS */
+  pu_event_filter_t *events;   /* PU_RESPONSE_EVENTS */
   bool overflow;               /* the buffered response is too large */
   bool done;                   /* the end mark of the stream was received */
   bool broken;                 /* the stream can't be continued */
@@ -619,8 +619,8 @@
 
 /* --- deliver.c: forwards the response of an attempt to the caller --- */
 
-/* pu_deliver_tokens, pu_deliver_events - a pu_stream_cb and a pu_events_cb.
-   DATA is the exchange.  */
+/* pu_deliver_tokens, pu_deliver_events - a pu_stream_cb and a
+   pu_event_filter_cb. DATA is the exchange.  */
 void pu_deliver_tokens (void *data, const char *bytes, gsize len,
                         guint tokens);
 void pu_deliver_events (void *data, const char *bytes, gsize len, guint n);
@@ -645,7 +645,7 @@
 void pu_claim_begin (pu_exchange_t *x);
 
 /* pu_claim_finished - the dispatched call X ended with OUTCOME.  RESULT is for
-   PU_ONCE_RAN.  X must not be used afterwards: it may be freed.  */
+   PU_ONCE_OUTCOME_RAN.  X must not be used afterwards: it may be freed.  */
 void pu_claim_finished (pu_exchange_t *x, pu_once_outcome_t outcome,
                         const pu_once_result_t *result);
 
--- a/libplantainusher/entry/events.c
+++ b/libplantainusher/entry/events.c
@@ -2,9 +2,9 @@
 
 #include <string.h>
 
-struct pu_events
+struct pu_event_filter
 {
-  pu_events_cb cb;
+  pu_event_filter_cb cb;
   void *data;
   gsize max_bytes;
   guint64 last_id; /* id of the last event forwarded */
@@ -17,10 +17,11 @@
   bool has_id;
 };
 
-pu_events_t *
-pu_events_new (guint64 after, gsize max_bytes, pu_events_cb cb, void *data)
+pu_event_filter_t *
+pu_event_filter_new (guint64 after, gsize max_bytes, pu_event_filter_cb cb,
+                     void *data)
 {
-  pu_events_t *s = g_new0 (pu_events_t, 1);
+  pu_event_filter_t *s = g_new0 (pu_event_filter_t, 1);
 
   s->cb = cb;
   s->data = data;
@@ -32,7 +33,7 @@
 }
 
 void
-pu_events_free (pu_events_t *s)
+pu_event_filter_free (pu_event_filter_t *s)
 {
   if (s == NULL)
     return;
@@ -58,7 +59,7 @@
 
 /* Reads the id from a line such as "id: 12".  */
 static void
-line_parse (pu_events_t *s, const char *line, gsize len)
+line_parse (pu_event_filter_t *s, const char *line, gsize len)
 {
   static const char field[] = "id:";
   gsize skip = sizeof field - 1;
@@ -73,7 +74,7 @@
 /* Handles the end of an event: queues it for the client unless its id was seen
    before.  */
 static void
-event_complete (pu_events_t *s)
+event_complete (pu_event_filter_t *s)
 {
   bool seen = s->has_id && s->id <= s->last_id;
 
@@ -91,7 +92,7 @@
 
 /* Handles a line feed, which completes the line that starts at s->line.  */
 static void
-line_complete (pu_events_t *s)
+line_complete (pu_event_filter_t *s)
 {
   const char *line = s->partial->str + s->line;
   gsize len = s->partial->len - s->line - 1;
@@ -108,7 +109,7 @@
 }
 
 bool
-pu_events_feed (pu_events_t *s, const char *bytes, gsize len)
+pu_event_filter_feed (pu_event_filter_t *s, const char *bytes, gsize len)
 {
   const char *end = bytes + len;
 
@@ -135,7 +136,7 @@
 }
 
 void
-pu_events_flush (pu_events_t *s)
+pu_event_filter_flush (pu_event_filter_t *s)
 {
   if (s->partial->len == 0)
     return;
@@ -144,19 +145,19 @@
 }
 
 guint64
-pu_events_last_id (const pu_events_t *s)
+pu_event_filter_last_id (const pu_event_filter_t *s)
 {
   return s->last_id;
 }
 
 guint
-pu_events_count (const pu_events_t *s)
+pu_event_filter_count (const pu_event_filter_t *s)
 {
   return s->count;
 }
 
 bool
-pu_events_has_partial (const pu_events_t *s)
+pu_event_filter_has_partial (const pu_event_filter_t *s)
 {
   return s->partial->len > 0;
 }
--- a/libplantainusher/entry/events.h
+++ b/libplantainusher/entry/events.h
@@ -15,35 +15,36 @@
  * whose id the client has already received are dropped.
  */
 
-typedef struct pu_events pu_events_t;
+typedef struct pu_event_filter pu_event_filter_t;
 
-/* pu_events_cb - BYTES are to be forwarded to the client; they hold N events
-   with an id.  */
-typedef void (*pu_events_cb) (void *data, const char *bytes, gsize len,
-                              guint n);
+/* pu_event_filter_cb - BYTES are to be forwarded to the client; they hold N
+   events with an id.  */
+typedef void (*pu_event_filter_cb) (void *data, const char *bytes, gsize len,
+                                    guint n);
 
-/* pu_events_new - a filter that drops events with the id AFTER or a lower one.
-   An event longer than MAX_BYTES breaks the stream.  */
-pu_events_t *pu_events_new (guint64 after, gsize max_bytes, pu_events_cb cb,
-                            void *data);
-void pu_events_free (pu_events_t *s);
+/* pu_event_filter_new - a filter that drops events with the id AFTER or a
+   lower one. An event longer than MAX_BYTES breaks the stream.  */
+pu_event_filter_t *pu_event_filter_new (guint64 after, gsize max_bytes,
+                                        pu_event_filter_cb cb, void *data);
+void pu_event_filter_free (pu_event_filter_t *s);
 
-/* pu_events_feed - takes LEN BYTES; the events that they complete are given to
-   the callback in one call.  Returns false when an event is too long.  */
-bool pu_events_feed (pu_events_t *s, const char *bytes, gsize len);
+/* pu_event_filter_feed - takes LEN BYTES; the events that they complete are
+   given to the callback in one call.  Returns false when an event is too long.
+ */
+bool pu_event_filter_feed (pu_event_filter_t *s, const char *bytes, gsize len);
 
-/* pu_events_flush - forwards the buffered part of an incomplete event, when
-   the stream is complete by its length.  */
-void pu_events_flush (pu_events_t *s);
+/* pu_event_filter_flush - forwards the buffered part of an incomplete event,
+   when the stream is complete by its length.  */
+void pu_event_filter_flush (pu_event_filter_t *s);
 
-/* pu_events_last_id - id of the last event forwarded, or AFTER.  */
-guint64 pu_events_last_id (const pu_events_t *s);
+/* pu_event_filter_last_id - id of the last event forwarded, or AFTER.  */
+guint64 pu_event_filter_last_id (const pu_event_filter_t *s);
 
-/* pu_events_count - number of events with an id that were forwarded.  */
-guint pu_events_count (const pu_events_t *s);
+/* pu_event_filter_count - number of events with an id that were forwarded.  */
+guint pu_event_filter_count (const pu_event_filter_t *s);
 
-/* pu_events_has_partial - whether an incomplete event is buffered.  */
-bool pu_events_has_partial (const pu_events_t *s);
+/* pu_event_filter_has_partial - whether an incomplete event is buffered.  */
+bool pu_event_filter_has_partial (const pu_event_filter_t *s);
 
 G_END_DECLS
 
--- a/libplantainusher/entry/exchange.c
+++ b/libplantainusher/entry/exchange.c
@@ -101,8 +101,8 @@
     {
       pu_claim_finished (x,
                          final.outcome == PU_RUN_OUTCOME_NOT_RUN
-                             ? PU_ONCE_NOT_RUN
-                             : PU_ONCE_UNKNOWN,
+                             ? PU_ONCE_OUTCOME_NOT_RUN
+                             : PU_ONCE_OUTCOME_UNKNOWN,
                          NULL);
       return;
     }
@@ -601,7 +601,7 @@
   if (x->phase == PU_EXCHANGE_CLAIMING)
     {
       if (now >= x->q.deadline
-          && pu_once_give_up (x->en->once, x->number, now))
+          && pu_once_remove_caller (x->en->once, x->number, now))
         pu_claim_run_actions (x->en);
       return;
     }
--- a/libplantainusher/entry/view.c
+++ b/libplantainusher/entry/view.c
@@ -35,7 +35,7 @@
 
   pu_state_each_member (view, member_append, &members);
   pu_directory_set_members (
-      en->directory, pu_state_view (view),
+      en->directory, pu_state_membership_version (view),
       (const pu_directory_member_t *)(void *)members.found->data,
       members.found->len);
   g_array_free (members.found, TRUE);
@@ -89,9 +89,9 @@
   guint64 since = en->changes;
 
   if (!en->o.hooks.ready (en->o.hooks.data)
-      || (en->changes == pu_state_changes (view) && en->changes != 0))
+      || (en->changes == pu_state_change_count (view) && en->changes != 0))
     return;
-  en->changes = pu_state_changes (view);
+  en->changes = pu_state_change_count (view);
   if (record != NULL && pu_entry_document_sync (en, record))
     since = 0;
   members_sync (en, view);
--- a/libplantainusher/log/group.c
+++ b/libplantainusher/log/group.c
@@ -35,7 +35,7 @@
   GQueue proposals; /* pu_proposal_t *, by index */
   uint64_t applied; /* by the state machine; never goes back */
   bool rejoin;      /* this identity is spent, the disk not yet at rest */
-  bool rejoined;    /* the folder held a log before */
+  bool had_log;     /* the folder held a log before */
   uv_timer_t timer;
   uv_idle_t idle; /* runs while actions may be waiting */
   bool closing;
@@ -134,7 +134,7 @@
 
   if (index == g->applied)
     b = g->o.take (index, g->o.data);
-  pu_replica_snapshot (g->replica, index, b);
+  pu_replica_snapshot_taken (g->replica, index, b);
   if (b != NULL)
     g_bytes_unref (b);
 }
@@ -166,7 +166,7 @@
       pu_replica_fail (g->replica);
       return;
     }
-  pu_journal_save (g->journal, &a->save.snapshot, a->save.installed);
+  pu_journal_queue_snapshot (g->journal, &a->save.snapshot, a->save.installed);
 }
 
 static void
@@ -189,22 +189,22 @@
       g->o.send (&a->send.to, a->send.msg, g->o.data);
       break;
     case PU_ACTION_WRITE:
-      pu_journal_write (g->journal, a->ticket, a->write.entries,
-                        a->write.commit);
+      pu_journal_queue_entries (g->journal, a->ticket, a->write.entries,
+                                a->write.commit);
       break;
-    case PU_ACTION_META:
-      pu_journal_meta (g->journal, a->ticket, &a->meta.meta);
+    case PU_ACTION_WRITE_META:
+      pu_journal_queue_meta (g->journal, a->ticket, &a->meta.meta);
       break;
-    case PU_ACTION_SAVE:
+    case PU_ACTION_SAVE_SNAPSHOT:
       save_snapshot (g, a);
       break;
-    case PU_ACTION_TAKE:
+    case PU_ACTION_TAKE_SNAPSHOT:
       take_snapshot (g, a->take.index);
       break;
     case PU_ACTION_APPLY:
       apply (g, a->apply.first, a->apply.last);
       break;
-    case PU_ACTION_ROLE:
+    case PU_ACTION_ROLE_CHANGED:
       change_role (g, a->role.leader, a->role.term);
       break;
     case PU_ACTION_REJOIN:
@@ -218,7 +218,7 @@
 {
   pu_action_t a;
 
-  while (!g->closing && pu_replica_next (g->replica, now (g), &a))
+  while (!g->closing && pu_replica_next_action (g->replica, now (g), &a))
     {
       act (g, &a);
       pu_action_clear (&a);
@@ -259,7 +259,7 @@
 {
   pu_group_t *g = data;
 
-  pu_replica_saved (g->replica, now (g), index);
+  pu_replica_snapshot_saved (g->replica, now (g), index);
   wake (g);
 }
 
@@ -284,7 +284,7 @@
   o.loop = g->o.loop;
   o.folder = g->folder;
   o.fs = g->o.fs;
-  o.sync_each = g->o.sync_each;
+  o.sync_each_entry = g->o.sync_each_entry;
   o.synced = on_synced;
   o.saved = on_saved;
   o.failed = on_failed;
@@ -330,7 +330,7 @@
         *e = why;
       return false;
     }
-  g->rejoined = pu_journal_held_before (g->folder, g->o.fs);
+  g->had_log = pu_journal_had_identity (g->folder, g->o.fs);
   if (image->meta.id == 0)
     {
       image->meta.id = random_identity ();
@@ -348,7 +348,7 @@
   o.initial = (const pu_log_peer *)(const void *)g->initial->data;
   o.n_initial = g->initial->len;
   o.seed ^= image->meta.id;
-  o.rejoined = g->rejoined;
+  o.had_log = g->had_log;
   return pu_replica_new (&o, image, now (g));
 }
 
@@ -543,9 +543,9 @@
 }
 
 void
-pu_group_leave (pu_group_t *g)
+pu_group_transfer_leadership (pu_group_t *g)
 {
-  pu_replica_transfer (g->replica, now (g));
+  pu_replica_transfer_leadership (g->replica, now (g));
   wake (g);
 }
 
@@ -585,12 +585,12 @@
 pu_group_read_from (pu_group_t *g, uint64_t after, size_t bytes_max,
                     pu_group_apply_fn *fn, void *data)
 {
-  uint64_t last = MIN (pu_replica_commit (g->replica), g->applied);
+  uint64_t last = MIN (pu_replica_commit_index (g->replica), g->applied);
   size_t given = 0;
 
   if (after >= last)
     return after;
-  if (after + 1 < pu_replica_first (g->replica))
+  if (after + 1 < pu_replica_first_index (g->replica))
     return 0;
   while (after < last)
     {
@@ -641,27 +641,27 @@
 }
 
 uint64_t
-pu_group_config_at (const pu_group_t *g)
+pu_group_config_index (const pu_group_t *g)
 {
   return pu_replica_config_index (g->replica);
 }
 
 void
-pu_group_meet (pu_group_t *g, const char *address)
+pu_group_add_seed (pu_group_t *g, const char *address)
 {
-  pu_replica_meet (g->replica, address);
+  pu_replica_add_seed (g->replica, address);
 }
 
 uint64_t
-pu_group_behind_ms (const pu_group_t *g)
+pu_group_commit_lag_ms (const pu_group_t *g)
 {
-  return pu_replica_behind_ms (g->replica, now (g));
+  return pu_replica_commit_lag_ms (g->replica, now (g));
 }
 
 uint64_t
-pu_group_committed (const pu_group_t *g)
+pu_group_commit_index (const pu_group_t *g)
 {
-  return pu_replica_commit (g->replica);
+  return pu_replica_commit_index (g->replica);
 }
 
 static const char *
@@ -731,7 +731,7 @@
 static const char *
 own_role (const pu_group_t *g)
 {
-  const pu_log_member *m = pu_log_config_find (
+  const pu_log_member *m = pu_log_config_find_member (
       pu_replica_config (g->replica), pu_replica_self (g->replica)->id);
 
   if (pu_replica_is_leader (g->replica))
@@ -754,14 +754,14 @@
                              || pu_journal_failed (g->journal));
 
   json_object_set_new (s, "commit",
-                       json_integer ((json_int_t)pu_replica_commit (r)));
+                       json_integer ((json_int_t)pu_replica_commit_index (r)));
   json_object_set_new (s, "applied", json_integer ((json_int_t)g->applied));
   json_object_set_new (s, "first",
-                       json_integer ((json_int_t)pu_replica_first (r)));
+                       json_integer ((json_int_t)pu_replica_first_index (r)));
   json_object_set_new (s, "last",
-                       json_integer ((json_int_t)pu_replica_last (r)));
-  json_object_set_new (s, "synced",
-                       json_integer ((json_int_t)pu_replica_durable (r)));
+                       json_integer ((json_int_t)pu_replica_last_index (r)));
+  json_object_set_new (
+      s, "synced", json_integer ((json_int_t)pu_replica_durable_index (r)));
   json_object_set_new (
       s, "snapshot", json_integer ((json_int_t)pu_replica_snapshot_index (r)));
   json_object_set_new (s, "voters", voters_status (g));
--- a/libplantainusher/log/group.h
+++ b/libplantainusher/log/group.h
@@ -68,7 +68,7 @@
   pu_group_restore_fn *restore;
   pu_group_role_fn *role;    /* may be NULL */
   pu_group_now_fn *now;      /* NULL: milliseconds of CLOCK_BOOTTIME */
-  bool sync_each;            /* one sync an entry: a benchmark's baseline */
+  bool sync_each_entry;      /* one sync an entry: a benchmark's baseline */
   const pu_journal_fs_t *fs; /* NULL: the operating system's */
   void *data;                /* for the callbacks */
 } pu_group_options_t;
@@ -122,24 +122,25 @@
 /* pu_group_config - the voters in force; valid until the next call.  */
 const pu_log_config *pu_group_config (const pu_group_t *g);
 
-/* pu_group_config_at - the position that put these voters in force.  */
-uint64_t pu_group_config_at (const pu_group_t *g);
+/* pu_group_config_index - the position that put these voters in force.  */
+uint64_t pu_group_config_index (const pu_group_t *g);
 
-/* pu_group_meet - a voter may stand at ADDRESS: a log that has none of its own
-   yet asks there, too.  */
-void pu_group_meet (pu_group_t *g, const char *address);
+/* pu_group_add_seed - a voter may stand at ADDRESS: a log that has none of its
+   own yet asks there, too.  */
+void pu_group_add_seed (pu_group_t *g, const char *address);
 
-/* pu_group_behind_ms - for how long the leader has had committed entries that
-   have not come here, as after a restart or with a disk that is full.  */
-uint64_t pu_group_behind_ms (const pu_group_t *g);
+/* pu_group_commit_lag_ms - for how long the leader has had committed entries
+   that have not come here, as after a restart or with a disk that is full.  */
+uint64_t pu_group_commit_lag_ms (const pu_group_t *g);
 
-/* pu_group_committed - the highest committed position.  */
-uint64_t pu_group_committed (const pu_group_t *g);
+/* pu_group_commit_index - the highest committed position.  */
+uint64_t pu_group_commit_index (const pu_group_t *g);
 
-/* pu_group_leave - a graceful stop: a leader brings another voter up to date
-   and hands the lead over; it takes no proposals meanwhile.  Wait until
-   pu_group_is_leader is false (or give up after two seconds), then close.  */
-void pu_group_leave (pu_group_t *g);
+/* pu_group_transfer_leadership - a graceful stop: a leader brings another
+   voter up to date and hands the lead over; it takes no proposals meanwhile.
+   Wait until pu_group_is_leader is false (or give up after two seconds), then
+   close.  */
+void pu_group_transfer_leadership (pu_group_t *g);
 
 /* pu_group_voters_* - an operator's change, on the leader.  True means that it
    stands in the leader's log; look at pu_group_config for the result.  Voters
--- a/libplantainusher/log/group_test.cc
+++ b/libplantainusher/log/group_test.cc
@@ -51,7 +51,9 @@
 voters (FakeCluster &c)
 {
   FakeVoter *l = c.leader ();
-  return l == nullptr ? 0 : pu_log_config_voters (pu_group_config (l->group));
+  return l == nullptr
+             ? 0
+             : pu_log_config_count_voters (pu_group_config (l->group));
 }
 
 TEST (Group, AppliesAlikeOverSnapshotsAndRestarts)
@@ -140,7 +142,7 @@
   c.start_all ();
   ASSERT_TRUE (propose (c, 5));
   FakeVoter *l = c.leader ();
-  pu_group_leave (l->group);
+  pu_group_transfer_leadership (l->group);
   EXPECT_TRUE (
       c.run ([&] { return c.leader () != nullptr && c.leader () != l; }, 400));
 }
@@ -179,7 +181,7 @@
   uint64_t at = pu_group_read_from (g, 0, 1, collect, &read);
   EXPECT_EQ (read, c.voters[0]->applied[0]);
   EXPECT_EQ (pu_group_read_from (g, at, 1000, collect, &read),
-             pu_group_committed (g));
+             pu_group_commit_index (g));
   EXPECT_EQ (pu_group_read_from (g, 99, 1000, collect, &read), 99U);
 }
 
--- a/libplantainusher/log/journal.c
+++ b/libplantainusher/log/journal.c
@@ -57,8 +57,8 @@
 /* Gathering.  */
 
 void
-pu_journal_write (pu_journal_t *j, uint64_t ticket, const GPtrArray *entries,
-                  uint64_t commit)
+pu_journal_queue_entries (pu_journal_t *j, uint64_t ticket,
+                          const GPtrArray *entries, uint64_t commit)
 {
   for (guint i = 0; i < entries->len; i++)
     {
@@ -72,7 +72,7 @@
 }
 
 void
-pu_journal_meta (pu_journal_t *j, uint64_t ticket, const pu_log_meta *m)
+pu_journal_queue_meta (pu_journal_t *j, uint64_t ticket, const pu_log_meta *m)
 {
   j->meta.cluster = m->cluster;
   j->meta.term = m->term;
@@ -162,7 +162,7 @@
 {
   pu_batch_job_t *job = g_new0 (pu_batch_job_t, 1);
   guint n = j->gathered->len;
-  guint step = j->o.sync_each ? 1 : MAX (n, 1);
+  guint step = j->o.sync_each_entry ? 1 : MAX (n, 1);
 
   pu_journal_job_init (&job->base, j, PU_JOURNAL_BATCH);
   job->ticket = j->ticket;
@@ -622,7 +622,7 @@
 }
 
 bool
-pu_journal_held_before (const char *folder, const pu_journal_fs_t *fs)
+pu_journal_had_identity (const char *folder, const pu_journal_fs_t *fs)
 {
   GPtrArray *names = g_ptr_array_new_with_free_func (g_free);
   bool held = false;
--- a/libplantainusher/log/journal.h
+++ b/libplantainusher/log/journal.h
@@ -67,7 +67,7 @@
   const char *folder;
   const pu_journal_fs_t *fs; /* NULL: the operating system's */
   uint64_t segment_bytes;    /* 8 MiB: a segment is closed at this size */
-  bool sync_each;            /* one sync an entry: the baseline of the bench */
+  bool sync_each_entry;      /* one sync an entry: the baseline of the bench */
   pu_journal_synced_fn *synced;
   pu_journal_saved_fn *saved;
   pu_journal_failed_fn *failed;
@@ -92,21 +92,23 @@
 bool pu_journal_set_aside (const char *folder, const pu_journal_fs_t *fs,
                            pu_error_t *e);
 
-/* pu_journal_held_before - whether files were set aside in FOLDER: an earlier
+/* pu_journal_had_identity - whether files were set aside in FOLDER: an earlier
    identity lived there.  */
-bool pu_journal_held_before (const char *folder, const pu_journal_fs_t *fs);
+bool pu_journal_had_identity (const char *folder, const pu_journal_fs_t *fs);
 
 /* pu_journal_free - closes the files.  Nothing may be under way: see
    pu_journal_busy.  */
 void pu_journal_free (pu_journal_t *j);
 
-/* pu_journal_write, _meta, _save - gather a write; tickets must rise.  _save
-   is done beside the batches and reported by `saved`; INSTALLED voids all
-   entries gathered or written before.  */
-void pu_journal_write (pu_journal_t *j, uint64_t ticket,
-                       const GPtrArray *entries, uint64_t commit);
-void pu_journal_meta (pu_journal_t *j, uint64_t ticket, const pu_log_meta *m);
-void pu_journal_save (pu_journal_t *j, const pu_snapshot_t *s, bool installed);
+/* pu_journal_queue_entries, _meta, _save - gather a write; tickets must rise.
+   _save is done beside the batches and reported by `saved`; INSTALLED voids
+   all entries gathered or written before.  */
+void pu_journal_queue_entries (pu_journal_t *j, uint64_t ticket,
+                               const GPtrArray *entries, uint64_t commit);
+void pu_journal_queue_meta (pu_journal_t *j, uint64_t ticket,
+                            const pu_log_meta *m);
+void pu_journal_queue_snapshot (pu_journal_t *j, const pu_snapshot_t *s,
+                                bool installed);
 
 /* pu_journal_start - hands what was gathered to the thread pool, unless a
    batch is under way; it goes on by itself until nothing is left.  */
--- a/libplantainusher/log/journal_fuzz.cc
+++ b/libplantainusher/log/journal_fuzz.cc
@@ -54,9 +54,9 @@
 
       g_ptr_array_add (a, pu_record_new (i, term_of (i), PU_LOG_DATA,
                                          "some bytes of data", 18));
-      pu_journal_write (j, 2 * i, a, i / 2);
+      pu_journal_queue_entries (j, 2 * i, a, i / 2);
       meta.term = term_of (i);
-      pu_journal_meta (j, 2 * i + 1, &meta);
+      pu_journal_queue_meta (j, 2 * i + 1, &meta);
       require (pu_journal_flush (j, nullptr));
       g_ptr_array_unref (a);
     }
--- a/libplantainusher/log/journal_save.c
+++ b/libplantainusher/log/journal_save.c
@@ -33,7 +33,8 @@
 }
 
 void
-pu_journal_save (pu_journal_t *j, const pu_snapshot_t *s, bool installed)
+pu_journal_queue_snapshot (pu_journal_t *j, const pu_snapshot_t *s,
+                           bool installed)
 {
   pu_save_job_t *job = g_new0 (pu_save_job_t, 1);
 
--- a/libplantainusher/log/journal_test.cc
+++ b/libplantainusher/log/journal_test.cc
@@ -93,7 +93,7 @@
                                            "some bytes of data", 18));
         m.terms.push_back (term);
       }
-    pu_journal_write (j, ticket, a, m.commit);
+    pu_journal_queue_entries (j, ticket, a, m.commit);
     g_ptr_array_unref (a);
   }
   void
@@ -101,7 +101,7 @@
   {
     pu_log_meta x{};
     x.term = ++m.term;
-    pu_journal_meta (j, ticket, &x);
+    pu_journal_queue_meta (j, ticket, &x);
   }
   void
   save (Model &m, uint64_t index, bool installed)
@@ -113,7 +113,7 @@
       m.terms.assign (index, 0);
     m.snapshot = index;
     m.commit = std::max (m.commit, index);
-    pu_journal_save (j, &s, installed);
+    pu_journal_queue_snapshot (j, &s, installed);
     g_bytes_unref (s.data);
   }
 };
--- a/libplantainusher/log/log_msg_fuzz.c
+++ b/libplantainusher/log/log_msg_fuzz.c
@@ -45,7 +45,7 @@
   m.group = 0;
   pu_replica_receive (r, 5, &m);
   pu_replica_tick (r, 5000);
-  while (pu_replica_next (r, 5000, &a))
+  while (pu_replica_next_action (r, 5000, &a))
     pu_action_clear (&a);
   pu_replica_free (r);
   xdr_free ((xdrproc_t)xdr_pu_log_msg, (char *)&m);
--- a/libplantainusher/log/record.c
+++ b/libplantainusher/log/record.c
@@ -101,7 +101,7 @@
     }
   if (!pu_xdr_decode ((xdrproc_t)xdr_pu_log_msg, m, bytes, len))
     return pu_error_set (e, PU_ERROR_INVALID, "malformed log message");
-  if (m->protocol != PU_LOG_PROTOCOL)
+  if (m->protocol != PU_LOG_PROTOCOL_VERSION)
     {
       pu_error_set (e, PU_ERROR_INVALID, "log message of protocol %u",
                     m->protocol);
@@ -155,7 +155,7 @@
 }
 
 pu_log_member *
-pu_log_config_find (const pu_log_config *c, uint64_t id)
+pu_log_config_find_member (const pu_log_config *c, uint64_t id)
 {
   for (guint i = 0; i < c->members.members_len; i++)
     {
@@ -166,17 +166,17 @@
 }
 
 bool
-pu_log_counts (pu_log_role role)
+pu_log_role_is_voting (pu_log_role role)
 {
   return role == PU_LOG_VOTER || role == PU_LOG_LEAVING;
 }
 
 uint32_t
-pu_log_config_voters (const pu_log_config *c)
+pu_log_config_count_voters (const pu_log_config *c)
 {
   uint32_t n = 0;
 
   for (guint i = 0; i < c->members.members_len; i++)
-    n += pu_log_counts (c->members.members_val[i].role);
+    n += pu_log_role_is_voting (c->members.members_val[i].role);
   return n;
 }
--- a/libplantainusher/log/record.h
+++ b/libplantainusher/log/record.h
@@ -45,7 +45,7 @@
 
 /* pu_log_msg_encode, pu_log_msg_decode - the same for a message, whose size is
    bounded by PU_LOG_MSG_MAX.  Free a decoded one with xdr_free.  */
-#define PU_LOG_PROTOCOL 1
+#define PU_LOG_PROTOCOL_VERSION 1
 #define PU_LOG_MSG_MAX (PU_LOG_ENTRY_MAX + 2 * 1048576)
 GBytes *pu_log_msg_encode (const pu_log_msg *m);
 bool pu_log_msg_decode (pu_log_msg *m, const void *bytes, size_t len,
@@ -57,14 +57,14 @@
 void pu_log_config_copy (pu_log_config *to, const pu_log_config *from);
 void pu_log_config_clear (pu_log_config *c);
 
-/* pu_log_config_find - the member with ID, or NULL.  */
-pu_log_member *pu_log_config_find (const pu_log_config *c, uint64_t id);
+/* pu_log_config_find_member - the member with ID, or NULL.  */
+pu_log_member *pu_log_config_find_member (const pu_log_config *c, uint64_t id);
 
-/* pu_log_config_voters - how many members count.  */
-uint32_t pu_log_config_voters (const pu_log_config *c);
+/* pu_log_config_count_voters - how many members count.  */
+uint32_t pu_log_config_count_voters (const pu_log_config *c);
 
-/* pu_log_counts - whether members of ROLE count for a quorum.  */
-bool pu_log_counts (pu_log_role role);
+/* pu_log_role_is_voting - whether members of ROLE count for a quorum.  */
+bool pu_log_role_is_voting (pu_log_role role);
 
 G_END_DECLS
 
--- a/libplantainusher/log/replica.c
+++ b/libplantainusher/log/replica.c
@@ -31,8 +31,8 @@
   o->keep_entries = KEEP_ENTRIES;
   o->batch_bytes = BATCH_BYTES;
   o->window = WINDOW;
-  o->pending_entries = PENDING_ENTRIES;
-  o->pending_bytes = PENDING_BYTES;
+  o->uncommitted_entries = PENDING_ENTRIES;
+  o->uncommitted_bytes = PENDING_BYTES;
 }
 
 void
@@ -64,13 +64,13 @@
     case PU_ACTION_WRITE:
       g_clear_pointer (&a->write.entries, g_ptr_array_unref);
       break;
-    case PU_ACTION_SAVE:
+    case PU_ACTION_SAVE_SNAPSHOT:
       pu_snapshot_clear (&a->save.snapshot);
       break;
-    case PU_ACTION_META:
-    case PU_ACTION_TAKE:
+    case PU_ACTION_WRITE_META:
+    case PU_ACTION_TAKE_SNAPSHOT:
     case PU_ACTION_APPLY:
-    case PU_ACTION_ROLE:
+    case PU_ACTION_ROLE_CHANGED:
     case PU_ACTION_REJOIN:
       break;
     }
@@ -92,7 +92,7 @@
 }
 
 pu_action_t *
-pu_r_action (pu_replica_t *r, pu_action_kind_t kind)
+pu_r_push_action (pu_replica_t *r, pu_action_kind_t kind)
 {
   pu_action_t *a = g_new0 (pu_action_t, 1);
 
@@ -109,7 +109,7 @@
 
   while ((h = g_queue_peek_head (&r->held)) != NULL && h->after <= r->synced)
     {
-      pu_action_t *a = pu_r_action (r, PU_ACTION_SEND);
+      pu_action_t *a = pu_r_push_action (r, PU_ACTION_SEND);
 
       a->send.to = h->to;
       a->send.msg = h->msg;
@@ -137,7 +137,7 @@
 
   if (r->silent)
     return;
-  m.protocol = PU_LOG_PROTOCOL;
+  m.protocol = PU_LOG_PROTOCOL_VERSION;
   m.group = r->o.group;
   m.cluster = r->cluster;
   m.term = r->term;
@@ -164,7 +164,7 @@
 
   /* The journal keeps the order: entries written so far come first.  */
   pu_r_flush_writes (r);
-  a = pu_r_action (r, PU_ACTION_META);
+  a = pu_r_push_action (r, PU_ACTION_WRITE_META);
   a->ticket = ++r->ticket;
   a->meta.meta.id = r->self.id;
   a->meta.meta.cluster = r->cluster;
@@ -187,15 +187,15 @@
 static void
 announce_role (pu_replica_t *r, bool leader)
 {
-  pu_action_t *a = pu_r_action (r, PU_ACTION_ROLE);
+  pu_action_t *a = pu_r_push_action (r, PU_ACTION_ROLE_CHANGED);
 
   a->role.leader = leader;
   a->role.term = r->term;
 }
 
 void
-pu_r_follow (pu_replica_t *r, uint64_t now, uint64_t term,
-             const pu_log_peer *leader)
+pu_r_become_follower (pu_replica_t *r, uint64_t now, uint64_t term,
+                      const pu_log_peer *leader)
 {
   bool led = r->role == PU_ROLE_LEADER;
 
@@ -203,7 +203,7 @@
   pu_log_peer_clear (&r->leader);
   if (leader != NULL)
     pu_log_peer_copy (&r->leader, leader);
-  r->transfer_until = 0;
+  r->transfer_deadline = 0;
   if (led)
     announce_role (r, false);
   if (term > r->term)
@@ -211,7 +211,7 @@
       r->term = term;
       r->vote = 0;
       r->verified = 0;
-      r->owes_reply = false;
+      r->reply_pending = false;
       r->echo_seq = 0;
       pu_r_save_meta (r);
     }
@@ -233,7 +233,7 @@
 pu_r_rejoin (pu_replica_t *r)
 {
   fall_silent (r);
-  pu_r_action (r, PU_ACTION_REJOIN);
+  pu_r_push_action (r, PU_ACTION_REJOIN);
 }
 
 void
@@ -265,7 +265,7 @@
 
       if (is_self (o, &o->initial[i]))
         {
-          r->initial = !o->rejoined;
+          r->initial = !o->had_log;
           continue;
         }
       pu_log_peer_copy (&s.peer, &o->initial[i]);
@@ -289,7 +289,7 @@
   r->written = G_MAXUINT64; /* nothing of this is to be written again */
   for (guint i = 0; i < d->entries->len; i++)
     pu_r_append (r, pu_record_ref (g_ptr_array_index (d->entries, i)));
-  r->written = pu_r_last (r);
+  r->written = pu_r_last_index (r);
   r->durable = r->written;
   last_term = pu_r_last_term (r);
   if (last_term > r->term)
@@ -327,7 +327,7 @@
   g_queue_init (&r->actions);
   g_queue_init (&r->held);
   load_disk (r, disk);
-  r->heard_at = now;
+  r->last_leader_contact = now;
   pu_r_reset_timeout (r, now);
   return r;
 }
@@ -343,7 +343,8 @@
           &g_array_index (r->configs, pu_config_at_t, i).config);
     }
   for (guint i = 0; i < r->progress->len; i++)
-    g_queue_clear (&g_array_index (r->progress, pu_progress_t, i).on_way);
+    g_queue_clear (
+        &g_array_index (r->progress, pu_progress_t, i).in_flight_appends);
   g_array_unref (r->seeds);
   g_array_unref (r->configs);
   g_array_unref (r->progress);
@@ -382,12 +383,13 @@
       pu_r_leader_tick (r, now);
       return;
     }
-  pu_r_start_log (r, now);
-  pu_r_say_hello (r, now);
+  pu_r_bootstrap_log (r, now);
+  pu_r_send_hellos (r, now);
   pu_r_fetch_tick (r, now);
   if (!pu_r_may_campaign (r))
     return;
-  if (now >= r->timeout_at || pu_log_config_voters (pu_r_config (r)) == 1)
+  if (now >= r->timeout_at
+      || pu_log_config_count_voters (pu_r_config (r)) == 1)
     {
       pu_r_campaign (r, now, true, false);
     }
@@ -440,7 +442,7 @@
       return true;
     case PU_LOG_APPEND_REPLY:
     case PU_LOG_VOTE_REPLY:
-      return pu_log_config_find (pu_r_config (r), m->from.id) != NULL;
+      return pu_log_config_find_member (pu_r_config (r), m->from.id) != NULL;
     default:
       return false;
     }
@@ -452,7 +454,7 @@
   if (!for_us (r, m))
     return;
   if (raises_term (r, m))
-    pu_r_follow (r, now, m->term, NULL);
+    pu_r_become_follower (r, now, m->term, NULL);
   switch (m->body.kind)
     {
     case PU_LOG_HELLO:
@@ -511,14 +513,14 @@
     {
       pu_r_update_commit (r);
     }
-  else if (r->owes_reply)
+  else if (r->reply_pending)
     {
       pu_r_reply_append (r, true, 0);
     }
 }
 
 bool
-pu_replica_next (pu_replica_t *r, uint64_t now, pu_action_t *a)
+pu_replica_next_action (pu_replica_t *r, uint64_t now, pu_action_t *a)
 {
   pu_action_t *head;
 
@@ -558,33 +560,33 @@
 }
 
 uint64_t
-pu_replica_first (const pu_replica_t *r)
+pu_replica_first_index (const pu_replica_t *r)
 {
   return r->base + 1;
 }
 
 uint64_t
-pu_replica_last (const pu_replica_t *r)
+pu_replica_last_index (const pu_replica_t *r)
 {
-  return pu_r_last (r);
+  return pu_r_last_index (r);
 }
 
 uint64_t
-pu_replica_commit (const pu_replica_t *r)
+pu_replica_commit_index (const pu_replica_t *r)
 {
   return r->commit;
 }
 
 uint64_t
-pu_replica_behind_ms (const pu_replica_t *r, uint64_t now)
+pu_replica_commit_lag_ms (const pu_replica_t *r, uint64_t now)
 {
-  if (r->behind_since == 0 || r->commit >= r->heard_commit)
+  if (r->commit_lag_since == 0 || r->commit >= r->max_leader_commit)
     return 0;
-  return now - MIN (now, r->behind_since);
+  return now - MIN (now, r->commit_lag_since);
 }
 
 uint64_t
-pu_replica_durable (const pu_replica_t *r)
+pu_replica_durable_index (const pu_replica_t *r)
 {
   return r->durable;
 }
--- a/libplantainusher/log/replica.h
+++ b/libplantainusher/log/replica.h
@@ -18,10 +18,10 @@
  * leader's lease, changes of voters one at a time, snapshot transfer.
  *
  * The caller puts in time, messages, proposals and what the disk has synced;
- * it takes out actions with pu_replica_next and carries them out in order.
- * Writes carry a ticket: the caller reports the highest ticket below which
- * everything is durable with pu_replica_synced.  Nothing that depends on a
- * write leaves the replica before that.
+ * it takes out actions with pu_replica_next_action and carries them out in
+ * order. Writes carry a ticket: the caller reports the highest ticket below
+ * which everything is durable with pu_replica_synced.  Nothing that depends on
+ * a write leaves the replica before that.
  *
  * `now` is in milliseconds and monotonic.  It must be read from the clock for
  * the call, not taken from a cached loop time: the lease rests on it.
@@ -48,8 +48,8 @@
                                  by its address; also where to ask for a
                                  leader */
   size_t n_initial;
-  bool rejoined;             /* the folder has held a log before: never
-                                start one */
+  bool had_log;              /* the folder has held a log before: never
+                                 start one */
   uint64_t seed;             /* of the random election timeouts */
   uint32_t election_ms;      /* 1000: least election timeout; twice that is
                                 the most */
@@ -62,15 +62,15 @@
                                 many, an odd number at a time */
   uint32_t snapshot_entries; /* 4096: entries until a snapshot */
   uint64_t snapshot_bytes;   /* 16 MiB: bytes until a snapshot */
-  bool snapshot_together;    /* all voters at the same point: a benchmark's
-                                baseline */
+  bool snapshot_unstaggered; /* all voters at the same point: a benchmark's
+                             baseline */
   uint32_t keep_entries;     /* 1024: kept behind a snapshot for others */
   uint32_t batch_bytes;      /* 1 MiB: entries in one message; one larger
                                 entry goes alone */
   uint32_t window;           /* 8: messages on the way to one voter */
-  uint32_t pending_entries;  /* 8192: proposed and not committed */
-  uint64_t pending_bytes;    /* 64 MiB */
-  unsigned breaks;           /* pu_replica_break_t; tests alone */
+  uint32_t uncommitted_entries; /* 8192: proposed and not committed */
+  uint64_t uncommitted_bytes;   /* 64 MiB */
+  unsigned breaks;              /* pu_replica_break_t; tests alone */
 } pu_replica_options_t;
 
 /* A snapshot of the state machine, and what the log needs beside it.  */
@@ -96,16 +96,17 @@
 
 typedef enum
 {
-  PU_ACTION_SEND,   /* send.to, send.msg */
-  PU_ACTION_WRITE,  /* write.entries: an index already in the journal
-                       replaces it and drops all after it */
-  PU_ACTION_META,   /* meta.meta */
-  PU_ACTION_SAVE,   /* save.snapshot; when save.installed, first restore the
-                       state machine from it and void the journal's entries.
-                       Answer with pu_replica_saved */
-  PU_ACTION_TAKE,   /* take an image at take.index, pu_replica_snapshot */
-  PU_ACTION_APPLY,  /* apply.first to apply.last are committed */
-  PU_ACTION_ROLE,   /* role.leader, role.term */
+  PU_ACTION_SEND,          /* send.to, send.msg */
+  PU_ACTION_WRITE,         /* write.entries: an index already in the journal
+                              replaces it and drops all after it */
+  PU_ACTION_WRITE_META,    /* meta.meta */
+  PU_ACTION_SAVE_SNAPSHOT, /* save.snapshot; when save.installed, first restore
+                     the state machine from it and void the journal's entries.
+                     Answer with pu_replica_snapshot_saved */
+  PU_ACTION_TAKE_SNAPSHOT, /* take an image at take.index,
+                              pu_replica_snapshot_taken */
+  PU_ACTION_APPLY,         /* apply.first to apply.last are committed */
+  PU_ACTION_ROLE_CHANGED,  /* role.leader, role.term */
   PU_ACTION_REJOIN, /* this identity is spent: start anew with a new one */
 } pu_action_kind_t;
 
@@ -181,27 +182,27 @@
 /* pu_replica_synced - all writes up to TICKET are durable.  */
 void pu_replica_synced (pu_replica_t *r, uint64_t now, uint64_t ticket);
 
-/* pu_replica_saved - the snapshot at INDEX is durable.  */
-void pu_replica_saved (pu_replica_t *r, uint64_t now, uint64_t index);
+/* pu_replica_snapshot_saved - the snapshot at INDEX is durable.  */
+void pu_replica_snapshot_saved (pu_replica_t *r, uint64_t now, uint64_t index);
 
-/* pu_replica_snapshot - answers TAKE: DATA is the image at INDEX, or NULL when
-   there is none now.  */
-void pu_replica_snapshot (pu_replica_t *r, uint64_t index, GBytes *data);
+/* pu_replica_snapshot_taken - answers TAKE: DATA is the image at INDEX, or
+   NULL when there is none now.  */
+void pu_replica_snapshot_taken (pu_replica_t *r, uint64_t index, GBytes *data);
 
 /* pu_replica_fail - the disk failed: falls silent for good.  */
 void pu_replica_fail (pu_replica_t *r);
 
-/* pu_replica_next - takes the next action; false when there is none.  Clear it
-   with pu_action_clear.  Draining at the end of a loop iteration puts all
-   proposals of that iteration into one write and one message a voter.  */
-bool pu_replica_next (pu_replica_t *r, uint64_t now, pu_action_t *a);
+/* pu_replica_next_action - takes the next action; false when there is none.
+   Clear it with pu_action_clear.  Draining at the end of a loop iteration puts
+   all proposals of that iteration into one write and one message a voter.  */
+bool pu_replica_next_action (pu_replica_t *r, uint64_t now, pu_action_t *a);
 
 /* pu_replica_holds_lease - see pu_group_holds_lease.  */
 bool pu_replica_holds_lease (const pu_replica_t *r, uint64_t now);
 
-/* pu_replica_transfer - hands the lead to the voter that is furthest, once it
-   has the whole log.  No proposals are taken meanwhile.  */
-void pu_replica_transfer (pu_replica_t *r, uint64_t now);
+/* pu_replica_transfer_leadership - hands the lead to the voter that is
+   furthest, once it has the whole log.  No proposals are taken meanwhile.  */
+void pu_replica_transfer_leadership (pu_replica_t *r, uint64_t now);
 
 typedef enum
 {
@@ -215,20 +216,20 @@
                                pu_voters_change_t change, const char *name,
                                const char *with, pu_error_t *e);
 
-/* pu_replica_meet - a voter may stand at ADDRESS.  A replica that did not
+/* pu_replica_add_seed - a voter may stand at ADDRESS.  A replica that did not
    start the log greets it, like the initial ones, while it has no log.  */
-void pu_replica_meet (pu_replica_t *r, const char *address);
+void pu_replica_add_seed (pu_replica_t *r, const char *address);
 
 bool pu_replica_is_leader (const pu_replica_t *r);
 bool pu_replica_failed (const pu_replica_t *r);
 uint64_t pu_replica_term (const pu_replica_t *r);
-uint64_t pu_replica_first (const pu_replica_t *r); /* first entry held */
-uint64_t pu_replica_last (const pu_replica_t *r);  /* last entry held */
-uint64_t pu_replica_commit (const pu_replica_t *r);
-/* pu_replica_behind_ms - for how long what a leader has committed has been
+uint64_t pu_replica_first_index (const pu_replica_t *r); /* first entry held */
+uint64_t pu_replica_last_index (const pu_replica_t *r);  /* last entry held */
+uint64_t pu_replica_commit_index (const pu_replica_t *r);
+/* pu_replica_commit_lag_ms - for how long what a leader has committed has been
    beyond what is known here to be committed.  */
-uint64_t pu_replica_behind_ms (const pu_replica_t *r, uint64_t now);
-uint64_t pu_replica_durable (const pu_replica_t *r);
+uint64_t pu_replica_commit_lag_ms (const pu_replica_t *r, uint64_t now);
+uint64_t pu_replica_durable_index (const pu_replica_t *r);
 uint64_t pu_replica_snapshot_index (const pu_replica_t *r);
 const pu_log_peer *pu_replica_self (const pu_replica_t *r);
 const pu_log_peer *pu_replica_leader (const pu_replica_t *r); /* or NULL */
--- a/libplantainusher/log/replica_append.c
+++ b/libplantainusher/log/replica_append.c
@@ -15,7 +15,7 @@
 };
 
 pu_progress_t *
-pu_r_progress (const pu_replica_t *r, uint64_t id)
+pu_r_find_progress (const pu_replica_t *r, uint64_t id)
 {
   for (guint i = 0; i < r->progress->len; i++)
     {
@@ -33,18 +33,18 @@
   pu_progress_t p = { 0 };
 
   p.id = id;
-  p.next = pu_r_last (r) + 1;
+  p.next = pu_r_last_index (r) + 1;
   p.probing = true;
   p.floor = pu_r_floor (r, id);
   p.heard = now;
-  p.beat_at = now;
-  g_queue_init (&p.on_way);
+  p.next_heartbeat_at = now;
+  g_queue_init (&p.in_flight_appends);
   g_array_append_val (r->progress, p);
 }
 
 /* Makes the table of progress follow the configuration.  */
 void
-pu_r_sync_progress (pu_replica_t *r, uint64_t now)
+pu_r_reconcile_progress (pu_replica_t *r, uint64_t now)
 {
   const pu_log_config *c = pu_r_config (r);
 
@@ -52,33 +52,33 @@
     {
       pu_progress_t *p = &g_array_index (r->progress, pu_progress_t, i);
 
-      if (pu_log_config_find (c, p->id) != NULL)
+      if (pu_log_config_find_member (c, p->id) != NULL)
         continue;
-      g_queue_clear (&p->on_way);
+      g_queue_clear (&p->in_flight_appends);
       g_array_remove_index (r->progress, i);
     }
   for (guint i = 0; i < c->members.members_len; i++)
     {
       uint64_t id = c->members.members_val[i].peer.id;
 
-      if (id != r->self.id && pu_r_progress (r, id) == NULL)
+      if (id != r->self.id && pu_r_find_progress (r, id) == NULL)
         add_progress (r, id, now);
     }
 }
 
 uint64_t
-pu_r_append_own (pu_replica_t *r, pu_log_type type, const void *data,
-                 size_t len)
+pu_r_append_as_leader (pu_replica_t *r, pu_log_type type, const void *data,
+                       size_t len)
 {
-  uint64_t index = pu_r_last (r) + 1;
+  uint64_t index = pu_r_last_index (r) + 1;
 
   pu_r_append (r, pu_record_new (index, r->term, type, data, len));
-  r->pending_bytes += len;
+  r->uncommitted_bytes += len;
   return index;
 }
 
 void
-pu_r_lead (pu_replica_t *r, uint64_t now)
+pu_r_become_leader (pu_replica_t *r, uint64_t now)
 {
   pu_action_t *a;
 
@@ -86,16 +86,17 @@
   pu_r_fetch_stop (r);
   pu_log_peer_clear (&r->leader);
   pu_log_peer_copy (&r->leader, &r->self);
-  r->led_since = now;
-  r->pending_bytes = 0;
-  r->settled_index = 0;
-  r->transfer_until = 0;
+  r->leader_since = now;
+  r->uncommitted_bytes = 0;
+  r->committed_config_index = 0;
+  r->transfer_deadline = 0;
   for (guint i = 0; i < r->progress->len; i++)
-    g_queue_clear (&g_array_index (r->progress, pu_progress_t, i).on_way);
+    g_queue_clear (
+        &g_array_index (r->progress, pu_progress_t, i).in_flight_appends);
   g_array_set_size (r->progress, 0);
-  pu_r_sync_progress (r, now);
-  r->first_of_term = pu_r_append_own (r, PU_LOG_NOOP, "", 0);
-  a = pu_r_action (r, PU_ACTION_ROLE);
+  pu_r_reconcile_progress (r, now);
+  r->term_first_index = pu_r_append_as_leader (r, PU_LOG_NOOP, "", 0);
+  a = pu_r_push_action (r, PU_ACTION_ROLE_CHANGED);
   a->role.leader = true;
   a->role.term = r->term;
   pu_r_leader_tick (r, now);
@@ -108,17 +109,17 @@
   (void)now;
   if (r->role != PU_ROLE_LEADER || r->silent)
     return pu_error_set (e, PU_ERROR_UNAVAILABLE, "not the leader");
-  if (r->transfer_until != 0)
+  if (r->transfer_deadline != 0)
     return pu_error_set (e, PU_ERROR_UNAVAILABLE, "the lead is handed over");
   if (len > PU_LOG_ENTRY_MAX)
     return pu_error_set (e, PU_ERROR_TOO_LARGE, "an entry of %zu bytes", len);
-  if (pu_r_last (r) - r->commit >= r->o.pending_entries
-      || r->pending_bytes + len > r->o.pending_bytes)
+  if (pu_r_last_index (r) - r->commit >= r->o.uncommitted_entries
+      || r->uncommitted_bytes + len > r->o.uncommitted_bytes)
     {
       return pu_error_set (e, PU_ERROR_UNAVAILABLE,
                            "too many entries are not committed yet");
     }
-  *index = pu_r_append_own (r, PU_LOG_DATA, bytes, len);
+  *index = pu_r_append_as_leader (r, PU_LOG_DATA, bytes, len);
   return true;
 }
 
@@ -127,7 +128,7 @@
 static uint32_t
 gather_entries (const pu_replica_t *r, uint64_t first, pu_log_entry *out)
 {
-  uint64_t last = pu_r_last (r);
+  uint64_t last = pu_r_last_index (r);
   uint64_t bytes = 0;
   uint32_t n = 0;
 
@@ -176,7 +177,7 @@
       return;
     }
   pu_r_choose_seeder (r, p, now);
-  m = pu_log_config_find (pu_r_config (r), p->seeder);
+  m = pu_log_config_find_member (pu_r_config (r), p->seeder);
   if (m != NULL)
     a->seeder = m->peer;
 }
@@ -186,7 +187,7 @@
 send_append (pu_replica_t *r, pu_progress_t *p, uint64_t now,
              bool with_entries)
 {
-  const pu_log_member *to = pu_log_config_find (pu_r_config (r), p->id);
+  const pu_log_member *to = pu_log_config_find_member (pu_r_config (r), p->id);
   pu_log_body b = { .kind = PU_LOG_APPEND };
   pu_log_append *a = &b.pu_log_body_u.append;
   pu_log_floor floors[PU_LOG_MEMBERS_MAX];
@@ -210,7 +211,8 @@
       a->entries.entries_val = entries;
       a->entries.entries_len = gather_entries (r, p->next, entries);
       p->next += a->entries.entries_len;
-      g_queue_push_tail (&p->on_way, GSIZE_TO_POINTER (p->next - 1));
+      g_queue_push_tail (&p->in_flight_appends,
+                         GSIZE_TO_POINTER (p->next - 1));
     }
   else
     {
@@ -229,7 +231,8 @@
       pu_progress_t *p = &g_array_index (r->progress, pu_progress_t, i);
 
       while (!p->probing && !p->refused && p->next > r->base
-             && p->next <= pu_r_last (r) && p->on_way.length < r->o.window)
+             && p->next <= pu_r_last_index (r)
+             && p->in_flight_appends.length < r->o.window)
         send_append (r, p, now, true);
     }
 }
@@ -238,37 +241,37 @@
 finish_transfer (pu_replica_t *r, uint64_t now)
 {
   const pu_log_member *to
-      = pu_log_config_find (pu_r_config (r), r->transfer_to);
-  const pu_progress_t *p = pu_r_progress (r, r->transfer_to);
+      = pu_log_config_find_member (pu_r_config (r), r->transfer_target);
+  const pu_progress_t *p = pu_r_find_progress (r, r->transfer_target);
   pu_log_body b = { .kind = PU_LOG_TIMEOUT_NOW };
   pu_log_peer peer;
 
-  if (now >= r->transfer_until || to == NULL || p == NULL)
+  if (now >= r->transfer_deadline || to == NULL || p == NULL)
     {
-      r->transfer_until = 0;
+      r->transfer_deadline = 0;
       return;
     }
-  if (p->match < pu_r_last (r))
+  if (p->match < pu_r_last_index (r))
     return;
   pu_log_peer_copy (&peer, &to->peer);
   /* The lease ends before the other can be elected.  */
-  pu_r_follow (r, now, r->term, NULL);
+  pu_r_become_follower (r, now, r->term, NULL);
   pu_r_send (r, &peer, &b);
   pu_log_peer_clear (&peer);
 }
 
 void
-pu_replica_transfer (pu_replica_t *r, uint64_t now)
+pu_replica_transfer_leadership (pu_replica_t *r, uint64_t now)
 {
   const pu_log_config *c = pu_r_config (r);
   const pu_progress_t *best = NULL;
 
-  if (r->role != PU_ROLE_LEADER || r->transfer_until != 0)
+  if (r->role != PU_ROLE_LEADER || r->transfer_deadline != 0)
     return;
   for (guint i = 0; i < c->members.members_len; i++)
     {
       const pu_log_member *m = &c->members.members_val[i];
-      const pu_progress_t *p = pu_r_progress (r, m->peer.id);
+      const pu_progress_t *p = pu_r_find_progress (r, m->peer.id);
 
       if (m->role != PU_LOG_VOTER || p == NULL || p->refused
           || now > p->heard + HEARD_BEATS * (uint64_t)r->o.heartbeat_ms)
@@ -278,22 +281,22 @@
     }
   if (best == NULL)
     return;
-  r->transfer_to = best->id;
-  r->transfer_until = now + r->o.election_ms;
+  r->transfer_target = best->id;
+  r->transfer_deadline = now + r->o.election_ms;
   finish_transfer (r, now);
 }
 
 static void
 beat (pu_replica_t *r, pu_progress_t *p, uint64_t now)
 {
-  const pu_log_member *m = pu_log_config_find (pu_r_config (r), p->id);
+  const pu_log_member *m = pu_log_config_find_member (pu_r_config (r), p->id);
 
-  if (now < p->beat_at)
+  if (now < p->next_heartbeat_at)
     return;
-  p->beat_at = now + r->o.heartbeat_ms;
+  p->next_heartbeat_at = now + r->o.heartbeat_ms;
   if (p->refused && m != NULL)
     {
-      pu_r_tell_rejoin (r, &m->peer);
+      pu_r_send_rejoin (r, &m->peer);
     }
   else
     {
@@ -304,21 +307,21 @@
 void
 pu_r_leader_tick (pu_replica_t *r, uint64_t now)
 {
-  uint64_t sent = MAX (pu_r_quorum_sent (r, now), r->led_since);
+  uint64_t sent = MAX (pu_r_quorum_acked_send_time (r, now), r->leader_since);
 
   if (now > sent + SILENT_ELECTIONS * (uint64_t)r->o.election_ms)
     {
-      pu_r_follow (r, now, r->term, NULL);
+      pu_r_become_follower (r, now, r->term, NULL);
       return;
     }
-  pu_r_sync_progress (r, now);
+  pu_r_reconcile_progress (r, now);
   for (guint i = 0; i < r->progress->len; i++)
     beat (r, &g_array_index (r->progress, pu_progress_t, i), now);
   pu_r_update_commit (r);
-  if (r->transfer_until != 0)
+  if (r->transfer_deadline != 0)
     finish_transfer (r, now);
   if (r->role == PU_ROLE_LEADER)
-    pu_r_balance (r, now);
+    pu_r_adjust_voters (r, now);
 }
 
 /* Commit.  */
@@ -336,7 +339,7 @@
 own_match (const pu_replica_t *r)
 {
   if (r->o.breaks & PU_BREAK_ACK_BEFORE_SYNC)
-    return pu_r_last (r);
+    return pu_r_last_index (r);
   return r->durable;
 }
 
@@ -352,9 +355,9 @@
   for (guint i = 0; i < c->members.members_len; i++)
     {
       const pu_log_member *m = &c->members.members_val[i];
-      const pu_progress_t *p = pu_r_progress (r, m->peer.id);
+      const pu_progress_t *p = pu_r_find_progress (r, m->peer.id);
 
-      if (!pu_log_counts (m->role))
+      if (!pu_log_role_is_voting (m->role))
         continue;
       if (m->peer.id == r->self.id)
         {
@@ -390,7 +393,7 @@
     return false;
   if (a->synced < p->floor)
     return true;
-  return a->seq >= p->match_seq && a->synced < p->match;
+  return a->seq >= p->match_check_from_seq && a->synced < p->match;
 }
 
 static void
@@ -399,12 +402,13 @@
   if (match > p->match)
     {
       p->match = match;
-      p->match_seq = p->seq + 1;
+      p->match_check_from_seq = p->seq + 1;
     }
   p->next = MAX (p->next, p->match + 1);
-  while (p->on_way.length > 0
-         && GPOINTER_TO_SIZE (g_queue_peek_head (&p->on_way)) <= p->match)
-    g_queue_pop_head (&p->on_way);
+  while (p->in_flight_appends.length > 0
+         && GPOINTER_TO_SIZE (g_queue_peek_head (&p->in_flight_appends))
+                <= p->match)
+    g_queue_pop_head (&p->in_flight_appends);
 }
 
 static void
@@ -423,7 +427,7 @@
   probe = next < p->next && (next > r->base || p->seeder == 0);
   p->next = next;
   p->probing = true;
-  g_queue_clear (&p->on_way);
+  g_queue_clear (&p->in_flight_appends);
   if (probe)
     send_append (r, p, now, false);
 }
@@ -435,7 +439,7 @@
   if (a->fetched != p->fetched)
     {
       p->fetched = a->fetched;
-      p->fetched_at = now;
+      p->fetch_progress_at = now;
     }
 }
 
@@ -443,12 +447,12 @@
 pu_r_on_append_reply (pu_replica_t *r, uint64_t now, const pu_log_msg *m)
 {
   const pu_log_append_reply *a = &m->body.pu_log_body_u.append_reply;
-  pu_progress_t *p = pu_r_progress (r, m->from.id);
+  pu_progress_t *p = pu_r_find_progress (r, m->from.id);
 
   if (r->role != PU_ROLE_LEADER || m->term != r->term || p == NULL
       || p->refused || a->seq > p->seq || a->sent > now)
     return;
-  if (a->match > pu_r_last (r))
+  if (a->match > pu_r_last_index (r))
     return;
   if (lost_entries (r, p, a))
     {
@@ -456,7 +460,7 @@
       return;
     }
   p->heard = now;
-  p->acked_sent = MAX (p->acked_sent, a->sent);
+  p->acked_send_time = MAX (p->acked_send_time, a->sent);
   note_fetch (p, now, a);
   if (!a->ok)
     {
@@ -467,7 +471,7 @@
     p->probing = false;
   note_match (p, a->match);
   pu_r_update_commit (r);
-  if (r->transfer_until != 0 && p->id == r->transfer_to)
+  if (r->transfer_deadline != 0 && p->id == r->transfer_target)
     finish_transfer (r, now);
 }
 
@@ -483,7 +487,7 @@
   if (r->leader.id == 0)
     return;
   if (r->o.breaks & PU_BREAK_ACK_BEFORE_SYNC)
-    durable = pu_r_last (r);
+    durable = pu_r_last_index (r);
   a->seq = r->echo_seq;
   a->sent = r->echo_sent;
   a->ok = ok;
@@ -493,7 +497,7 @@
   a->snapshot = r->snapshot.index;
   a->fetched = r->fetching.data != NULL ? r->fetching.data->len : 0;
   if (ok)
-    r->owes_reply = r->verified > durable;
+    r->reply_pending = r->verified > durable;
   pu_r_send (r, &r->leader, &b);
 }
 
@@ -505,8 +509,8 @@
   bool known;
   uint64_t term;
 
-  if (prev > pu_r_last (r))
-    return pu_r_last (r);
+  if (prev > pu_r_last_index (r))
+    return pu_r_last_index (r);
   term = pu_r_term_at (r, prev, &known);
   while (prev > r->commit && pu_r_term_at (r, prev, &known) == term && known)
     prev--;
@@ -538,7 +542,7 @@
 
       if (x->index <= r->base)
         continue;
-      if (x->index <= pu_r_last (r))
+      if (x->index <= pu_r_last_index (r))
         {
           if (pu_r_term_at (r, x->index, &known) == x->term)
             continue;
@@ -557,8 +561,8 @@
   const pu_log_append *a = &m->body.pu_log_body_u.append;
 
   if (r->role != PU_ROLE_FOLLOWER || r->leader.id != m->from.id)
-    pu_r_follow (r, now, m->term, &m->from);
-  r->heard_at = MAX (r->heard_at, now);
+    pu_r_become_follower (r, now, m->term, &m->from);
+  r->last_leader_contact = MAX (r->last_leader_contact, now);
   pu_r_reset_timeout (r, now);
   if (a->seq > r->echo_seq)
     {
@@ -578,7 +582,7 @@
 {
   bool known;
 
-  if (a->prev_index > pu_r_last (r))
+  if (a->prev_index > pu_r_last_index (r))
     return false;
   if (a->prev_index < r->base)
     return true; /* committed here: the same */
@@ -591,14 +595,14 @@
 static void
 note_behind (pu_replica_t *r, uint64_t now, uint64_t leader_commit)
 {
-  r->heard_commit = MAX (r->heard_commit, leader_commit);
-  if (r->commit >= r->heard_commit)
+  r->max_leader_commit = MAX (r->max_leader_commit, leader_commit);
+  if (r->commit >= r->max_leader_commit)
     {
-      r->behind_since = 0;
+      r->commit_lag_since = 0;
     }
-  else if (r->behind_since == 0)
+  else if (r->commit_lag_since == 0)
     {
-      r->behind_since = MAX (now, 1);
+      r->commit_lag_since = MAX (now, 1);
     }
 }
 
@@ -616,7 +620,7 @@
   if (!agrees (r, a))
     {
       pu_r_reply_append (r, false, before_conflict (r, a->prev_index));
-      pu_r_fetch_from (r, now, &a->seeder);
+      pu_r_fetch_start (r, now, &a->seeder);
       return;
     }
   if (!take_entries (r, a))
@@ -629,7 +633,7 @@
     }
   else
     {
-      r->owes_reply = true;
+      r->reply_pending = true;
     }
   if (r->o.breaks & PU_BREAK_ACK_BEFORE_SYNC)
     pu_r_reply_append (r, true, 0);
@@ -661,7 +665,7 @@
 pu_replica_peer_state (const pu_replica_t *r, uint64_t id, uint64_t now,
                        uint64_t *match, uint64_t *silent_ms)
 {
-  const pu_progress_t *p = pu_r_progress (r, id);
+  const pu_progress_t *p = pu_r_find_progress (r, id);
 
   if (r->role != PU_ROLE_LEADER || p == NULL)
     return false;
--- a/libplantainusher/log/replica_disk.h
+++ b/libplantainusher/log/replica_disk.h
@@ -67,11 +67,11 @@
   uint64_t offset = 0;
   bool paused = false;
   bool stalled = false;
-  uint64_t chain = 0; // the state machine: a hash over all data
+  uint64_t state_hash = 0; // the state machine: a hash over all data
   uint64_t applied = 0;
   std::vector<uint64_t> voters; // as last known
   uint64_t config = 0;          // where that stands
-  bool rejoined = false;        // has been part of a log
+  bool had_log = false;         // has been part of a log
   bool surplus = false;         // more of them than wanted
 };
 
--- a/libplantainusher/log/replica_fetch.c
+++ b/libplantainusher/log/replica_fetch.c
@@ -49,12 +49,13 @@
   if (p->seeder == 0)
     {
       p->fetched = 0;
-      p->fetched_at = now;
+      p->fetch_progress_at = now;
       p->seeder_turn = 0;
     }
-  else if (now > p->fetched_at + STALL_BEATS * (uint64_t)r->o.heartbeat_ms)
+  else if (now
+           > p->fetch_progress_at + STALL_BEATS * (uint64_t)r->o.heartbeat_ms)
     {
-      p->fetched_at = now;
+      p->fetch_progress_at = now;
       p->seeder_turn++;
     }
   else
@@ -86,7 +87,7 @@
 }
 
 void
-pu_r_fetch_from (pu_replica_t *r, uint64_t now, const pu_log_peer *seeder)
+pu_r_fetch_start (pu_replica_t *r, uint64_t now, const pu_log_peer *seeder)
 {
   if (seeder->id == 0 || seeder->id == r->self.id
       || seeder->id == r->fetching.from.id)
@@ -132,8 +133,8 @@
   s.data = g_byte_array_free_to_bytes (data);
   pu_log_config_copy (&s.config, &c->config);
   if (r->role != PU_ROLE_FOLLOWER)
-    pu_r_follow (r, now, r->term, NULL);
-  pu_r_install (r, &s);
+    pu_r_become_follower (r, now, r->term, NULL);
+  pu_r_install_snapshot (r, &s);
   pu_r_reset_timeout (r, now);
 }
 
@@ -141,7 +142,7 @@
 pu_r_on_chunk (pu_replica_t *r, uint64_t now, const pu_log_msg *m)
 {
   const pu_log_chunk *c = &m->body.pu_log_body_u.chunk;
-  pu_fetching_t *f = &r->fetching;
+  pu_snapshot_fetch_t *f = &r->fetching;
 
   if (f->from.id == 0 || f->from.id != m->from.id || r->installing != 0
       || r->role == PU_ROLE_LEADER)
@@ -172,10 +173,10 @@
 static uint64_t
 snapshot_hash (pu_replica_t *r, const char *data, gsize total)
 {
-  if (r->hashed != r->snapshot.index)
+  if (r->hash_index != r->snapshot.index)
     {
       r->hash = XXH3_64bits (data, total);
-      r->hashed = r->snapshot.index;
+      r->hash_index = r->snapshot.index;
     }
   return r->hash;
 }
--- a/libplantainusher/log/replica_log.c
+++ b/libplantainusher/log/replica_log.c
@@ -21,7 +21,7 @@
 }
 
 uint64_t
-pu_r_last (const pu_replica_t *r)
+pu_r_last_index (const pu_replica_t *r)
 {
   return r->base + r->entries->len;
 }
@@ -29,7 +29,7 @@
 const pu_record_t *
 pu_replica_entry (const pu_replica_t *r, uint64_t index)
 {
-  if (index <= r->base || index > pu_r_last (r))
+  if (index <= r->base || index > pu_r_last_index (r))
     return NULL;
   return g_ptr_array_index (r->entries, index - r->base - 1);
 }
@@ -53,7 +53,7 @@
 {
   bool known;
 
-  return pu_r_term_at (r, pu_r_last (r), &known);
+  return pu_r_term_at (r, pu_r_last_index (r), &known);
 }
 
 /* Configurations.  The newest in the log is in force, committed or not.  */
@@ -160,7 +160,7 @@
 {
   uint64_t keep = first - 1;
 
-  for (uint64_t i = first; i <= pu_r_last (r); i++)
+  for (uint64_t i = first; i <= pu_r_last_index (r); i++)
     {
       r->bytes -= MIN (r->bytes,
                        sizeof (pu_record_t) + pu_replica_entry (r, i)->len);
@@ -177,13 +177,13 @@
 void
 pu_r_flush_writes (pu_replica_t *r)
 {
-  uint64_t last = pu_r_last (r);
+  uint64_t last = pu_r_last_index (r);
   pu_action_t *a;
   pu_write_t *w;
 
   if (r->silent || r->installing != 0 || r->written >= last)
     return;
-  a = pu_r_action (r, PU_ACTION_WRITE);
+  a = pu_r_push_action (r, PU_ACTION_WRITE);
   a->ticket = ++r->ticket;
   a->write.commit = r->commit;
   a->write.entries
@@ -203,11 +203,12 @@
 void
 pu_r_advance_commit (pu_replica_t *r, uint64_t commit)
 {
-  commit = MIN (commit, pu_r_last (r));
+  commit = MIN (commit, pu_r_last_index (r));
   if (commit <= r->commit)
     return;
   for (uint64_t i = r->commit + 1; i <= commit; i++)
-    r->pending_bytes -= MIN (r->pending_bytes, pu_replica_entry (r, i)->len);
+    r->uncommitted_bytes
+        -= MIN (r->uncommitted_bytes, pu_replica_entry (r, i)->len);
   r->commit = commit;
 }
 
@@ -230,7 +231,7 @@
 {
   const pu_log_config *c = pu_r_config (r);
   uint32_t members = MAX (c->members.members_len, 1);
-  uint32_t rank = r->o.snapshot_together ? 0 : own_rank (r, c);
+  uint32_t rank = r->o.snapshot_unstaggered ? 0 : own_rank (r, c);
   uint64_t period = r->o.snapshot_entries;
   uint64_t phase = period * rank / members;
   uint64_t limit = r->o.snapshot_bytes
@@ -254,7 +255,7 @@
     return;
   if (r->applied < r->commit)
     {
-      a = pu_r_action (r, PU_ACTION_APPLY);
+      a = pu_r_push_action (r, PU_ACTION_APPLY);
       a->apply.first = r->applied + 1;
       a->apply.last = r->commit;
       r->applied = r->commit;
@@ -262,13 +263,13 @@
   if (snapshot_due (r))
     {
       r->taking = true;
-      a = pu_r_action (r, PU_ACTION_TAKE);
+      a = pu_r_push_action (r, PU_ACTION_TAKE_SNAPSHOT);
       a->take.index = r->applied;
     }
 }
 
 void
-pu_replica_snapshot (pu_replica_t *r, uint64_t index, GBytes *data)
+pu_replica_snapshot_taken (pu_replica_t *r, uint64_t index, GBytes *data)
 {
   bool known;
   pu_action_t *a;
@@ -285,7 +286,7 @@
   r->taken.term = pu_r_term_at (r, index, &known);
   r->taken.data = g_bytes_ref (data);
   pu_log_config_copy (&r->taken.config, pu_r_config_at (r, index));
-  a = pu_r_action (r, PU_ACTION_SAVE);
+  a = pu_r_push_action (r, PU_ACTION_SAVE_SNAPSHOT);
   pu_snapshot_copy (&a->save.snapshot, &r->taken);
 }
 
@@ -298,7 +299,7 @@
   bool known;
 
   r->bytes = 0;
-  for (uint64_t i = index + 1; i <= pu_r_last (r); i++)
+  for (uint64_t i = index + 1; i <= pu_r_last_index (r); i++)
     r->bytes += sizeof (pu_record_t) + pu_replica_entry (r, i)->len;
   if (base <= r->base)
     return;
@@ -309,7 +310,7 @@
 }
 
 void
-pu_replica_saved (pu_replica_t *r, uint64_t now, uint64_t index)
+pu_replica_snapshot_saved (pu_replica_t *r, uint64_t now, uint64_t index)
 {
   (void)now;
   if (r->silent)
@@ -342,7 +343,7 @@
 /* Puts snapshot S, which is ahead of all that is committed here, in place of
    the log.  Takes what S owns.  */
 void
-pu_r_install (pu_replica_t *r, pu_snapshot_t *s)
+pu_r_install_snapshot (pu_replica_t *r, pu_snapshot_t *s)
 {
   pu_action_t *a;
 
@@ -362,7 +363,7 @@
   r->verified = s->index;
   r->installing = s->index;
   replace_configs (r, s->index, &s->config);
-  a = pu_r_action (r, PU_ACTION_SAVE);
+  a = pu_r_push_action (r, PU_ACTION_SAVE_SNAPSHOT);
   a->save.installed = true;
   pu_snapshot_copy (&a->save.snapshot, &r->snapshot);
 }
--- a/libplantainusher/log/replica_private.h
+++ b/libplantainusher/log/replica_private.h
@@ -28,22 +28,22 @@
 typedef struct
 {
   uint64_t id;
-  uint64_t next;      /* next entry to send */
-  uint64_t match;     /* synced there and the same as here */
-  uint64_t floor;     /* synced there, learnt from earlier leaders */
-  uint64_t seq;       /* of the last message */
-  uint64_t match_seq; /* answers from here on must know of match */
+  uint64_t next;  /* next entry to send */
+  uint64_t match; /* synced there and the same as here */
+  uint64_t floor; /* synced there, learnt from earlier leaders */
+  uint64_t seq;   /* of the last message */
+  uint64_t match_check_from_seq; /* answers from here on must know of match */
   uint64_t reject_seq;
-  uint64_t acked_sent; /* newest send time that was answered */
+  uint64_t acked_send_time; /* newest send time that was answered */
   uint64_t heard;
-  uint64_t beat_at;  /* next heartbeat */
-  bool probing;      /* next is a guess: send no entries */
-  bool refused;      /* lost what it had synced */
-  GQueue on_way;     /* last index of each message with entries */
-  uint64_t snapshot; /* newest snapshot there */
+  uint64_t next_heartbeat_at; /* next heartbeat */
+  bool probing;               /* next is a guess: send no entries */
+  bool refused;               /* lost what it had synced */
+  GQueue in_flight_appends;   /* last index of each message with entries */
+  uint64_t snapshot;          /* newest snapshot there */
   uint64_t fetched;
-  uint64_t fetched_at; /* when fetched last rose */
-  uint64_t seeder;     /* 0: it needs no snapshot */
+  uint64_t fetch_progress_at; /* when fetched last rose */
+  uint64_t seeder;            /* 0: it needs no snapshot */
   uint32_t seeder_turn;
 } pu_progress_t;
 
@@ -82,7 +82,7 @@
   uint64_t hash;
   uint64_t asked_at;
   GByteArray *data;
-} pu_fetching_t;
+} pu_snapshot_fetch_t;
 
 struct pu_replica
 {
@@ -98,12 +98,12 @@
   uint64_t term;
   uint64_t vote;
   pu_role_t role;
-  pu_log_peer leader; /* id 0: not known */
-  uint64_t heard_at;  /* from a leader, or the start */
+  pu_log_peer leader;           /* id 0: not known */
+  uint64_t last_leader_contact; /* from a leader, or the start */
   uint64_t timeout_at;
   uint64_t ask_at;    /* a candidate asks again for votes */
   bool asks_transfer; /* by the wish of the leader before */
-  uint64_t hello_at;
+  uint64_t next_hello_at;
   GHashTable *granted; /* identities, in this round */
   GHashTable *floors;  /* identity -> uint64_t * */
 
@@ -113,7 +113,7 @@
   uint64_t bytes;  /* of entries after the snapshot, roughly */
   GArray *configs; /* pu_config_at_t, rising, at least one */
   pu_snapshot_t snapshot;
-  uint64_t hashed; /* index of the snapshot whose hash is known */
+  uint64_t hash_index; /* index of the snapshot whose hash is known */
   uint64_t hash;
   pu_snapshot_t taken; /* not durable yet */
   bool taking;
@@ -121,10 +121,11 @@
   uint64_t installing; /* index of the snapshot being installed, or 0 */
 
   uint64_t commit;
-  uint64_t heard_commit; /* the highest that a leader told of */
-  uint64_t behind_since; /* its commit is beyond this one's; 0: it is not */
-  uint64_t applied;      /* handed out */
-  uint64_t written;      /* handed out */
+  uint64_t max_leader_commit; /* the highest that a leader told of */
+  uint64_t
+      commit_lag_since; /* its commit is beyond this one's; 0: it is not */
+  uint64_t applied;     /* handed out */
+  uint64_t written;     /* handed out */
   uint64_t durable;
   GQueue writes; /* pu_write_t * */
   uint64_t ticket;
@@ -137,32 +138,33 @@
   uint64_t verified; /* the same as the leader's up to here, in this term */
   uint64_t echo_seq;
   uint64_t echo_sent;
-  bool owes_reply;
-  pu_fetching_t fetching;
+  bool reply_pending;
+  pu_snapshot_fetch_t fetching;
 
   /* leader */
   GArray *progress; /* pu_progress_t, of all members but self */
-  uint64_t led_since;
-  uint64_t first_of_term;
-  uint64_t pending_bytes;  /* after commit */
-  uint64_t settled_index;  /* the configuration seen to be committed, */
-  uint64_t settled_at;     /* and since when */
-  uint64_t transfer_until; /* 0: none */
-  uint64_t transfer_to;
+  uint64_t leader_since;
+  uint64_t term_first_index;
+  uint64_t uncommitted_bytes; /* after commit */
+  uint64_t
+      committed_config_index; /* the configuration seen to be committed, */
+  uint64_t settled_at;        /* and since when */
+  uint64_t transfer_deadline; /* 0: none */
+  uint64_t transfer_target;
 };
 
 /* replica.c */
-pu_action_t *pu_r_action (pu_replica_t *r, pu_action_kind_t kind);
+pu_action_t *pu_r_push_action (pu_replica_t *r, pu_action_kind_t kind);
 void pu_r_send (pu_replica_t *r, const pu_log_peer *to, pu_log_body *body);
 void pu_r_save_meta (pu_replica_t *r);
 void pu_r_reset_timeout (pu_replica_t *r, uint64_t now);
-void pu_r_follow (pu_replica_t *r, uint64_t now, uint64_t term,
-                  const pu_log_peer *leader);
+void pu_r_become_follower (pu_replica_t *r, uint64_t now, uint64_t term,
+                           const pu_log_peer *leader);
 void pu_r_rejoin (pu_replica_t *r);
 bool pu_r_drop_held (pu_replica_t *r);
 
 /* replica_log.c */
-uint64_t pu_r_last (const pu_replica_t *r);
+uint64_t pu_r_last_index (const pu_replica_t *r);
 uint64_t pu_r_term_at (const pu_replica_t *r, uint64_t index, bool *known);
 uint64_t pu_r_last_term (const pu_replica_t *r);
 void pu_r_append (pu_replica_t *r, pu_record_t *n);
@@ -175,7 +177,7 @@
 uint64_t pu_r_config_index (const pu_replica_t *r);
 void pu_r_push_config (pu_replica_t *r, uint64_t index,
                        const pu_log_config *c);
-void pu_r_install (pu_replica_t *r, pu_snapshot_t *s);
+void pu_r_install_snapshot (pu_replica_t *r, pu_snapshot_t *s);
 void pu_snapshot_clear (pu_snapshot_t *s);
 void pu_snapshot_copy (pu_snapshot_t *to, const pu_snapshot_t *from);
 
@@ -187,35 +189,35 @@
 void pu_r_on_vote (pu_replica_t *r, uint64_t now, const pu_log_msg *m);
 void pu_r_on_vote_reply (pu_replica_t *r, uint64_t now, const pu_log_msg *m);
 void pu_r_count_votes (pu_replica_t *r, uint64_t now);
-uint64_t pu_r_quorum_sent (const pu_replica_t *r, uint64_t now);
+uint64_t pu_r_quorum_acked_send_time (const pu_replica_t *r, uint64_t now);
 uint64_t pu_r_floor (const pu_replica_t *r, uint64_t id);
 void pu_r_raise_floor (pu_replica_t *r, uint64_t id, uint64_t index);
 
 /* replica_append.c */
-void pu_r_lead (pu_replica_t *r, uint64_t now);
+void pu_r_become_leader (pu_replica_t *r, uint64_t now);
 void pu_r_leader_tick (pu_replica_t *r, uint64_t now);
 void pu_r_flush_sends (pu_replica_t *r, uint64_t now);
 void pu_r_on_append (pu_replica_t *r, uint64_t now, const pu_log_msg *m);
 void pu_r_on_append_reply (pu_replica_t *r, uint64_t now, const pu_log_msg *m);
 void pu_r_reply_append (pu_replica_t *r, bool ok, uint64_t last);
 void pu_r_update_commit (pu_replica_t *r);
-void pu_r_sync_progress (pu_replica_t *r, uint64_t now);
-pu_progress_t *pu_r_progress (const pu_replica_t *r, uint64_t id);
-uint64_t pu_r_append_own (pu_replica_t *r, pu_log_type type, const void *data,
-                          size_t len);
+void pu_r_reconcile_progress (pu_replica_t *r, uint64_t now);
+pu_progress_t *pu_r_find_progress (const pu_replica_t *r, uint64_t id);
+uint64_t pu_r_append_as_leader (pu_replica_t *r, pu_log_type type,
+                                const void *data, size_t len);
 
 /* replica_voters.c */
-void pu_r_say_hello (pu_replica_t *r, uint64_t now);
+void pu_r_send_hellos (pu_replica_t *r, uint64_t now);
 void pu_r_on_hello (pu_replica_t *r, uint64_t now, const pu_log_msg *m);
 void pu_r_on_welcome (pu_replica_t *r, uint64_t now, const pu_log_msg *m);
-void pu_r_start_log (pu_replica_t *r, uint64_t now);
-void pu_r_balance (pu_replica_t *r, uint64_t now);
-void pu_r_tell_rejoin (pu_replica_t *r, const pu_log_peer *to);
+void pu_r_bootstrap_log (pu_replica_t *r, uint64_t now);
+void pu_r_adjust_voters (pu_replica_t *r, uint64_t now);
+void pu_r_send_rejoin (pu_replica_t *r, const pu_log_peer *to);
 
 /* replica_fetch.c */
 void pu_r_choose_seeder (pu_replica_t *r, pu_progress_t *p, uint64_t now);
-void pu_r_fetch_from (pu_replica_t *r, uint64_t now,
-                      const pu_log_peer *seeder);
+void pu_r_fetch_start (pu_replica_t *r, uint64_t now,
+                       const pu_log_peer *seeder);
 void pu_r_fetch_tick (pu_replica_t *r, uint64_t now);
 void pu_r_fetch_stop (pu_replica_t *r);
 void pu_r_on_fetch (pu_replica_t *r, const pu_log_msg *m);
--- a/libplantainusher/log/replica_sim.h
+++ b/libplantainusher/log/replica_sim.h
@@ -162,7 +162,7 @@
         break;
       case TRANSFER:
         if (leader () != nullptr)
-          pu_replica_transfer (leader ()->r, clock (*leader ()));
+          pu_replica_transfer_leadership (leader ()->r, clock (*leader ()));
         break;
       case REMOVE:
         if (leader () != nullptr)
@@ -204,7 +204,8 @@
         if (index == 0)
           continue;
         run (1500);
-        if (leader () != nullptr && pu_replica_commit (leader ()->r) >= index)
+        if (leader () != nullptr
+            && pu_replica_commit_index (leader ()->r) >= index)
           return true;
       }
     return false;
@@ -284,7 +285,7 @@
     o.n_initial = initial_;
     o.seed = rand_ ();
     o.breaks = breaks_ & 0xffff;
-    o.rejoined = n.rejoined;
+    o.had_log = n.had_log;
     o.replace_after_ms = 5000;
     o.voters_wanted = wanted_;
     o.snapshot_entries = 40;
@@ -296,7 +297,7 @@
     for (pu_record_t *e : n.disk.entries)
       g_ptr_array_add (d.entries, pu_record_ref (e));
     d.commit = n.disk.commit;
-    n.chain = n.disk.snapshot.index ? image (n.disk.snapshot.data) : 0;
+    n.state_hash = n.disk.snapshot.index ? image (n.disk.snapshot.data) : 0;
     n.applied = n.disk.snapshot.index;
     n.r = pu_replica_new (&o, &d, clock (n));
     d.snapshot = pu_snapshot_t{};
@@ -405,9 +406,9 @@
   static uint64_t
   image (GBytes *b)
   {
-    uint64_t chain;
-    memcpy (&chain, g_bytes_get_data (b, nullptr), sizeof chain);
-    return chain;
+    uint64_t state_hash;
+    memcpy (&state_hash, g_bytes_get_data (b, nullptr), sizeof state_hash);
+    return state_hash;
   }
 
   /* Disk.  */
@@ -415,11 +416,12 @@
   sync_one (Node &n, bool tell)
   {
     pu_action_t a = n.pending.front ();
-    uint64_t index = a.kind == PU_ACTION_SAVE ? a.save.snapshot.index : 0;
+    uint64_t index
+        = a.kind == PU_ACTION_SAVE_SNAPSHOT ? a.save.snapshot.index : 0;
     n.pending.pop_front ();
     switch (a.kind)
       {
-      case PU_ACTION_META:
+      case PU_ACTION_WRITE_META:
         n.disk.meta = a.meta.meta;
         break;
       case PU_ACTION_WRITE:
@@ -437,9 +439,9 @@
         save (n, a.save.snapshot, a.save.installed);
         break;
       }
-    if (tell && a.kind == PU_ACTION_SAVE)
+    if (tell && a.kind == PU_ACTION_SAVE_SNAPSHOT)
       {
-        pu_replica_saved (n.r, clock (n), index);
+        pu_replica_snapshot_saved (n.r, clock (n), index);
       }
     else if (tell)
       {
@@ -553,26 +555,27 @@
           }
         if (e->type == PU_LOG_DATA)
           memcpy (&value, e->data, sizeof value);
-        n.chain = (n.chain ^ (value + e->term)) * 0x9E3779B97F4A7C15ULL + i;
+        n.state_hash
+            = (n.state_hash ^ (value + e->term)) * 0x9E3779B97F4A7C15ULL + i;
         n.applied = i;
-        check_commit (i, e, n.chain, pu_replica_term (n.r));
+        check_commit (i, e, n.state_hash, pu_replica_term (n.r));
       }
   }
   void
-  check_commit (uint64_t i, const pu_record_t *e, uint64_t chain,
+  check_commit (uint64_t i, const pu_record_t *e, uint64_t state_hash,
                 uint64_t term)
   {
     auto it = committed_.find (i);
     if (it == committed_.end ())
       {
-        committed_[i] = { e->term, chain };
+        committed_[i] = { e->term, state_hash };
         committed_in_[i] = term;
         commits++;
         if (e->type == PU_LOG_CONFIG)
           config_ = std::max (config_, i);
         check_safe (i, e->term);
       }
-    else if (it->second.second != chain)
+    else if (it->second.second != state_hash)
       fail ("a committed entry changed at " + std::to_string (i));
   }
   /* A committed entry must be in every log that could still win a vote of the
@@ -616,7 +619,8 @@
         const pu_record_t *e = pu_replica_entry (n.r, c.first);
         /* A late election of an earlier term may lack it: it commits
            nothing.  */
-        if (c.first >= pu_replica_first (n.r) && committed_in_[c.first] < term
+        if (c.first >= pu_replica_first_index (n.r)
+            && committed_in_[c.first] < term
             && (e == nullptr || e->term != c.second.first))
           {
             fail ("a leader without committed entry "
@@ -633,31 +637,31 @@
       case PU_ACTION_SEND:
         send (i, a);
         break;
-      case PU_ACTION_SAVE:
+      case PU_ACTION_SAVE_SNAPSHOT:
         if (a.save.installed)
           {
-            n.chain = image (a.save.snapshot.data);
+            n.state_hash = image (a.save.snapshot.data);
             n.applied = a.save.snapshot.index;
-            if (committed_[n.applied].second != n.chain)
+            if (committed_[n.applied].second != n.state_hash)
               fail ("a wrong snapshot");
           }
         n.pending.push_back (a);
         return true;
       case PU_ACTION_WRITE:
-      case PU_ACTION_META:
+      case PU_ACTION_WRITE_META:
         n.pending.push_back (a);
         return true;
       case PU_ACTION_APPLY:
         apply (n, a.apply.first, a.apply.last);
         break;
-      case PU_ACTION_TAKE:
+      case PU_ACTION_TAKE_SNAPSHOT:
         {
-          GBytes *b = g_bytes_new (&n.chain, sizeof n.chain);
-          pu_replica_snapshot (n.r, a.take.index, b);
+          GBytes *b = g_bytes_new (&n.state_hash, sizeof n.state_hash);
+          pu_replica_snapshot_taken (n.r, a.take.index, b);
           g_bytes_unref (b);
           break;
         }
-      case PU_ACTION_ROLE:
+      case PU_ACTION_ROLE_CHANGED:
         if (a.role.leader)
           {
             check_leader (n, a.role.term);
@@ -686,7 +690,7 @@
   {
     pu_action_t a;
     while (nodes_[i].r != nullptr
-           && pu_replica_next (nodes_[i].r, clock (nodes_[i]), &a))
+           && pu_replica_next_action (nodes_[i].r, clock (nodes_[i]), &a))
       {
         if (!act (i, a))
           break;
@@ -699,11 +703,11 @@
     const pu_log_config *c = pu_replica_config (n.r);
     n.voters.clear ();
     n.config = pu_replica_config_index (n.r);
-    n.surplus = pu_log_config_voters (c) > c->target;
-    n.rejoined = n.rejoined || c->members.members_len > 0;
+    n.surplus = pu_log_config_count_voters (c) > c->target;
+    n.had_log = n.had_log || c->members.members_len > 0;
     for (guint k = 0; k < c->members.members_len; k++)
       {
-        if (pu_log_counts (c->members.members_val[k].role))
+        if (pu_log_role_is_voting (c->members.members_val[k].role))
           n.voters.push_back (c->members.members_val[k].peer.id);
       }
   }
--- a/libplantainusher/log/replica_test.cc
+++ b/libplantainusher/log/replica_test.cc
@@ -77,7 +77,7 @@
 static unsigned
 voters (Sim &s)
 {
-  return pu_log_config_voters (pu_replica_config (s.leader ()->r));
+  return pu_log_config_count_voters (pu_replica_config (s.leader ()->r));
 }
 
 /* With five disks the loss of two has to be borne.  */
--- a/libplantainusher/log/replica_vote.c
+++ b/libplantainusher/log/replica_vote.c
@@ -37,7 +37,7 @@
 void
 pu_r_raise_floor (pu_replica_t *r, uint64_t id, uint64_t index)
 {
-  if (pu_log_config_find (pu_r_config (r), id) != NULL
+  if (pu_log_config_find_member (pu_r_config (r), id) != NULL
       && index > pu_r_floor (r, id))
     {
       g_hash_table_insert (r->floors, g_memdup2 (&id, sizeof id),
@@ -48,15 +48,16 @@
 bool
 pu_r_may_campaign (const pu_replica_t *r)
 {
-  const pu_log_member *m = pu_log_config_find (pu_r_config (r), r->self.id);
+  const pu_log_member *m
+      = pu_log_config_find_member (pu_r_config (r), r->self.id);
 
-  return m != NULL && pu_log_counts (m->role) && r->installing == 0;
+  return m != NULL && pu_log_role_is_voting (m->role) && r->installing == 0;
 }
 
 static uint32_t
 quorum (const pu_replica_t *r)
 {
-  return pu_log_config_voters (pu_r_config (r)) / 2 + 1;
+  return pu_log_config_count_voters (pu_r_config (r)) / 2 + 1;
 }
 
 static void
@@ -67,13 +68,13 @@
 
   b.pu_log_body_u.vote.pre = pre;
   b.pu_log_body_u.vote.transfer = transfer;
-  b.pu_log_body_u.vote.last_index = pu_r_last (r);
+  b.pu_log_body_u.vote.last_index = pu_r_last_index (r);
   b.pu_log_body_u.vote.last_term = pu_r_last_term (r);
   for (guint i = 0; i < c->members.members_len; i++)
     {
       const pu_log_member *m = &c->members.members_val[i];
 
-      if (m->peer.id != r->self.id && pu_log_counts (m->role))
+      if (m->peer.id != r->self.id && pu_log_role_is_voting (m->role))
         pu_r_send (r, &m->peer, &b);
     }
 }
@@ -96,14 +97,14 @@
 {
   g_hash_table_remove_all (r->granted);
   add_vote (r, r->self.id);
-  pu_r_follow (r, now, r->term, NULL);
+  pu_r_become_follower (r, now, r->term, NULL);
   if (pre)
     {
       r->role = PU_ROLE_PRECANDIDATE;
     }
   else
     {
-      pu_r_follow (r, now, r->term + 1, NULL);
+      pu_r_become_follower (r, now, r->term + 1, NULL);
       r->role = PU_ROLE_CANDIDATE;
       r->vote = r->self.id;
       pu_r_save_meta (r);
@@ -140,7 +141,7 @@
     }
   else if (r->role == PU_ROLE_CANDIDATE && own_vote_durable (r))
     {
-      pu_r_lead (r, now);
+      pu_r_become_leader (r, now);
     }
 }
 
@@ -151,7 +152,7 @@
 
   if (v->last_term != term)
     return v->last_term > term;
-  return v->last_index >= pu_r_last (r);
+  return v->last_index >= pu_r_last_index (r);
 }
 
 static bool
@@ -159,7 +160,8 @@
 {
   if (r->o.breaks & PU_BREAK_VOTE_IN_LEASE)
     return false;
-  return r->role == PU_ROLE_LEADER || now < r->heard_at + r->o.election_ms;
+  return r->role == PU_ROLE_LEADER
+         || now < r->last_leader_contact + r->o.election_ms;
 }
 
 /* What this voter knows of the others' disks; a new leader takes it over.  */
@@ -191,7 +193,7 @@
 
   b.pu_log_body_u.vote_reply.pre = m->body.pu_log_body_u.vote.pre;
   b.pu_log_body_u.vote_reply.granted = granted;
-  b.pu_log_body_u.vote_reply.last_index = pu_r_last (r);
+  b.pu_log_body_u.vote_reply.last_index = pu_r_last_index (r);
   pu_r_send (r, &m->from, &b);
 }
 
@@ -226,7 +228,7 @@
   if (in_lease (r, now) && !v->transfer)
     return;
   if (m->term > r->term)
-    pu_r_follow (r, now, m->term, NULL);
+    pu_r_become_follower (r, now, m->term, NULL);
   granted = (r->vote == 0 || r->vote == m->from.id)
             && r->role != PU_ROLE_LEADER && up_to_date (r, v)
             && v->last_index >= pu_r_floor (r, m->from.id);
@@ -244,13 +246,14 @@
 {
   const pu_log_vote_reply *v = &m->body.pu_log_body_u.vote_reply;
   pu_role_t asked = v->pre ? PU_ROLE_PRECANDIDATE : PU_ROLE_CANDIDATE;
-  pu_log_member *from = pu_log_config_find (pu_r_config (r), m->from.id);
+  pu_log_member *from
+      = pu_log_config_find_member (pu_r_config (r), m->from.id);
 
   if (!v->granted || r->role != asked || m->term > r->term)
     return;
   if (!v->pre && m->term != r->term)
     return;
-  if (from == NULL || !pu_log_counts (from->role))
+  if (from == NULL || !pu_log_role_is_voting (from->role))
     return;
   for (guint i = 0; i < v->floors.floors_len; i++)
     {
@@ -278,7 +281,7 @@
 /* The latest time by which a quorum, this leader among it, had been sent what
    it has answered.  */
 uint64_t
-pu_r_quorum_sent (const pu_replica_t *r, uint64_t now)
+pu_r_quorum_acked_send_time (const pu_replica_t *r, uint64_t now)
 {
   const pu_log_config *c = pu_r_config (r);
   uint64_t sent[PU_LOG_MEMBERS_MAX] = { 0 };
@@ -287,9 +290,9 @@
   for (guint i = 0; i < c->members.members_len; i++)
     {
       const pu_log_member *m = &c->members.members_val[i];
-      const pu_progress_t *p = pu_r_progress (r, m->peer.id);
+      const pu_progress_t *p = pu_r_find_progress (r, m->peer.id);
 
-      if (!pu_log_counts (m->role))
+      if (!pu_log_role_is_voting (m->role))
         continue;
       if (m->peer.id == r->self.id)
         {
@@ -297,7 +300,7 @@
         }
       else
         {
-          sent[n++] = p != NULL && !p->refused ? p->acked_sent : 0;
+          sent[n++] = p != NULL && !p->refused ? p->acked_send_time : 0;
         }
     }
   if (n == 0)
@@ -314,9 +317,9 @@
   uint64_t lease = t * (PERMILLE - drift) / (PERMILLE + drift);
   uint64_t sent;
 
-  if (r->role != PU_ROLE_LEADER || r->commit < r->first_of_term
+  if (r->role != PU_ROLE_LEADER || r->commit < r->term_first_index
       || lease <= CLOCK_GRAIN_MS)
     return false;
-  sent = pu_r_quorum_sent (r, now);
+  sent = pu_r_quorum_acked_send_time (r, now);
   return sent != 0 && now < sent + lease - CLOCK_GRAIN_MS;
 }
--- a/libplantainusher/log/replica_voters.c
+++ b/libplantainusher/log/replica_voters.c
@@ -42,17 +42,18 @@
 }
 
 void
-pu_r_say_hello (pu_replica_t *r, uint64_t now)
+pu_r_send_hellos (pu_replica_t *r, uint64_t now)
 {
   const pu_log_config *c = pu_r_config (r);
   bool fresh = is_fresh (r);
 
-  if (now < r->hello_at)
+  if (now < r->next_hello_at)
     return;
   if (!fresh
-      && now < r->heard_at + LOST_ELECTIONS * (uint64_t)r->o.election_ms)
+      && now < r->last_leader_contact
+                   + LOST_ELECTIONS * (uint64_t)r->o.election_ms)
     return;
-  r->hello_at = now + r->o.election_ms / 2;
+  r->next_hello_at = now + r->o.election_ms / 2;
   for (guint i = 0; i < r->seeds->len; i++)
     send_hello (r, &g_array_index (r->seeds, pu_seed_t, i).peer);
   for (guint i = 0; i < c->members.members_len; i++)
@@ -86,7 +87,7 @@
 }
 
 void
-pu_replica_meet (pu_replica_t *r, const char *address)
+pu_replica_add_seed (pu_replica_t *r, const char *address)
 {
   const pu_log_peer peer = { .name = (char *)"", .address = (char *)address };
   pu_seed_t s = { 0 };
@@ -143,7 +144,7 @@
   if (b == NULL)
     return;
   p = g_bytes_get_data (b, &len);
-  pu_r_append_own (r, PU_LOG_CONFIG, p, len);
+  pu_r_append_as_leader (r, PU_LOG_CONFIG, p, len);
   g_bytes_unref (b);
 }
 
@@ -156,7 +157,7 @@
 }
 
 void
-pu_r_start_log (pu_replica_t *r, uint64_t now)
+pu_r_bootstrap_log (pu_replica_t *r, uint64_t now)
 {
   pu_log_member members[PU_LOG_MEMBERS_MAX] = { 0 };
   pu_log_config c = { 0 };
@@ -185,16 +186,16 @@
 static bool
 may_change (const pu_replica_t *r)
 {
-  return r->role == PU_ROLE_LEADER && r->transfer_until == 0
+  return r->role == PU_ROLE_LEADER && r->transfer_deadline == 0
          && pu_r_config_index (r) <= r->commit
-         && r->commit >= r->first_of_term;
+         && r->commit >= r->term_first_index;
 }
 
 /* Silent for so long that a new identity of the same name is believed.  */
 static bool
 gone (const pu_replica_t *r, const pu_log_member *m, uint64_t now)
 {
-  const pu_progress_t *p = pu_r_progress (r, m->peer.id);
+  const pu_progress_t *p = pu_r_find_progress (r, m->peer.id);
 
   return p != NULL
          && (p->refused
@@ -204,7 +205,7 @@
 static bool
 lost (const pu_replica_t *r, const pu_log_member *m, uint64_t now)
 {
-  const pu_progress_t *p = pu_r_progress (r, m->peer.id);
+  const pu_progress_t *p = pu_r_find_progress (r, m->peer.id);
 
   if (m->peer.id == r->self.id)
     return false;
@@ -216,22 +217,23 @@
 static bool
 confirmed (const pu_replica_t *r, const pu_log_member *m, uint64_t now)
 {
-  const pu_progress_t *p = pu_r_progress (r, m->peer.id);
+  const pu_progress_t *p = pu_r_find_progress (r, m->peer.id);
 
   if (m->peer.id == r->self.id)
     return true;
-  return p != NULL && !p->refused && p->acked_sent > r->settled_at
-         && now <= p->acked_sent + CONFIRM_BEATS * (uint64_t)r->o.heartbeat_ms;
+  return p != NULL && !p->refused && p->acked_send_time > r->settled_at
+         && now <= p->acked_send_time
+                       + CONFIRM_BEATS * (uint64_t)r->o.heartbeat_ms;
 }
 
 static bool
 caught_up (const pu_replica_t *r, const pu_log_member *m, uint64_t now)
 {
-  const pu_progress_t *p = pu_r_progress (r, m->peer.id);
+  const pu_progress_t *p = pu_r_find_progress (r, m->peer.id);
 
   return p != NULL && confirmed (r, m, now)
-         && p->match + CATCH_UP_GAP >= pu_r_last (r)
-         && p->match >= r->first_of_term;
+         && p->match + CATCH_UP_GAP >= pu_r_last_index (r)
+         && p->match >= r->term_first_index;
 }
 
 /* Whether the confirmed voters are a quorum when EXTRA confirmed ones join
@@ -241,14 +243,14 @@
               int living)
 {
   const pu_log_config *c = pu_r_config (r);
-  int voters = (int)pu_log_config_voters (c) + extra - less;
+  int voters = (int)pu_log_config_count_voters (c) + extra - less;
   int live = extra - living;
 
   for (guint i = 0; i < c->members.members_len; i++)
     {
       const pu_log_member *m = &c->members.members_val[i];
 
-      live += pu_log_counts (m->role) && confirmed (r, m, now);
+      live += pu_log_role_is_voting (m->role) && confirmed (r, m, now);
     }
   return voters > 0 && live >= voters / 2 + 1;
 }
@@ -275,7 +277,7 @@
     }
   append_config (r, &c);
   pu_log_config_clear (&c);
-  pu_r_sync_progress (r, now);
+  pu_r_reconcile_progress (r, now);
 }
 
 /* Appends a copy of the configuration that wants STEP voters more.  */
@@ -288,7 +290,7 @@
   c.target += (u_int)step;
   append_config (r, &c);
   pu_log_config_clear (&c);
-  pu_r_sync_progress (r, now);
+  pu_r_reconcile_progress (r, now);
 }
 
 /* A newer voter with the name of member I.  */
@@ -354,11 +356,11 @@
   const pu_log_config *c = pu_r_config (r);
   int i = surplus_voter (r, c, now);
 
-  if (pu_log_config_voters (c) <= c->target || i == NOBODY)
+  if (pu_log_config_count_voters (c) <= c->target || i == NOBODY)
     return false;
   if (c->members.members_val[i].peer.id == r->self.id)
     {
-      pu_replica_transfer (r, now);
+      pu_replica_transfer_leadership (r, now);
       return true;
     }
 
@@ -378,7 +380,7 @@
     {
       const pu_log_member *m = &c->members.members_val[k];
 
-      if (pu_log_counts (m->role) || !caught_up (r, m, now))
+      if (pu_log_role_is_voting (m->role) || !caught_up (r, m, now))
         continue;
       if (any || m->role == PU_LOG_CHOSEN || strcmp (m->peer.name, name) == 0)
         return true;
@@ -394,13 +396,13 @@
 {
   const pu_log_config *c = pu_r_config (r);
 
-  if (pu_log_config_voters (c) > c->target)
+  if (pu_log_config_count_voters (c) > c->target)
     return false;
   for (guint i = 0; i < c->members.members_len; i++)
     {
       const pu_log_member *m = &c->members.members_val[i];
 
-      if (!pu_log_counts (m->role) || !gone (r, m, now)
+      if (!pu_log_role_is_voting (m->role) || !gone (r, m, now)
           || !has_substitute (r, c, i, lost (r, m, now), now)
           || !quorum_after (r, now, 0, 1, 0))
         continue;
@@ -427,9 +429,9 @@
                 uint64_t now)
 {
   const pu_log_member *m = &c->members.members_val[i];
-  uint32_t voters = pu_log_config_voters (c);
+  uint32_t voters = pu_log_config_count_voters (c);
 
-  if (pu_log_counts (m->role) || !caught_up (r, m, now))
+  if (pu_log_role_is_voting (m->role) || !caught_up (r, m, now))
     return 0;
   if (voters >= c->target && !has_role (c, PU_LOG_LEAVING))
     return 0;
@@ -445,7 +447,7 @@
   int best = NOBODY;
   int best_rank = 0;
 
-  if (pu_log_config_voters (c) > c->target)
+  if (pu_log_config_count_voters (c) > c->target)
     return false;
   for (guint i = 0; i < c->members.members_len; i++)
     {
@@ -473,7 +475,7 @@
     {
       const pu_log_member *m = &c->members.members_val[i];
 
-      n += !pu_log_counts (m->role) && caught_up (r, m, now);
+      n += !pu_log_role_is_voting (m->role) && caught_up (r, m, now);
     }
   return n;
 }
@@ -487,7 +489,8 @@
   uint32_t step = c->target % 2 == 0 ? 1 : 2;
 
   if (c->target + step > r->o.voters_wanted
-      || pu_log_config_voters (c) < c->target || spares (r, c, now) < step)
+      || pu_log_config_count_voters (c) < c->target
+      || spares (r, c, now) < step)
     return false;
   change_target (r, now, (int)step);
   return true;
@@ -502,7 +505,7 @@
     {
       const pu_log_member *m = &c->members.members_val[i];
 
-      if (pu_log_counts (m->role) || !lost (r, m, now))
+      if (pu_log_role_is_voting (m->role) || !lost (r, m, now))
         continue;
       change_member (r, now, i, m->role, true, 0);
       return true;
@@ -511,13 +514,13 @@
 }
 
 void
-pu_r_balance (pu_replica_t *r, uint64_t now)
+pu_r_adjust_voters (pu_replica_t *r, uint64_t now)
 {
   if (!may_change (r))
     return;
-  if (r->settled_index != pu_r_config_index (r))
+  if (r->committed_config_index != pu_r_config_index (r))
     {
-      r->settled_index = pu_r_config_index (r);
+      r->committed_config_index = pu_r_config_index (r);
       r->settled_at = now;
     }
   if (remove_surplus (r, now))
@@ -540,7 +543,7 @@
     {
       pu_log_member *m = &c->members.members_val[i];
 
-      if (pu_log_counts (m->role) || strcmp (m->peer.name, name) != 0)
+      if (pu_log_role_is_voting (m->role) || strcmp (m->peer.name, name) != 0)
         continue;
       pu_log_peer_clear (&m->peer);
       memmove (m, m + 1,
@@ -568,13 +571,13 @@
       pu_log_peer_copy (&c.members.members_val[n].peer, peer);
       c.members.members_len = n + 1;
       append_config (r, &c);
-      pu_r_sync_progress (r, now);
+      pu_r_reconcile_progress (r, now);
     }
   pu_log_config_clear (&c);
 }
 
 void
-pu_r_tell_rejoin (pu_replica_t *r, const pu_log_peer *to)
+pu_r_send_rejoin (pu_replica_t *r, const pu_log_peer *to)
 {
   pu_log_body b = { .kind = PU_LOG_REJOIN };
 
@@ -584,7 +587,7 @@
 static void
 leader_on_hello (pu_replica_t *r, uint64_t now, const pu_log_msg *m)
 {
-  if (pu_log_config_find (pu_r_config (r), m->from.id) != NULL)
+  if (pu_log_config_find_member (pu_r_config (r), m->from.id) != NULL)
     return;
   if (m->body.pu_log_body_u.hello.fresh)
     {
@@ -597,11 +600,12 @@
     }
   else if (m->term > r->term)
     {
-      pu_r_follow (r, now, m->term, NULL); /* lead again above that term */
+      pu_r_become_follower (r, now, m->term,
+                            NULL); /* lead again above that term */
     }
   else
     {
-      pu_r_tell_rejoin (r, &m->from);
+      pu_r_send_rejoin (r, &m->from);
     }
 }
 
@@ -642,7 +646,7 @@
 {
   for (guint i = c->members.members_len; i-- > 0;)
     {
-      if (pu_log_counts (c->members.members_val[i].role) == counts
+      if (pu_log_role_is_voting (c->members.members_val[i].role) == counts
           && strcmp (c->members.members_val[i].peer.name, name) == 0)
         return (int)i;
     }
@@ -704,7 +708,7 @@
   c.members.members_val[k].role = PU_LOG_CHOSEN;
   append_config (r, &c);
   pu_log_config_clear (&c);
-  pu_r_sync_progress (r, now);
+  pu_r_reconcile_progress (r, now);
   return true;
 }
 
--- a/libplantainusher/membership/membership.c
+++ b/libplantainusher/membership/membership.c
@@ -46,12 +46,12 @@
 pu_membership_options_init (pu_membership_options_t *o)
 {
   memset (o, 0, sizeof *o);
-  o->least_ms[PU_SUBJECT_MEMBER] = 8000;
-  o->most_ms[PU_SUBJECT_MEMBER] = 32000;
-  o->least_ms[PU_SUBJECT_BACKEND] = 5000;
-  o->most_ms[PU_SUBJECT_BACKEND] = 20000;
+  o->min_timeout_ms[PU_SUBJECT_MEMBER] = 8000;
+  o->max_timeout_ms[PU_SUBJECT_MEMBER] = 32000;
+  o->min_timeout_ms[PU_SUBJECT_BACKEND] = 5000;
+  o->max_timeout_ms[PU_SUBJECT_BACKEND] = 20000;
   o->deviations = 6;
-  o->route_ms = 3000;
+  o->route_timeout_ms = 3000;
   o->pause_ms = 1000;
   o->repeat_ms = 3000;
 }
@@ -89,7 +89,7 @@
 }
 
 void
-pu_membership_begin (pu_membership_t *m, uint64_t now)
+pu_membership_reset (pu_membership_t *m, uint64_t now)
 {
   m->ticked = now;
   if (broken (m, PU_MEMBERSHIP_BREAK_NO_GRACE))
@@ -149,9 +149,9 @@
 }
 
 void
-pu_membership_heard (pu_membership_t *m, pu_subject_kind_t kind,
-                     const char *name, uint64_t incarnation, const char *route,
-                     uint64_t at)
+pu_membership_record_heartbeat (pu_membership_t *m, pu_subject_kind_t kind,
+                                const char *name, uint64_t incarnation,
+                                const char *route, uint64_t at)
 {
   subject_t *s = g_hash_table_lookup (m->subjects[kind], name);
 
@@ -168,7 +168,8 @@
 }
 
 void
-pu_membership_route_heard (pu_membership_t *m, const char *name, uint64_t at)
+pu_membership_record_route_heartbeat (pu_membership_t *m, const char *name,
+                                      uint64_t at)
 {
   uint64_t *heard = g_hash_table_lookup (m->routes, name);
 
@@ -206,15 +207,15 @@
   if (broken (m, PU_MEMBERSHIP_BREAK_ROUTE))
     return false;
   return s->route != NULL
-         && now - route_heard (m, kind, s) > m->options.route_ms;
+         && now - route_heard (m, kind, s) > m->options.route_timeout_ms;
 }
 
 static uint64_t
 allowed_ms (const pu_membership_t *m, pu_subject_kind_t kind,
             const subject_t *s, uint64_t now)
 {
-  uint64_t least = m->options.least_ms[kind];
-  uint64_t most = MAX (m->options.most_ms[kind], least);
+  uint64_t least = m->options.min_timeout_ms[kind];
+  uint64_t most = MAX (m->options.max_timeout_ms[kind], least);
   double rhythm = BEATS * s->mean + m->options.deviations * s->deviation;
 
   if (broken (m, PU_MEMBERSHIP_BREAK_FIXED))
@@ -257,7 +258,7 @@
        GArray *verdicts)
 {
   uint64_t silent = now > s->heard ? now - s->heard : 0;
-  pu_membership_verdict_t v = { kind, s->name, s->incarnation, silent };
+  pu_membership_failure_t v = { kind, s->name, s->incarnation, silent };
 
   if (silent <= allowed_ms (m, kind, s, now))
     return;
@@ -293,9 +294,9 @@
 }
 
 bool
-pu_membership_silent (const pu_membership_t *m, pu_subject_kind_t kind,
-                      const char *name, uint64_t now, uint64_t *silent,
-                      uint64_t *allowed)
+pu_membership_get_silence (const pu_membership_t *m, pu_subject_kind_t kind,
+                           const char *name, uint64_t now, uint64_t *silent,
+                           uint64_t *allowed)
 {
   const subject_t *s = g_hash_table_lookup (m->subjects[kind], name);
 
--- a/libplantainusher/membership/membership.h
+++ b/libplantainusher/membership/membership.h
@@ -44,13 +44,14 @@
 
 typedef struct
 {
-  guint32 least_ms[2]; /* by kind: silence that is never held against it */
-  guint32 most_ms[2];  /* by kind: silence that always is */
-  double deviations;   /* 6 */
-  guint32 route_ms;    /* a route that is silent for longer is doubted */
-  guint32 pause_ms;    /* a gap between ticks over this is a pause of ours */
-  guint32 repeat_ms;   /* a verdict not carried out is given again */
-  unsigned breaks;     /* pu_membership_break_t; tests alone */
+  guint32
+      min_timeout_ms[2]; /* by kind: silence that is never held against it */
+  guint32 max_timeout_ms[2]; /* by kind: silence that always is */
+  double deviations;         /* 6 */
+  guint32 route_timeout_ms;  /* a route that is silent for longer is doubted */
+  guint32 pause_ms;  /* a gap between ticks over this is a pause of ours */
+  guint32 repeat_ms; /* a verdict not carried out is given again */
+  unsigned breaks;   /* pu_membership_break_t; tests alone */
 } pu_membership_options_t;
 
 /* pu_membership_options_init - daemons 8 s to 32 s, backend servers 5 s to
@@ -60,9 +61,9 @@
 pu_membership_t *pu_membership_new (const pu_membership_options_t *o);
 void pu_membership_free (pu_membership_t *m);
 
-/* pu_membership_begin - this voter leads from NOW on: forgets all, so that
+/* pu_membership_reset - this voter leads from NOW on: forgets all, so that
    every subject gets its full time again.  */
-void pu_membership_begin (pu_membership_t *m, uint64_t now);
+void pu_membership_reset (pu_membership_t *m, uint64_t now);
 
 /* pu_membership_expect - the log says that NAME is up as INCARNATION.  Called
    before each tick for all that are up; others are forgotten at the tick.  One
@@ -71,17 +72,18 @@
                            const char *name, uint64_t incarnation,
                            uint64_t now);
 
-/* pu_membership_heard - NAME as INCARNATION was heard at AT (not after NOW)
-   over ROUTE: the voter's name for a daemon, the home entry's for a backend
-   server.  An older incarnation is ignored.  */
-void pu_membership_heard (pu_membership_t *m, pu_subject_kind_t kind,
-                          const char *name, uint64_t incarnation,
-                          const char *route, uint64_t at);
+/* pu_membership_record_heartbeat - NAME as INCARNATION was heard at AT (not
+   after NOW) over ROUTE: the voter's name for a daemon, the home entry's for a
+   backend server.  An older incarnation is ignored.  */
+void pu_membership_record_heartbeat (pu_membership_t *m,
+                                     pu_subject_kind_t kind, const char *name,
+                                     uint64_t incarnation, const char *route,
+                                     uint64_t at);
 
-/* pu_membership_route_heard - voter NAME itself was heard at AT.  (Home
-   entries are heard as daemons.)  */
-void pu_membership_route_heard (pu_membership_t *m, const char *name,
-                                uint64_t at);
+/* pu_membership_record_route_heartbeat - voter NAME itself was heard at AT.
+   (Home entries are heard as daemons.)  */
+void pu_membership_record_route_heartbeat (pu_membership_t *m,
+                                           const char *name, uint64_t at);
 
 /* A subject that is down; NAME lives until the next call.  */
 typedef struct
@@ -90,18 +92,19 @@
   const char *name;
   uint64_t incarnation;
   uint64_t silent_ms;
-} pu_membership_verdict_t;
+} pu_membership_failure_t;
 
-/* pu_membership_tick - appends to VERDICTS (pu_membership_verdict_t) who is
+/* pu_membership_tick - appends to VERDICTS (pu_membership_failure_t) who is
    down at NOW.  The shell proposes it; the verdict comes again after
    `repeat_ms` while the subject is still expected.  */
 void pu_membership_tick (pu_membership_t *m, uint64_t now, GArray *verdicts);
 
-/* pu_membership_silent - how long NAME has been silent, in *SILENT, and the
-   silence it is allowed, in *ALLOWED.  False when it is not known.  */
-bool pu_membership_silent (const pu_membership_t *m, pu_subject_kind_t kind,
-                           const char *name, uint64_t now, uint64_t *silent,
-                           uint64_t *allowed);
+/* pu_membership_get_silence - how long NAME has been silent, in *SILENT, and
+   the silence it is allowed, in *ALLOWED.  False when it is not known.  */
+bool pu_membership_get_silence (const pu_membership_t *m,
+                                pu_subject_kind_t kind, const char *name,
+                                uint64_t now, uint64_t *silent,
+                                uint64_t *allowed);
 
 G_END_DECLS
 
--- a/libplantainusher/membership/membership_test.cc
+++ b/libplantainusher/membership/membership_test.cc
@@ -31,7 +31,7 @@
     pu_membership_options_init (&o);
     o.breaks = breaks;
     m = pu_membership_new (&o);
-    pu_membership_begin (m, now);
+    pu_membership_reset (m, now);
   }
 
   ~Membership () { pu_membership_free (m); }
@@ -44,7 +44,7 @@
     for (uint64_t end = now + ms; now < end;)
       {
         GArray *v
-            = g_array_new (FALSE, FALSE, sizeof (pu_membership_verdict_t));
+            = g_array_new (FALSE, FALSE, sizeof (pu_membership_failure_t));
         now += step;
         for (auto &[name, incarnation] : members)
           pu_membership_expect (m, PU_SUBJECT_MEMBER, name.c_str (),
@@ -55,7 +55,7 @@
         pu_membership_tick (m, now, v);
         for (guint i = 0; i < v->len; i++)
           down.emplace_back (
-              g_array_index (v, pu_membership_verdict_t, i).name);
+              g_array_index (v, pu_membership_failure_t, i).name);
         g_array_free (v, TRUE);
       }
     return down;
@@ -64,14 +64,15 @@
   void
   beat (const char *name, uint64_t incarnation = 1, const char *via = "v")
   {
-    pu_membership_heard (m, PU_SUBJECT_MEMBER, name, incarnation, via, now);
-    pu_membership_route_heard (m, via, now);
+    pu_membership_record_heartbeat (m, PU_SUBJECT_MEMBER, name, incarnation,
+                                    via, now);
+    pu_membership_record_route_heartbeat (m, via, now);
   }
 
   void
   lease (const char *name, const char *home)
   {
-    pu_membership_heard (m, PU_SUBJECT_BACKEND, name, 1, home, now);
+    pu_membership_record_heartbeat (m, PU_SUBJECT_BACKEND, name, 1, home, now);
   }
 };
 
@@ -93,7 +94,7 @@
     }
   while (t.now - last < 60000)
     {
-      pu_membership_route_heard (t.m, "v", t.now);
+      pu_membership_record_route_heartbeat (t.m, "v", t.now);
       if (!t.pass (100).empty ())
         return t.now - last;
     }
@@ -126,7 +127,7 @@
         {
           for (uint64_t i = 0; i < gap / 100; i++)
             {
-              pu_membership_route_heard (t.m, "v", t.now);
+              pu_membership_record_route_heartbeat (t.m, "v", t.now);
               auto d = t.pass (100);
               down.insert (down.end (), d.begin (), d.end ());
             }
@@ -146,7 +147,7 @@
       t.backends = { { "b", 1 } };
       t.pass (100);
       t.now += 60000; /* another one led meanwhile */
-      pu_membership_begin (t.m, t.now);
+      pu_membership_reset (t.m, t.now);
       EXPECT_EQ (t.pass (4900).empty (), breaks == 0);
     }
 }
@@ -242,10 +243,11 @@
       for (auto &[name, incarnation] : t.members)
         heard.emplace (name, t.now - 900);
       for (auto &name : down)
-        RC_ASSERT (t.now - heard[name] > t.o.least_ms[PU_SUBJECT_MEMBER]);
+        RC_ASSERT (t.now - heard[name]
+                   > t.o.min_timeout_ms[PU_SUBJECT_MEMBER]);
       judged.insert (down.begin (), down.end ());
       for (auto &[name, at] : heard)
-        RC_ASSERT (t.now - at <= t.o.most_ms[PU_SUBJECT_MEMBER]
+        RC_ASSERT (t.now - at <= t.o.max_timeout_ms[PU_SUBJECT_MEMBER]
                    || judged.count (name) > 0);
       if (step < 3)
         {
--- a/libplantainusher/once/once.c
+++ b/libplantainusher/once/once.c
@@ -171,7 +171,7 @@
 queue_claim (pu_once_t *c, call_t *l)
 {
   l->phase = CLAIMING;
-  queue_action (c, l, PU_ONCE_CLAIM);
+  queue_action (c, l, PU_ONCE_ACTION_CLAIM);
 }
 
 static void
@@ -180,7 +180,7 @@
   queued_t *q;
 
   l->phase = RECORDING;
-  q = queue_action (c, l, PU_ONCE_RECORD);
+  q = queue_action (c, l, PU_ONCE_ACTION_RECORD);
   q->action.outcome = l->outcome;
   attach_result (q, l->result);
 }
@@ -189,7 +189,7 @@
 answer_one (pu_once_t *c, const call_t *l, guint64 caller,
             pu_once_answer_t answer, kept_t *result)
 {
-  queued_t *q = queue_action (c, l, PU_ONCE_ANSWER);
+  queued_t *q = queue_action (c, l, PU_ONCE_ACTION_ANSWER);
 
   q->action.caller = caller;
   q->action.answer = answer;
@@ -286,35 +286,35 @@
 {
   switch (l->outcome)
     {
-    case PU_ONCE_RAN:
+    case PU_ONCE_OUTCOME_RAN:
       answer_one (c, l, caller, PU_ONCE_ANSWER_RESULT, l->result);
       return;
-    case PU_ONCE_NOT_RUN:
+    case PU_ONCE_OUTCOME_NOT_RUN:
       answer_one (c, l, caller, PU_ONCE_ANSWER_NOT_RUN, NULL);
       return;
-    case PU_ONCE_UNKNOWN:
+    case PU_ONCE_OUTCOME_UNKNOWN:
       answer_one (c, l, caller, PU_ONCE_ANSWER_UNKNOWN, NULL);
       return;
     }
 }
 
-static pu_once_begin_t
+static pu_once_begin_result_t
 join (pu_once_t *c, call_t *l, guint64 caller, guint64 fingerprint)
 {
   if (l->fingerprint != fingerprint)
-    return PU_ONCE_KEY_MISMATCH;
+    return PU_ONCE_BEGIN_KEY_REUSED;
   if (l->phase == RECORDING || l->phase == RECORD_PAUSED)
     {
       answer_from_record (c, l, caller);
-      return PU_ONCE_ACCEPTED;
+      return PU_ONCE_BEGIN_ACCEPTED;
     }
   if (l->waiters->len >= c->options.waiters_max)
-    return PU_ONCE_FULL;
+    return PU_ONCE_BEGIN_OVERLOADED;
   add_waiter (c, l, caller);
-  return PU_ONCE_ACCEPTED;
+  return PU_ONCE_BEGIN_ACCEPTED;
 }
 
-pu_once_begin_t
+pu_once_begin_result_t
 pu_once_begin (pu_once_t *c, guint64 caller, const char *service,
                const char *key, guint64 fingerprint, guint64 key_wall,
                guint64 wall, guint64 window_ms, guint64 now)
@@ -323,19 +323,19 @@
 
   (void)now;
   if (!name_fits (key) || !name_fits (service))
-    return PU_ONCE_BAD_KEY;
+    return PU_ONCE_BEGIN_INVALID_KEY;
   if (too_old (c, key_wall, wall, window_ms))
-    return PU_ONCE_TOO_OLD;
+    return PU_ONCE_BEGIN_KEY_EXPIRED;
   l = find_name (c, service, key);
   if (l != NULL)
     return join (c, l, caller, fingerprint);
   if (g_hash_table_size (c->by_handle) >= c->options.keys_max)
-    return PU_ONCE_FULL;
+    return PU_ONCE_BEGIN_OVERLOADED;
   l = call_new (c, service, key, fingerprint);
   l->window_ms = window_ms;
   add_waiter (c, l, caller);
   queue_claim (c, l);
-  return PU_ONCE_ACCEPTED;
+  return PU_ONCE_BEGIN_ACCEPTED;
 }
 
 /* --- the log's answers --- */
@@ -355,12 +355,12 @@
   l->position = position;
   if (l->waiters->len == 0 && !broken (c, PU_ONCE_BREAK_DISPATCH_LATE))
     {
-      l->outcome = PU_ONCE_NOT_RUN;
+      l->outcome = PU_ONCE_OUTCOME_NOT_RUN;
       queue_record (c, l);
       return;
     }
   l->phase = RUNNING;
-  queue_action (c, l, PU_ONCE_DISPATCH);
+  queue_action (c, l, PU_ONCE_ACTION_DISPATCH);
 }
 
 static void
@@ -385,8 +385,9 @@
 }
 
 void
-pu_once_claimed (pu_once_t *c, pu_once_handle_t handle, pu_once_claimed_t what,
-                 guint64 position, const pu_once_result_t *result, guint64 now)
+pu_once_claimed (pu_once_t *c, pu_once_handle_t handle,
+                 pu_once_claim_result_t what, guint64 position,
+                 const pu_once_result_t *result, guint64 now)
 {
   call_t *l = find_handle (c, handle, CLAIMING);
   kept_t *kept;
@@ -395,30 +396,30 @@
     return;
   switch (what)
     {
-    case PU_ONCE_GRANTED:
+    case PU_ONCE_CLAIM_GRANTED:
       granted (c, l, position);
       return;
-    case PU_ONCE_KEPT:
+    case PU_ONCE_CLAIM_COMPLETED:
       kept = kept_new (result);
       answer_and_drop (c, l, PU_ONCE_ANSWER_RESULT, kept);
       kept_unref (kept);
       return;
-    case PU_ONCE_OPEN:
+    case PU_ONCE_CLAIM_IN_PROGRESS:
       answer_and_drop (c, l, PU_ONCE_ANSWER_RUNNING, NULL);
       return;
-    case PU_ONCE_MISMATCH:
+    case PU_ONCE_CLAIM_KEY_REUSED:
       answer_and_drop (c, l, PU_ONCE_ANSWER_CONFLICT, NULL);
       return;
-    case PU_ONCE_LOST:
+    case PU_ONCE_CLAIM_OWNER_LOST:
       answer_and_drop (c, l, PU_ONCE_ANSWER_UNKNOWN, NULL);
       return;
-    case PU_ONCE_CLOSED:
+    case PU_ONCE_CLAIM_ALREADY_CLOSED:
       answer_and_drop (c, l, PU_ONCE_ANSWER_NOT_RUN, NULL);
       return;
-    case PU_ONCE_REFUSED:
+    case PU_ONCE_CLAIM_REFUSED:
       refused (c, l, now);
       return;
-    case PU_ONCE_TIMEOUT:
+    case PU_ONCE_CLAIM_TIMED_OUT:
       l->unsure = !broken (c, PU_ONCE_BREAK_FORGET_TIMEOUT);
       claim_later (c, l, now);
       return;
@@ -436,9 +437,10 @@
   if (l == NULL)
     return;
   l->outcome = outcome;
-  if (outcome == PU_ONCE_UNKNOWN && broken (c, PU_ONCE_BREAK_RAN_AS_NOT_RUN))
-    l->outcome = PU_ONCE_NOT_RUN;
-  if (outcome == PU_ONCE_RAN)
+  if (outcome == PU_ONCE_OUTCOME_UNKNOWN
+      && broken (c, PU_ONCE_BREAK_RAN_AS_NOT_RUN))
+    l->outcome = PU_ONCE_OUTCOME_NOT_RUN;
+  if (outcome == PU_ONCE_OUTCOME_RAN)
     l->result = kept_new (result);
   for (guint i = 0; i < l->waiters->len; i++)
     answer_from_record (c, l, g_array_index (l->waiters, guint64, i));
@@ -463,7 +465,7 @@
 }
 
 bool
-pu_once_give_up (pu_once_t *c, guint64 caller, guint64 now)
+pu_once_remove_caller (pu_once_t *c, guint64 caller, guint64 now)
 {
   call_t *l = g_hash_table_lookup (c->by_caller, &caller);
 
@@ -524,7 +526,7 @@
 #define UUID_TIME_DIGITS 12
 
 guint64
-pu_once_key_wall (const char *key)
+pu_once_key_time_ms (const char *key)
 {
   guint64 wall = 0;
   guint digits = 0;
@@ -544,7 +546,7 @@
 }
 
 guint
-pu_once_busy (const pu_once_t *c)
+pu_once_count_active (const pu_once_t *c)
 {
   return g_hash_table_size (c->by_handle);
 }
--- a/libplantainusher/once/once.h
+++ b/libplantainusher/once/once.h
@@ -57,18 +57,19 @@
 /* What the shell does next.  */
 typedef enum
 {
-  PU_ONCE_CLAIM,    /* propose the claim: handle, attempt */
-  PU_ONCE_DISPATCH, /* send the call, once: handle */
-  PU_ONCE_RECORD,   /* propose the outcome: handle, position, phase, result */
-  PU_ONCE_ANSWER    /* answer the caller: caller, answer, result */
+  PU_ONCE_ACTION_CLAIM,    /* propose the claim: handle, attempt */
+  PU_ONCE_ACTION_DISPATCH, /* send the call, once: handle */
+  PU_ONCE_ACTION_RECORD,   /* propose the outcome: handle, position, phase,
+                              result */
+  PU_ONCE_ACTION_ANSWER    /* answer the caller: caller, answer, result */
 } pu_once_action_type_t;
 
 /* How a call ended, in the words of X-Outcome.  */
 typedef enum
 {
-  PU_ONCE_RAN,
-  PU_ONCE_NOT_RUN,
-  PU_ONCE_UNKNOWN
+  PU_ONCE_OUTCOME_RAN,
+  PU_ONCE_OUTCOME_NOT_RUN,
+  PU_ONCE_OUTCOME_UNKNOWN
 } pu_once_outcome_t;
 
 typedef enum
@@ -109,15 +110,15 @@
 /* What the log said to a claim (state/state_msg.x, pu_outcome and phase).  */
 typedef enum
 {
-  PU_ONCE_GRANTED,  /* ours to run */
-  PU_ONCE_KEPT,     /* it ran: RESULT is the first answer */
-  PU_ONCE_OPEN,     /* another owner runs it */
-  PU_ONCE_MISMATCH, /* the key was used for another request */
-  PU_ONCE_LOST,     /* its owner died: unknown for good */
-  PU_ONCE_CLOSED,   /* this very attempt is closed already */
-  PU_ONCE_REFUSED,  /* surely not recorded: no quorum, no member */
-  PU_ONCE_TIMEOUT   /* not known whether it was recorded */
-} pu_once_claimed_t;
+  PU_ONCE_CLAIM_GRANTED,        /* ours to run */
+  PU_ONCE_CLAIM_COMPLETED,      /* it ran: RESULT is the first answer */
+  PU_ONCE_CLAIM_IN_PROGRESS,    /* another owner runs it */
+  PU_ONCE_CLAIM_KEY_REUSED,     /* the key was used for another request */
+  PU_ONCE_CLAIM_OWNER_LOST,     /* its owner died: unknown for good */
+  PU_ONCE_CLAIM_ALREADY_CLOSED, /* this very attempt is closed already */
+  PU_ONCE_CLAIM_REFUSED,        /* surely not recorded: no quorum, no member */
+  PU_ONCE_CLAIM_TIMED_OUT       /* not known whether it was recorded */
+} pu_once_claim_result_t;
 
 /* pu_once_new - an empty table.  Attempts are numbered from 1 within the
    entry's incarnation.  Free with pu_once_free.  */
@@ -127,31 +128,33 @@
 /* Why a call is refused before anything is claimed.  */
 typedef enum
 {
-  PU_ONCE_ACCEPTED,
-  PU_ONCE_TOO_OLD,      /* the key's own time is out of the window */
-  PU_ONCE_BAD_KEY,      /* empty or too long */
-  PU_ONCE_KEY_MISMATCH, /* at work here for another request */
-  PU_ONCE_FULL          /* too many keys or waiters */
-} pu_once_begin_t;
+  PU_ONCE_BEGIN_ACCEPTED,
+  PU_ONCE_BEGIN_KEY_EXPIRED, /* the key's own time is out of the window */
+  PU_ONCE_BEGIN_INVALID_KEY, /* empty or too long */
+  PU_ONCE_BEGIN_KEY_REUSED,  /* at work here for another request */
+  PU_ONCE_BEGIN_OVERLOADED   /* too many keys or waiters */
+} pu_once_begin_result_t;
 
 /* pu_once_begin - CALLER, a number of the shell's, asks for KEY of SERVICE.
    FINGERPRINT is the hash of method, path and body.  KEY_WALL is the time in
-   the key (pu_once_key_wall) or 0; WALL is now, both in ms since 1970;
+   the key (pu_once_key_time_ms) or 0; WALL is now, both in ms since 1970;
    WINDOW_MS is how long the service keeps results; NOW is monotonic.  On
-   PU_ONCE_ACCEPTED actions follow, and later one ANSWER.  */
-pu_once_begin_t pu_once_begin (pu_once_t *c, guint64 caller,
-                               const char *service, const char *key,
-                               guint64 fingerprint, guint64 key_wall,
-                               guint64 wall, guint64 window_ms, guint64 now);
+   PU_ONCE_BEGIN_ACCEPTED actions follow, and later one ANSWER.  */
+pu_once_begin_result_t pu_once_begin (pu_once_t *c, guint64 caller,
+                                      const char *service, const char *key,
+                                      guint64 fingerprint, guint64 key_wall,
+                                      guint64 wall, guint64 window_ms,
+                                      guint64 now);
 
 /* pu_once_claimed - the log's answer to the claim of HANDLE.  POSITION is the
-   claim's in the log; RESULT goes with PU_ONCE_KEPT.  */
+   claim's in the log; RESULT goes with PU_ONCE_CLAIM_COMPLETED.  */
 void pu_once_claimed (pu_once_t *c, pu_once_handle_t handle,
-                      pu_once_claimed_t what, guint64 position,
+                      pu_once_claim_result_t what, guint64 position,
                       const pu_once_result_t *result, guint64 now);
 
 /* pu_once_finished - the dispatched call of HANDLE ended.  RESULT goes with
-   PU_ONCE_RAN.  The callers are answered at once; the record follows.  */
+   PU_ONCE_OUTCOME_RAN.  The callers are answered at once; the record follows.
+ */
 void pu_once_finished (pu_once_t *c, pu_once_handle_t handle,
                        pu_once_outcome_t outcome,
                        const pu_once_result_t *result, guint64 now);
@@ -161,9 +164,10 @@
 void pu_once_recorded (pu_once_t *c, pu_once_handle_t handle, bool ok,
                        guint64 now);
 
-/* pu_once_give_up - CALLER is answered as not run (or unknown once the call
-   was dispatched) and forgotten, at its deadline.  False when not known.  */
-bool pu_once_give_up (pu_once_t *c, guint64 caller, guint64 now);
+/* pu_once_remove_caller - CALLER is answered as not run (or unknown once the
+   call was dispatched) and forgotten, at its deadline.  False when not known.
+ */
+bool pu_once_remove_caller (pu_once_t *c, guint64 caller, guint64 now);
 
 /* pu_once_tick - claims and records whose pause is over.  */
 void pu_once_tick (pu_once_t *c, guint64 now);
@@ -172,13 +176,13 @@
    hold until the next call of any function but this one.  */
 bool pu_once_next (pu_once_t *c, pu_once_action_t *a);
 
-/* pu_once_key_wall - the time in KEY in ms since 1970 when KEY is a UUID of
+/* pu_once_key_time_ms - the time in KEY in ms since 1970 when KEY is a UUID of
    version 7 (RFC 9562), else 0.  */
-guint64 pu_once_key_wall (const char *key);
+guint64 pu_once_key_time_ms (const char *key);
 
-/* pu_once_busy - keys at work, for the dump and for a planned stop: a daemon
-   stops only when every outcome is recorded.  */
-guint pu_once_busy (const pu_once_t *c);
+/* pu_once_count_active - keys at work, for the dump and for a planned stop: a
+   daemon stops only when every outcome is recorded.  */
+guint pu_once_count_active (const pu_once_t *c);
 
 G_END_DECLS
 
--- a/libplantainusher/once/once_test.cc
+++ b/libplantainusher/once/once_test.cc
@@ -37,7 +37,7 @@
   ~Once () { pu_once_free (c); }
   Once (const Once &) = delete;
 
-  pu_once_begin_t
+  pu_once_begin_result_t
   begin (guint64 caller, const char *key = "k", guint64 fingerprint = 1)
   {
     return pu_once_begin (c, caller, "svc", key, fingerprint, 0, 0, 3600000,
@@ -72,15 +72,15 @@
   Once o;
   pu_once_handle_t h;
 
-  EXPECT_EQ (PU_ONCE_ACCEPTED, o.begin (1));
-  h = o.next (PU_ONCE_CLAIM).handle;
-  pu_once_claimed (o.c, h, PU_ONCE_GRANTED, 7, NULL, 0);
-  o.next (PU_ONCE_DISPATCH);
-  pu_once_finished (o.c, h, PU_ONCE_RAN, &kResult, 0);
-  EXPECT_EQ (PU_ONCE_ANSWER_RESULT, o.next (PU_ONCE_ANSWER).answer);
-  EXPECT_EQ (7u, o.next (PU_ONCE_RECORD).position);
+  EXPECT_EQ (PU_ONCE_BEGIN_ACCEPTED, o.begin (1));
+  h = o.next (PU_ONCE_ACTION_CLAIM).handle;
+  pu_once_claimed (o.c, h, PU_ONCE_CLAIM_GRANTED, 7, NULL, 0);
+  o.next (PU_ONCE_ACTION_DISPATCH);
+  pu_once_finished (o.c, h, PU_ONCE_OUTCOME_RAN, &kResult, 0);
+  EXPECT_EQ (PU_ONCE_ANSWER_RESULT, o.next (PU_ONCE_ACTION_ANSWER).answer);
+  EXPECT_EQ (7u, o.next (PU_ONCE_ACTION_RECORD).position);
   pu_once_recorded (o.c, h, true, 0);
-  EXPECT_EQ (0u, pu_once_busy (o.c));
+  EXPECT_EQ (0u, pu_once_count_active (o.c));
 }
 
 TEST (Once, CallersOfOneKeyShareOneRun)
@@ -89,30 +89,30 @@
   pu_once_handle_t h;
 
   o.begin (1);
-  h = o.next (PU_ONCE_CLAIM).handle;
-  EXPECT_EQ (PU_ONCE_ACCEPTED, o.begin (2));
-  EXPECT_EQ (PU_ONCE_KEY_MISMATCH, o.begin (3, "k", 2));
+  h = o.next (PU_ONCE_ACTION_CLAIM).handle;
+  EXPECT_EQ (PU_ONCE_BEGIN_ACCEPTED, o.begin (2));
+  EXPECT_EQ (PU_ONCE_BEGIN_KEY_REUSED, o.begin (3, "k", 2));
   EXPECT_TRUE (o.idle ());
-  pu_once_claimed (o.c, h, PU_ONCE_GRANTED, 7, NULL, 0);
-  o.next (PU_ONCE_DISPATCH);
-  pu_once_finished (o.c, h, PU_ONCE_RAN, &kResult, 0);
-  EXPECT_EQ (1u, o.next (PU_ONCE_ANSWER).caller);
-  EXPECT_EQ (2u, o.next (PU_ONCE_ANSWER).caller);
+  pu_once_claimed (o.c, h, PU_ONCE_CLAIM_GRANTED, 7, NULL, 0);
+  o.next (PU_ONCE_ACTION_DISPATCH);
+  pu_once_finished (o.c, h, PU_ONCE_OUTCOME_RAN, &kResult, 0);
+  EXPECT_EQ (1u, o.next (PU_ONCE_ACTION_ANSWER).caller);
+  EXPECT_EQ (2u, o.next (PU_ONCE_ACTION_ANSWER).caller);
 }
 
 TEST (Once, EachAnswerOfTheLogHasItsAnswer)
 {
   const struct
   {
-    pu_once_claimed_t said;
+    pu_once_claim_result_t said;
     pu_once_answer_t answer;
   } rows[] = {
-    { PU_ONCE_KEPT, PU_ONCE_ANSWER_RESULT },
-    { PU_ONCE_OPEN, PU_ONCE_ANSWER_RUNNING },
-    { PU_ONCE_MISMATCH, PU_ONCE_ANSWER_CONFLICT },
-    { PU_ONCE_LOST, PU_ONCE_ANSWER_UNKNOWN },
-    { PU_ONCE_CLOSED, PU_ONCE_ANSWER_NOT_RUN },
-    { PU_ONCE_REFUSED, PU_ONCE_ANSWER_NOT_RUN },
+    { PU_ONCE_CLAIM_COMPLETED, PU_ONCE_ANSWER_RESULT },
+    { PU_ONCE_CLAIM_IN_PROGRESS, PU_ONCE_ANSWER_RUNNING },
+    { PU_ONCE_CLAIM_KEY_REUSED, PU_ONCE_ANSWER_CONFLICT },
+    { PU_ONCE_CLAIM_OWNER_LOST, PU_ONCE_ANSWER_UNKNOWN },
+    { PU_ONCE_CLAIM_ALREADY_CLOSED, PU_ONCE_ANSWER_NOT_RUN },
+    { PU_ONCE_CLAIM_REFUSED, PU_ONCE_ANSWER_NOT_RUN },
   };
 
   for (const auto &row : rows)
@@ -120,10 +120,10 @@
       Once o;
 
       o.begin (1);
-      pu_once_claimed (o.c, o.next (PU_ONCE_CLAIM).handle, row.said, 7,
+      pu_once_claimed (o.c, o.next (PU_ONCE_ACTION_CLAIM).handle, row.said, 7,
                        &kResult, 0);
-      EXPECT_EQ (row.answer, o.next (PU_ONCE_ANSWER).answer);
-      EXPECT_EQ (0u, pu_once_busy (o.c));
+      EXPECT_EQ (row.answer, o.next (PU_ONCE_ACTION_ANSWER).answer);
+      EXPECT_EQ (0u, pu_once_count_active (o.c));
     }
 }
 
@@ -133,15 +133,15 @@
   pu_once_handle_t h;
 
   o.begin (1);
-  h = o.next (PU_ONCE_CLAIM).handle;
-  pu_once_claimed (o.c, h, PU_ONCE_TIMEOUT, 0, NULL, 10);
-  EXPECT_EQ (PU_ONCE_ANSWER_NOT_RUN, o.next (PU_ONCE_ANSWER).answer);
+  h = o.next (PU_ONCE_ACTION_CLAIM).handle;
+  pu_once_claimed (o.c, h, PU_ONCE_CLAIM_TIMED_OUT, 0, NULL, 10);
+  EXPECT_EQ (PU_ONCE_ANSWER_NOT_RUN, o.next (PU_ONCE_ACTION_ANSWER).answer);
   pu_once_tick (o.c, 12);
   EXPECT_TRUE (o.idle ());
   pu_once_tick (o.c, 13);
-  EXPECT_EQ (1u, o.next (PU_ONCE_CLAIM).attempt);
-  pu_once_claimed (o.c, h, PU_ONCE_GRANTED, 7, NULL, 13);
-  EXPECT_EQ (PU_ONCE_NOT_RUN, o.next (PU_ONCE_RECORD).outcome);
+  EXPECT_EQ (1u, o.next (PU_ONCE_ACTION_CLAIM).attempt);
+  pu_once_claimed (o.c, h, PU_ONCE_CLAIM_GRANTED, 7, NULL, 13);
+  EXPECT_EQ (PU_ONCE_OUTCOME_NOT_RUN, o.next (PU_ONCE_ACTION_RECORD).outcome);
 }
 
 TEST (Once, ARefusalAfterATimeoutSettlesNothing)
@@ -150,17 +150,18 @@
   pu_once_handle_t h;
 
   o.begin (1);
-  h = o.next (PU_ONCE_CLAIM).handle;
-  pu_once_claimed (o.c, h, PU_ONCE_TIMEOUT, 0, NULL, 10);
-  EXPECT_EQ (PU_ONCE_ANSWER_NOT_RUN, o.next (PU_ONCE_ANSWER).answer);
+  h = o.next (PU_ONCE_ACTION_CLAIM).handle;
+  pu_once_claimed (o.c, h, PU_ONCE_CLAIM_TIMED_OUT, 0, NULL, 10);
+  EXPECT_EQ (PU_ONCE_ANSWER_NOT_RUN, o.next (PU_ONCE_ACTION_ANSWER).answer);
   pu_once_tick (o.c, 13);
-  o.next (PU_ONCE_CLAIM);
-  pu_once_claimed (o.c, h, PU_ONCE_REFUSED, 0, NULL, 20);
-  EXPECT_EQ (1u, pu_once_busy (o.c)) << "the first may have been recorded";
+  o.next (PU_ONCE_ACTION_CLAIM);
+  pu_once_claimed (o.c, h, PU_ONCE_CLAIM_REFUSED, 0, NULL, 20);
+  EXPECT_EQ (1u, pu_once_count_active (o.c))
+      << "the first may have been recorded";
   pu_once_tick (o.c, 23);
-  o.next (PU_ONCE_CLAIM);
-  pu_once_claimed (o.c, h, PU_ONCE_GRANTED, 7, NULL, 30);
-  EXPECT_EQ (PU_ONCE_NOT_RUN, o.next (PU_ONCE_RECORD).outcome);
+  o.next (PU_ONCE_ACTION_CLAIM);
+  pu_once_claimed (o.c, h, PU_ONCE_CLAIM_GRANTED, 7, NULL, 30);
+  EXPECT_EQ (PU_ONCE_OUTCOME_NOT_RUN, o.next (PU_ONCE_ACTION_RECORD).outcome);
 }
 
 TEST (Once, ARecordIsSentUntilItIsTaken)
@@ -169,32 +170,33 @@
   pu_once_handle_t h;
 
   o.begin (1);
-  h = o.next (PU_ONCE_CLAIM).handle;
-  pu_once_claimed (o.c, h, PU_ONCE_GRANTED, 7, NULL, 0);
-  o.next (PU_ONCE_DISPATCH);
-  pu_once_finished (o.c, h, PU_ONCE_UNKNOWN, NULL, 0);
-  EXPECT_EQ (PU_ONCE_ANSWER_UNKNOWN, o.next (PU_ONCE_ANSWER).answer);
-  o.next (PU_ONCE_RECORD);
+  h = o.next (PU_ONCE_ACTION_CLAIM).handle;
+  pu_once_claimed (o.c, h, PU_ONCE_CLAIM_GRANTED, 7, NULL, 0);
+  o.next (PU_ONCE_ACTION_DISPATCH);
+  pu_once_finished (o.c, h, PU_ONCE_OUTCOME_UNKNOWN, NULL, 0);
+  EXPECT_EQ (PU_ONCE_ANSWER_UNKNOWN, o.next (PU_ONCE_ACTION_ANSWER).answer);
+  o.next (PU_ONCE_ACTION_RECORD);
   pu_once_recorded (o.c, h, false, 10);
   o.begin (2);
-  EXPECT_EQ (PU_ONCE_ANSWER_UNKNOWN, o.next (PU_ONCE_ANSWER).answer);
+  EXPECT_EQ (PU_ONCE_ANSWER_UNKNOWN, o.next (PU_ONCE_ACTION_ANSWER).answer);
   pu_once_tick (o.c, 13);
-  o.next (PU_ONCE_RECORD);
+  o.next (PU_ONCE_ACTION_RECORD);
 }
 
 TEST (Once, AKeyOutOfItsWindowIsRefused)
 {
   Once o;
   const char *key = "018f0000-0000-7000-8000-000000000000";
-  const guint64 made = pu_once_key_wall (key);
+  const guint64 made = pu_once_key_time_ms (key);
 
   EXPECT_EQ (0x018f00000000u, made);
-  EXPECT_EQ (0u, pu_once_key_wall ("018f0000-0000-4000-8000-000000000000"));
-  EXPECT_EQ (PU_ONCE_TOO_OLD, pu_once_begin (o.c, 1, "s", key, 1, made,
-                                             made + 600000, 600000, 0));
-  EXPECT_EQ (PU_ONCE_ACCEPTED, pu_once_begin (o.c, 1, "s", key, 1, made,
-                                              made + 500000, 600000, 0));
-  EXPECT_EQ (600000u, o.next (PU_ONCE_CLAIM).window_ms);
+  EXPECT_EQ (0u, pu_once_key_time_ms ("018f0000-0000-4000-8000-000000000000"));
+  EXPECT_EQ (
+      PU_ONCE_BEGIN_KEY_EXPIRED,
+      pu_once_begin (o.c, 1, "s", key, 1, made, made + 600000, 600000, 0));
+  EXPECT_EQ (PU_ONCE_BEGIN_ACCEPTED, pu_once_begin (o.c, 1, "s", key, 1, made,
+                                                    made + 500000, 600000, 0));
+  EXPECT_EQ (600000u, o.next (PU_ONCE_ACTION_CLAIM).window_ms);
 }
 
 namespace
@@ -207,7 +209,7 @@
   guint64 attempt = 0;
   bool open = false;
   bool closed = false;
-  pu_once_outcome_t outcome = PU_ONCE_NOT_RUN;
+  pu_once_outcome_t outcome = PU_ONCE_OUTCOME_NOT_RUN;
 };
 
 /* Three entries, a log whose answers get lost or come late, and a backend
@@ -226,21 +228,21 @@
     return (int)(random () % n);
   }
 
-  pu_once_claimed_t
+  pu_once_claim_result_t
   claim (int entry, const std::string &key, guint64 attempt)
   {
     Claim &k = log[key];
 
     if (k.attempt == attempt && k.owner == entry && (k.open || k.closed))
-      return k.open ? PU_ONCE_GRANTED : PU_ONCE_CLOSED;
+      return k.open ? PU_ONCE_CLAIM_GRANTED : PU_ONCE_CLAIM_ALREADY_CLOSED;
     if (k.open)
-      return PU_ONCE_OPEN;
-    if (k.closed && k.outcome == PU_ONCE_RAN)
-      return PU_ONCE_KEPT;
-    if (k.closed && k.outcome == PU_ONCE_UNKNOWN)
-      return PU_ONCE_LOST;
-    k = { entry, attempt, true, false, PU_ONCE_NOT_RUN };
-    return PU_ONCE_GRANTED;
+      return PU_ONCE_CLAIM_IN_PROGRESS;
+    if (k.closed && k.outcome == PU_ONCE_OUTCOME_RAN)
+      return PU_ONCE_CLAIM_COMPLETED;
+    if (k.closed && k.outcome == PU_ONCE_OUTCOME_UNKNOWN)
+      return PU_ONCE_CLAIM_OWNER_LOST;
+    k = { entry, attempt, true, false, PU_ONCE_OUTCOME_NOT_RUN };
+    return PU_ONCE_CLAIM_GRANTED;
   }
 
   void
@@ -262,24 +264,24 @@
 
     switch (a.type)
       {
-      case PU_ONCE_CLAIM:
+      case PU_ONCE_ACTION_CLAIM:
         {
-          pu_once_claimed_t said = PU_ONCE_REFUSED;
+          pu_once_claim_result_t said = PU_ONCE_CLAIM_REFUSED;
 
           if (pick (5) > 0)
             said = claim (entry, a.key, a.attempt);
           if (pick (4) == 0)
             {
-              said = PU_ONCE_TIMEOUT;
+              said = PU_ONCE_CLAIM_TIMED_OUT;
               pu_fuzz_report::get ().faults++;
             }
           pu_once_claimed (c, a.handle, said, 1, &kResult, now);
           break;
         }
-      case PU_ONCE_DISPATCH:
+      case PU_ONCE_ACTION_DISPATCH:
         run (entry, a);
         break;
-      case PU_ONCE_RECORD:
+      case PU_ONCE_ACTION_RECORD:
         {
           const bool reached = pick (3) > 0;
 
@@ -295,7 +297,7 @@
           pu_once_recorded (c, a.handle, reached && pick (4) > 0, now);
           break;
         }
-      case PU_ONCE_ANSWER:
+      case PU_ONCE_ACTION_ANSWER:
         answers[a.caller]++;
         if (a.answer == PU_ONCE_ANSWER_NOT_RUN)
           told_not_run[a.caller] = a.key;
@@ -327,7 +329,8 @@
           }
         /* 0: did not run; 1: ran; 2: ran and the answer was lost.  */
         const pu_once_outcome_t outcomes[]
-            = { PU_ONCE_NOT_RUN, PU_ONCE_RAN, PU_ONCE_UNKNOWN };
+            = { PU_ONCE_OUTCOME_NOT_RUN, PU_ONCE_OUTCOME_RAN,
+                PU_ONCE_OUTCOME_UNKNOWN };
         pu_once_finished (entries[f.entry]->c, f.handle, outcomes[f.fate],
                           &kResult, now);
       }
@@ -374,7 +377,7 @@
         drain (entry);
         finish_due ();
         if (pick (10) == 0)
-          pu_once_give_up (entries[entry]->c, caller, now);
+          pu_once_remove_caller (entries[entry]->c, caller, now);
         for (int e = 0; e < 3; e++)
           {
             pu_once_tick (entries[e]->c, now);
@@ -391,7 +394,7 @@
   {
     for (const auto &e : entries)
       {
-        if (pu_once_busy (e->c) > 0)
+        if (pu_once_count_active (e->c) > 0)
           return true;
       }
     return false;
--- a/libplantainusher/operator/views.c
+++ b/libplantainusher/operator/views.c
@@ -311,7 +311,7 @@
   json_object_set_new (status, "ready",
                        json_boolean (pu_operator_is_ready (x->op)));
   set_number (status, "position", pu_state_position (s));
-  set_number (status, "view", pu_state_view (s));
+  set_number (status, "view", pu_state_membership_version (s));
   pu_state_each_member (s, add_member, members);
   json_object_set_new (status, "members", members);
   pu_state_each_backend (s, add_backend, &backends);
--- a/libplantainusher/placement/dispatcher.c
+++ b/libplantainusher/placement/dispatcher.c
@@ -387,8 +387,8 @@
 }
 
 void
-pu_dispatcher_answer (pu_dispatcher_t *d, guint32 engine,
-                      pu_dispatcher_answer_t a, guint64 now)
+pu_dispatcher_handle_answer (pu_dispatcher_t *d, guint32 engine,
+                             pu_dispatcher_answer_t a, guint64 now)
 {
   pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
 
@@ -522,9 +522,9 @@
 }
 
 void
-pu_dispatcher_report (pu_dispatcher_t *d, guint32 engine,
-                      const pu_dispatcher_report_t *r, guint64 asked,
-                      guint64 now)
+pu_dispatcher_handle_report (pu_dispatcher_t *d, guint32 engine,
+                             const pu_dispatcher_report_t *r, guint64 asked,
+                             guint64 now)
 {
   pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
   bool current;
--- a/libplantainusher/placement/dispatcher.h
+++ b/libplantainusher/placement/dispatcher.h
@@ -120,10 +120,10 @@
   PU_DISPATCHER_NO_ANSWER    /* no answer: the outcome is unknown */
 } pu_dispatcher_answer_t;
 
-/* pu_dispatcher_answer - A is the answer of ENGINE to the order that was sent
-   to it last.  */
-void pu_dispatcher_answer (pu_dispatcher_t *d, guint32 engine,
-                           pu_dispatcher_answer_t a, guint64 now);
+/* pu_dispatcher_handle_answer - A is the answer of ENGINE to the order that
+   was sent to it last.  */
+void pu_dispatcher_handle_answer (pu_dispatcher_t *d, guint32 engine,
+                                  pu_dispatcher_answer_t a, guint64 now);
 
 /* An engine's report; the lists are borrowed.  */
 typedef struct
@@ -136,11 +136,11 @@
   guint n_coming;
 } pu_dispatcher_report_t;
 
-/* pu_dispatcher_report - R is the report that ENGINE sent in response to a
-   fetch requested at ASKED; NULL: the fetch failed.  */
-void pu_dispatcher_report (pu_dispatcher_t *d, guint32 engine,
-                           const pu_dispatcher_report_t *r, guint64 asked,
-                           guint64 now);
+/* pu_dispatcher_handle_report - R is the report that ENGINE sent in response
+   to a fetch requested at ASKED; NULL: the fetch failed.  */
+void pu_dispatcher_handle_report (pu_dispatcher_t *d, guint32 engine,
+                                  const pu_dispatcher_report_t *r,
+                                  guint64 asked, guint64 now);
 
 /* pu_dispatcher_mark_loaded - ENGINE holds ITEM according to a source other
    than a fetched report; ends the load of ITEM.  */
@@ -150,9 +150,9 @@
 typedef enum
 {
   PU_DISPATCHER_ACTION_SEND,     /* send the order to the engine and pass its
-                                answer     to pu_dispatcher_answer */
+                                answer     to pu_dispatcher_handle_answer */
   PU_DISPATCHER_ACTION_FETCH,    /* fetch the engine's report and pass it to
-                                pu_dispatcher_report */
+                                pu_dispatcher_handle_report */
   PU_DISPATCHER_ACTION_ACCEPTED, /* the order was executed or is being executed
                                   */
   PU_DISPATCHER_ACTION_FAILED    /* the order failed and is not sent again */
--- a/libplantainusher/placement/dispatcher_test.cc
+++ b/libplantainusher/placement/dispatcher_test.cc
@@ -157,7 +157,7 @@
         = { r.accepted, r.busy, r.held.data (), (guint)r.held.size (),
             nullptr,    0 };
 
-    pu_dispatcher_report (d, kEngine, &c, asked, now);
+    pu_dispatcher_handle_report (d, kEngine, &c, asked, now);
   }
 
   pu_dispatcher_t *d;
@@ -193,7 +193,7 @@
   k.DeliverReport ({ 7, false, {} }, 0, 10);
   k.Want (PU_DISPATCHER_LOAD, 1, 20);
   k.Step (20);
-  pu_dispatcher_answer (k.d, kEngine, PU_DISPATCHER_NO_ANSWER, 320);
+  pu_dispatcher_handle_answer (k.d, kEngine, PU_DISPATCHER_NO_ANSWER, 320);
   auto a = k.Step (600);
   ASSERT_FALSE (a.empty ());
   EXPECT_EQ (a[0].what, PU_DISPATCHER_ACTION_SEND);
@@ -216,7 +216,7 @@
     {
       const pu_dispatcher_report_t r = {};
 
-      pu_dispatcher_report (d, i, &r, 0, 0);
+      pu_dispatcher_handle_report (d, i, &r, 0, 0);
     }
   return d;
 }
@@ -259,7 +259,7 @@
     {
       const pu_dispatcher_report_t r = {};
 
-      pu_dispatcher_report (d, i, &r, 6000, 6000);
+      pu_dispatcher_handle_report (d, i, &r, 6000, 6000);
     }
   EXPECT_EQ (20U, FetchesAt (d, 6400));
   pu_dispatcher_free (d);
@@ -324,7 +324,7 @@
   k.DeliverReport ({ 4, false, { 1 } }, 0, 10);
   ASSERT_TRUE (Want (PU_DISPATCHER_LOAD, 3, 20));
   ASSERT_EQ (k.Step (20)[0].what, PU_DISPATCHER_ACTION_SEND);
-  pu_dispatcher_answer (k.d, kEngine, PU_DISPATCHER_CONFLICT, 30);
+  pu_dispatcher_handle_answer (k.d, kEngine, PU_DISPATCHER_CONFLICT, 30);
   k.DeliverReport ({ 5, false, { 1, 2 } }, 600, 610);
   auto a = k.Step (1000);
   ASSERT_EQ (a.size (), 1U);
@@ -337,7 +337,7 @@
   ASSERT_TRUE (Want (PU_DISPATCHER_UNLOAD, 1, 20));
   ASSERT_TRUE (Want (PU_DISPATCHER_LOAD, 3, 20));
   ASSERT_EQ (k.Step (20)[0].order.op, PU_DISPATCHER_UNLOAD);
-  pu_dispatcher_answer (k.d, kEngine, PU_DISPATCHER_ACCEPTED, 30);
+  pu_dispatcher_handle_answer (k.d, kEngine, PU_DISPATCHER_ACCEPTED, 30);
   for (auto const &a : k.Step (200))
     {
       EXPECT_NE (a.what, PU_DISPATCHER_ACTION_SEND);
@@ -357,7 +357,7 @@
   k.DeliverReport ({ 4, false, { 1, 2 } }, 0, 10);
   ASSERT_TRUE (Want (PU_DISPATCHER_UNLOAD, 1, 20));
   ASSERT_EQ (k.Step (20)[0].order.op, PU_DISPATCHER_UNLOAD);
-  pu_dispatcher_answer (k.d, kEngine, PU_DISPATCHER_ACCEPTED, 30);
+  pu_dispatcher_handle_answer (k.d, kEngine, PU_DISPATCHER_ACCEPTED, 30);
   ASSERT_TRUE (k.Want (PU_DISPATCHER_LOAD, 5, 40));
   guint64 now = 40;
   bool sent = false;
@@ -365,7 +365,7 @@
     for (auto const &a : k.Step (now))
       sent = sent || a.what == PU_DISPATCHER_ACTION_SEND;
   ASSERT_TRUE (sent);
-  pu_dispatcher_answer (k.d, kEngine, PU_DISPATCHER_ACCEPTED, now);
+  pu_dispatcher_handle_answer (k.d, kEngine, PU_DISPATCHER_ACCEPTED, now);
   now += 500;
   pu_dispatcher_mark_loaded (k.d, kEngine, 5, now);
   ASSERT_TRUE (Want (PU_DISPATCHER_LOAD, 3, now));
@@ -419,7 +419,7 @@
   EXPECT_FALSE (pu_dispatcher_has_unknown_order (k.d, kEngine));
   k.Want (PU_DISPATCHER_LOAD, 1, 620);
   k.Step (620);
-  pu_dispatcher_answer (k.d, kEngine, PU_DISPATCHER_ACCEPTED, 630);
+  pu_dispatcher_handle_answer (k.d, kEngine, PU_DISPATCHER_ACCEPTED, 630);
   EXPECT_FALSE (pu_dispatcher_has_unknown_order (k.d, kEngine));
 }
 
@@ -431,7 +431,7 @@
   k.DeliverReport ({ 7, false, {} }, 0, 10);
   k.Want (PU_DISPATCHER_LOAD, 1, 1000);
   k.Step (1000);
-  pu_dispatcher_answer (k.d, kEngine, PU_DISPATCHER_ACCEPTED, 1010);
+  pu_dispatcher_handle_answer (k.d, kEngine, PU_DISPATCHER_ACCEPTED, 1010);
   k.DeliverReport ({ 7, false, {} }, 1005, 1020);
   EXPECT_EQ (pu_dispatcher_phase (k.d, kEngine, 1), PU_DISPATCHER_LOADING);
   EXPECT_TRUE (pu_dispatcher_is_busy (k.d, kEngine));
@@ -445,7 +445,7 @@
   k.DeliverReport ({ 7, false, {} }, 0, 10);
   k.Want (PU_DISPATCHER_LOAD, 1, 20);
   k.Step (20);
-  pu_dispatcher_answer (k.d, kEngine, PU_DISPATCHER_FENCED, 30);
+  pu_dispatcher_handle_answer (k.d, kEngine, PU_DISPATCHER_FENCED, 30);
   EXPECT_FALSE (pu_dispatcher_accepts_orders (k.d, kEngine));
   EXPECT_FALSE (k.Want (PU_DISPATCHER_LOAD, 2, 40));
 }
@@ -548,7 +548,7 @@
         if (k == nullptr || !s.wants_answer || IsLost ())
           continue;
         timeouts.clear ();
-        pu_dispatcher_answer (k->d, kEngine, answer, now);
+        pu_dispatcher_handle_answer (k->d, kEngine, answer, now);
       }
     for (size_t i = 0; i < timeouts.size ();)
       {
@@ -561,8 +561,8 @@
           }
         timeouts.erase (timeouts.begin () + (long)i);
         if (Find (s.term) != nullptr)
-          pu_dispatcher_answer (Find (s.term)->d, kEngine,
-                                PU_DISPATCHER_NO_ANSWER, now);
+          pu_dispatcher_handle_answer (Find (s.term)->d, kEngine,
+                                       PU_DISPATCHER_NO_ANSWER, now);
       }
     for (size_t i = 0; i < fetched.size ();)
       {
@@ -580,7 +580,7 @@
           }
         Dispatcher *k = Find (f.term);
         if (k != nullptr && IsLost ())
-          pu_dispatcher_report (k->d, kEngine, nullptr, f.asked, now);
+          pu_dispatcher_handle_report (k->d, kEngine, nullptr, f.asked, now);
         else if (k != nullptr)
           k->DeliverReport (f.r, f.asked, now);
         fetched.erase (fetched.begin () + (long)i);
--- a/libplantainusher/placement/due_test.cc
+++ b/libplantainusher/placement/due_test.cc
@@ -44,7 +44,7 @@
     r.busy = busy;
     r.held = held.data ();
     r.n_held = held.size ();
-    pu_dispatcher_report (d, engine, &r, now, now);
+    pu_dispatcher_handle_report (d, engine, &r, now, now);
   }
 
   /* Orders a load of the model on ENGINE, which accepts it.  */
@@ -57,7 +57,7 @@
 
     ASSERT_TRUE (pu_dispatcher_enqueue (d, engine, &o, now));
     pu_dispatcher_step (d, nullptr, nullptr, now, actions);
-    pu_dispatcher_answer (d, engine, PU_DISPATCHER_ACCEPTED, now);
+    pu_dispatcher_handle_answer (d, engine, PU_DISPATCHER_ACCEPTED, now);
     g_array_unref (actions);
   }
 
--- a/libplantainusher/placement/ledger.c
+++ b/libplantainusher/placement/ledger.c
@@ -475,7 +475,7 @@
 }
 
 const pu_ledger_order_t *
-pu_ledger_order (const pu_ledger_t *l, guint64 token)
+pu_ledger_get_order (const pu_ledger_t *l, guint64 token)
 {
   const backend_t *n = g_hash_table_lookup (l->tokens, &token);
 
--- a/libplantainusher/placement/ledger.h
+++ b/libplantainusher/placement/ledger.h
@@ -203,8 +203,9 @@
 bool pu_ledger_fits (const pu_ledger_t *l, guint32 backend, guint32 copy,
                      guint32 memory_mb);
 
-/* pu_ledger_order - the open order TOKEN, or NULL.  */
-const pu_ledger_order_t *pu_ledger_order (const pu_ledger_t *l, guint64 token);
+/* pu_ledger_get_order - the open order TOKEN, or NULL.  */
+const pu_ledger_order_t *pu_ledger_get_order (const pu_ledger_t *l,
+                                              guint64 token);
 
 /* pu_ledger_orders - the open orders by ascending token, as a new array of
    pu_ledger_order_t that the caller frees with g_array_unref.  */
--- a/libplantainusher/placement/ledger_test.cc
+++ b/libplantainusher/placement/ledger_test.cc
@@ -96,8 +96,8 @@
   Report (3, 6, { { 8, 10, PU_LEDGER_READY } });
   EXPECT_EQ (10u, CommittedMb ());
   EXPECT_TRUE (pu_ledger_release (l, 5));
-  EXPECT_EQ (nullptr, pu_ledger_order (l, 5));
-  EXPECT_NE (nullptr, pu_ledger_order (l, 6));
+  EXPECT_EQ (nullptr, pu_ledger_get_order (l, 5));
+  EXPECT_NE (nullptr, pu_ledger_get_order (l, 6));
 }
 
 TEST_F (Ledger, OrderCountsAgainForANewProcess)
--- a/libplantainusher/placer/fixture_test.cc
+++ b/libplantainusher/placer/fixture_test.cc
@@ -231,8 +231,8 @@
   c.tick_ms = 10;
   for (int i = 0; i < 2; i++)
     {
-      c.membership.least_ms[i] = 600000;
-      c.membership.most_ms[i] = 600000;
+      c.membership.min_timeout_ms[i] = 600000;
+      c.membership.max_timeout_ms[i] = 600000;
     }
   control = pu_control_new (&c, &e);
   ASSERT_NE (control, nullptr) << e.message;
--- a/libplantainusher/placer/placer.c
+++ b/libplantainusher/placer/placer.c
@@ -361,7 +361,8 @@
 pu_placer_new (const pu_placer_options_t *o)
 {
   pu_placer_t *p = g_new0 (pu_placer_t, 1);
-  pu_control_duty_t duty = { "placement", on_begin, on_tick, on_end, p };
+  pu_control_leader_task_t duty
+      = { "placement", on_begin, on_tick, on_end, p };
   pu_order_sender_options_t s = { 0 };
 
   p->o = *o;
@@ -376,7 +377,7 @@
   p->pending_reserves = g_hash_table_new (NULL, NULL);
   p->actions = g_array_new (FALSE, FALSE, sizeof (pu_orders_action_t));
   init_counters (p);
-  pu_control_add_duty (o->control, &duty);
+  pu_control_add_leader_task (o->control, &duty);
   pu_control_on_demand (o->control, on_demand, p);
   return p;
 }
--- a/libplantainusher/placer/sequenced.c
+++ b/libplantainusher/placer/sequenced.c
@@ -24,8 +24,8 @@
 #define FORECAST_FAST_S 1.0
 #define FORECAST_MID_S 2.0
 #define FORECAST_SLOW_S 2.0
-#define FORECAST_HELD_S 3.0
-#define FORECAST_LEAD_S 1.0
+#define FORECAST_PEAK_DECAY_S 3.0
+#define FORECAST_HORIZON_S 1.0
 
 #define STORE_BURST 3.0
 
@@ -99,8 +99,8 @@
   o.forecast.fast_s = FORECAST_FAST_S;
   o.forecast.mid_s = FORECAST_MID_S;
   o.forecast.slow_s = FORECAST_SLOW_S;
-  o.forecast.peak_decay_s = FORECAST_HELD_S;
-  o.forecast.horizon_s = FORECAST_LEAD_S;
+  o.forecast.peak_decay_s = FORECAST_PEAK_DECAY_S;
+  o.forecast.horizon_s = FORECAST_HORIZON_S;
   pu_planner_set_options (l->planner, &o);
   l->store_rate = p->store_loads_per_s;
 }
@@ -234,9 +234,9 @@
   const pu_state_t *state = pu_control_state (s->o.control);
   lead_t *l = s->lead;
 
-  if (pu_state_changes (state) == l->changes)
+  if (pu_state_change_count (state) == l->changes)
     return;
-  l->changes = pu_state_changes (state);
+  l->changes = pu_state_change_count (state);
   document_take (s);
   for (guint i = 0; i < l->engines->len; i++)
     pu_sequenced_engine (l, i)->seen = false;
@@ -629,7 +629,8 @@
 pu_sequenced_new (const pu_sequenced_options_t *o)
 {
   pu_sequenced_t *s = g_new0 (pu_sequenced_t, 1);
-  pu_control_duty_t duty = { "placement", on_begin, on_tick, on_end, s };
+  pu_control_leader_task_t duty
+      = { "placement", on_begin, on_tick, on_end, s };
   pu_http_client_options_t c
       = { .loop = o->loop, .connect_timeout_ms = o->connect_ms };
 
@@ -648,7 +649,7 @@
           = pu_counters_get (o->counters, "placement_reports_fetched_total");
       s->lost = pu_counters_get (o->counters, "placement_answers_lost_total");
     }
-  pu_control_add_duty (o->control, &duty);
+  pu_control_add_leader_task (o->control, &duty);
   pu_control_on_demand (o->control, on_demand, s);
   pu_control_on_want (o->control, pu_sequenced_on_want, s);
   return s;
--- a/libplantainusher/placer/sequenced_calls.c
+++ b/libplantainusher/placer/sequenced_calls.c
@@ -79,8 +79,8 @@
                    whole ? f->response->status : 0,
                    pu_http_end_name (f->result.kind));
     }
-  pu_dispatcher_answer (a.s->lead->dispatcher, a.engine, answer,
-                        pu_sequenced_now (a.s));
+  pu_dispatcher_handle_answer (a.s->lead->dispatcher, a.engine, answer,
+                               pu_sequenced_now (a.s));
   pu_sequenced_act (a.s);
 }
 
@@ -130,8 +130,9 @@
   if (!pu_control_is_leader (s->o.control)
       || !call_start (s, a->engine, &call, on_ordered))
     {
-      pu_dispatcher_answer (l->dispatcher, a->engine, PU_DISPATCHER_NO_ANSWER,
-                            pu_sequenced_now (s));
+      pu_dispatcher_handle_answer (l->dispatcher, a->engine,
+                                   PU_DISPATCHER_NO_ANSWER,
+                                   pu_sequenced_now (s));
     }
   g_bytes_unref (call.body);
 }
@@ -149,8 +150,8 @@
   count (s, s->fetched);
   if (!call_start (s, a->engine, &call, on_fetched))
     {
-      pu_dispatcher_report (s->lead->dispatcher, a->engine, NULL,
-                            pu_sequenced_now (s), pu_sequenced_now (s));
+      pu_dispatcher_handle_report (s->lead->dispatcher, a->engine, NULL,
+                                   pu_sequenced_now (s), pu_sequenced_now (s));
     }
 }
 
@@ -232,8 +233,8 @@
   cached_take (l, a->engine, r->in_memory);
   cached_take (l, a->engine, r->on_disk);
   e->load = r->running + r->waiting;
-  pu_dispatcher_report (l->dispatcher, a->engine, &report, a->at,
-                        pu_sequenced_now (s));
+  pu_dispatcher_handle_report (l->dispatcher, a->engine, &report, a->at,
+                               pu_sequenced_now (s));
   load_tell (s, e, a, r);
   g_array_unref (held);
   g_array_unref (coming);
@@ -244,7 +245,7 @@
 static bool
 is_of_incarnation (const pu_wire_report_t *r, const engine_t *e)
 {
-  return r->incarnation == 0 || e->incarnation == PU_INCARNATION_UNTOLD
+  return r->incarnation == 0 || e->incarnation == PU_INCARNATION_UNREPORTED
          || r->incarnation == e->incarnation;
 }
 
@@ -291,8 +292,8 @@
     }
   else
     {
-      pu_dispatcher_report (s->lead->dispatcher, a.engine, NULL, a.at,
-                            pu_sequenced_now (s));
+      pu_dispatcher_handle_report (s->lead->dispatcher, a.engine, NULL, a.at,
+                                   pu_sequenced_now (s));
     }
   wire_report_clear (&r);
   pu_findings_free (findings);
--- a/libplantainusher/placer/sync.c
+++ b/libplantainusher/placer/sync.c
@@ -451,9 +451,9 @@
   sync->state_position = pu_state_position (sync->state);
   close_removed_orders (sync, now);
   declared = update_document (sync);
-  if (pu_state_changes (sync->state) != sync->state_changes)
+  if (pu_state_change_count (sync->state) != sync->state_changes)
     pu_state_each_backend (sync->state, update_backend, &u);
-  sync->state_changes = pu_state_changes (sync->state);
+  sync->state_changes = pu_state_change_count (sync->state);
   pu_state_each_order (sync->state, adopt_order, &a);
   return declared || u.engine_lost;
 }
--- a/libplantainusher/placer/sync.h
+++ b/libplantainusher/placer/sync.h
@@ -34,7 +34,7 @@
   pu_document_t *document; /* in force; NULL before the first */
   guint64 document_version;
   guint64 state_position; /* pu_state_position at the last update */
-  guint64 state_changes;  /* pu_state_changes at the last update */
+  guint64 state_changes;  /* pu_state_change_count at the last update */
   guint generation;       /* of the last scan of the open orders */
 } pu_placer_sync_t;
 
--- a/libplantainusher/state/apply.c
+++ b/libplantainusher/state/apply.c
@@ -63,7 +63,7 @@
   const pu_doc_record *d = pu_state_document (a->state);
 
   if (d == NULL || c->rank > d->rank
-      || pu_apply_broken (a->state, PU_STATE_BREAK_RANK))
+      || pu_apply_broken (a->state, PU_STATE_BREAK_NO_RANK_CHECK))
     return false;
   pu_apply_answer (a, PU_OUTCOME_SEEN, "Rank %lu is in force.",
                    (unsigned long)d->rank);
@@ -74,7 +74,7 @@
 is_based_elsewhere (pu_apply_t *a, const pu_submit *c, uint64_t current)
 {
   if (c->base_version == current
-      || pu_apply_broken (a->state, PU_STATE_BREAK_BASE_VERSION))
+      || pu_apply_broken (a->state, PU_STATE_BREAK_NO_BASE_CHECK))
     return false;
   pu_apply_answer (a, PU_OUTCOME_CONFLICT, "The document is at version %lu.",
                    (unsigned long)current);
--- a/libplantainusher/state/apply_backends.c
+++ b/libplantainusher/state/apply_backends.c
@@ -73,7 +73,7 @@
 
   if (old != NULL
       && (pu_backend_delta_fits (c, old)
-          || pu_apply_broken (s, PU_STATE_BREAK_DELTA_BASE)))
+          || pu_apply_broken (s, PU_STATE_BREAK_NO_DELTA_CHECK)))
     n = pu_backend_delta_apply (c, old);
   if (n == NULL)
     {
@@ -87,8 +87,8 @@
 }
 
 bool
-pu_state_apply_delta (pu_state_t *s, uint64_t position, const pu_command *c,
-                      pu_reply *r, GBytes **delta, bool *changed)
+pu_state_apply_report (pu_state_t *s, uint64_t position, const pu_command *c,
+                       pu_reply *r, GBytes **delta, bool *changed)
 {
   const char *name = c->pu_command_u.backend_up.name;
   const pu_backend_record *old = pu_state_backend (s, name);
--- a/libplantainusher/state/apply_claims.c
+++ b/libplantainusher/state/apply_claims.c
@@ -190,7 +190,7 @@
 {
   bool same = same_attempt (old, c);
 
-  if (pu_apply_broken (a->state, PU_STATE_BREAK_LATE_COPY))
+  if (pu_apply_broken (a->state, PU_STATE_BREAK_REOPEN_CLAIM))
     return false;
   if (!same && !is_closed_attempt (old, c))
     return false;
--- a/libplantainusher/state/apply_suspects.c
+++ b/libplantainusher/state/apply_suspects.c
@@ -101,7 +101,7 @@
   pu_suspect_record n = { 0 };
 
   if (p != NULL
-      && (p->convicted || p->wall + s->options.suspect_window_ms >= c->wall))
+      && (p->convicted || p->wall + s->options.strike_window_ms >= c->wall))
     return p;
   n.fingerprint = c->fingerprint;
   n.model = c->model;
--- a/libplantainusher/state/backend_delta_test.cc
+++ b/libplantainusher/state/backend_delta_test.cc
@@ -152,7 +152,7 @@
     pu_reply r{};
 
     if (c.type == PU_COMMAND_BACKEND_UP)
-      pu_state_apply_delta (s, position, &c, &r, &delta, &feeds);
+      pu_state_apply_report (s, position, &c, &r, &delta, &feeds);
     else
       pu_state_apply (s, position, &c, &r);
     pu_reply_clear (&r);
@@ -242,7 +242,7 @@
         if (i.position > a.from && i.position <= a.position)
           entry (i);
       }
-    pu_state_skip (s, a.position);
+    pu_state_skip_to (s, a.position);
   }
 
   /* Answers are lost, doubled, late or out of order.  */
@@ -399,7 +399,7 @@
   bool caught = false;
 
   for (unsigned seed = 1; seed <= 50 && !caught; seed++)
-    caught = !copies_agree (seed, PU_STATE_BREAK_DELTA_BASE);
+    caught = !copies_agree (seed, PU_STATE_BREAK_NO_DELTA_CHECK);
   EXPECT_TRUE (caught);
 }
 
--- a/libplantainusher/state/delta.c
+++ b/libplantainusher/state/delta.c
@@ -88,7 +88,7 @@
 }
 
 void
-pu_state_shrink_submit (const pu_state_t *s, pu_submit *c)
+pu_state_delta_encode_submit (const pu_state_t *s, pu_submit *c)
 {
   const pu_doc_record *d = pu_state_document (s);
   size_t old;
--- a/libplantainusher/state/state.c
+++ b/libplantainusher/state/state.c
@@ -13,10 +13,10 @@
 {
   o->history_max = DEFAULT_HISTORY_MAX;
   o->claim_window_ms = DEFAULT_CLAIM_WINDOW_MS;
-  o->suspect_window_ms = DEFAULT_SUSPECT_WINDOW_MS;
+  o->strike_window_ms = DEFAULT_SUSPECT_WINDOW_MS;
   o->convict_strikes = DEFAULT_CONVICT_STRIKES;
   o->test_breaks
-      = pu_break_bit (PU_BREAK_BASE_IGNORED, PU_STATE_BREAK_BASE_VERSION)
+      = pu_break_bit (PU_BREAK_BASE_IGNORED, PU_STATE_BREAK_NO_BASE_CHECK)
         | pu_break_bit (PU_BREAK_CHANGE_TWICE, PU_STATE_BREAK_CHANGE_TWICE);
 }
 
@@ -46,19 +46,19 @@
 }
 
 uint64_t
-pu_state_view (const pu_state_t *s)
+pu_state_membership_version (const pu_state_t *s)
 {
   return s->view;
 }
 
 uint64_t
-pu_state_changes (const pu_state_t *s)
+pu_state_change_count (const pu_state_t *s)
 {
   return s->changes;
 }
 
 void
-pu_state_skip (pu_state_t *s, uint64_t position)
+pu_state_skip_to (pu_state_t *s, uint64_t position)
 {
   if (position > s->position)
     s->position = position;
@@ -151,7 +151,7 @@
 }
 
 uint32_t
-pu_state_claims (const pu_state_t *s)
+pu_state_claim_count (const pu_state_t *s)
 {
   return (uint32_t)g_tree_nnodes (s->claims);
 }
