--- a/libplantainusher/state/state.h
+++ b/libplantainusher/state/state.h
@@ -22,26 +22,26 @@
 typedef struct pu_state pu_state_t;
 
 /* The incarnation of a backend server whose reports tell none.  */
-#define PU_INCARNATION_UNTOLD 1
+#define PU_INCARNATION_UNREPORTED 1
 
 /* Deliberate faults for the tests that show the checks can fail.  */
 typedef enum
 {
   PU_STATE_BREAK_REGRANT_UNKNOWN = 1, /* claim again what a dead owner left */
-  PU_STATE_BREAK_LATE_COPY = 2,       /* a late copy opens a closed claim */
-  PU_STATE_BREAK_BASE_VERSION = 4,    /* accept any base version */
+  PU_STATE_BREAK_REOPEN_CLAIM = 2,    /* a late copy opens a closed claim */
+  PU_STATE_BREAK_NO_BASE_CHECK = 4,   /* accept any base version */
   PU_STATE_BREAK_CHANGE_TWICE = 8,    /* accept a change id again */
-  PU_STATE_BREAK_DELTA_BASE = 16,     /* take a delta to any base */
-  PU_STATE_BREAK_RANK = 32            /* a lower rank takes force too */
+  PU_STATE_BREAK_NO_DELTA_CHECK = 16, /* take a delta to any base */
+  PU_STATE_BREAK_NO_RANK_CHECK = 32   /* a lower rank takes force too */
 } pu_state_break_t;
 
 typedef struct
 {
-  uint32_t history_max;       /* documents remembered in the history */
-  uint64_t claim_window_ms;   /* a claim's result is kept that long */
-  uint64_t suspect_window_ms; /* a single strike is forgotten after that */
-  uint32_t convict_strikes;   /* backend servers lost until conviction */
-  uint32_t test_breaks;       /* pu_state_break_t; 0 outside tests */
+  uint32_t history_max;      /* documents remembered in the history */
+  uint64_t claim_window_ms;  /* a claim's result is kept that long */
+  uint64_t strike_window_ms; /* a single strike is forgotten after that */
+  uint32_t convict_strikes;  /* backend servers lost until conviction */
+  uint32_t test_breaks;      /* pu_state_break_t; 0 outside tests */
 } pu_state_options_t;
 
 /* pu_state_options_init - the defaults: 1000 documents in the history, one
@@ -60,9 +60,9 @@
 bool pu_state_apply (pu_state_t *s, uint64_t position, const pu_command *c,
                      pu_reply *r);
 
-/* pu_state_skip - moves the position to POSITION when that is higher, for
+/* pu_state_skip_to - moves the position to POSITION when that is higher, for
    entries of the log that do not concern this copy.  */
-void pu_state_skip (pu_state_t *s, uint64_t position);
+void pu_state_skip_to (pu_state_t *s, uint64_t position);
 
 /* pu_state_encode - the image of the state as XDR bytes.  PUBLIC_ONLY leaves
    out the history, the claims and the orders.  */
@@ -75,13 +75,13 @@
 
 uint64_t pu_state_position (const pu_state_t *s);
 
-/* pu_state_view - counts the changes of members; equal views have equal
-   members.  */
-uint64_t pu_state_view (const pu_state_t *s);
+/* pu_state_membership_version - counts the changes of members; equal views
+   have equal members.  */
+uint64_t pu_state_membership_version (const pu_state_t *s);
 
-/* pu_state_changes - counts the changes of documents, members, backend
+/* pu_state_change_count - counts the changes of documents, members, backend
    servers and suspects in this copy, for a reader that caches.  */
-uint64_t pu_state_changes (const pu_state_t *s);
+uint64_t pu_state_change_count (const pu_state_t *s);
 
 /* pu_state_document - the document in force, or NULL before the first.  */
 const pu_doc_record *pu_state_document (const pu_state_t *s);
@@ -103,9 +103,9 @@
 void pu_state_each_backend (const pu_state_t *s, pu_backend_fn *fn,
                             void *data);
 /* pu_state_each_changed_backend - calls FN for those that changed after
-   pu_state_changes was SINCE, in no order that matters.  Returns false, and
-   calls nothing, where this copy can't tell: all may have changed, or some be
-   gone.  */
+   pu_state_change_count was SINCE, in no order that matters.  Returns false,
+   and calls nothing, where this copy can't tell: all may have changed, or some
+   be gone.  */
 bool pu_state_each_changed_backend (const pu_state_t *s, uint64_t since,
                                     pu_backend_fn *fn, void *data);
 /* Orders come by token, the oldest first.  */
@@ -116,8 +116,8 @@
 /* Documents come newest first; only the newest carries its text.  */
 void pu_state_each_document (const pu_state_t *s, pu_doc_fn *fn, void *data);
 
-/* pu_state_claims - how many claims are kept.  */
-uint32_t pu_state_claims (const pu_state_t *s);
+/* pu_state_claim_count - how many claims are kept.  */
+uint32_t pu_state_claim_count (const pu_state_t *s);
 
 /* Lookups; NULL when there is none.  */
 const pu_member_record *pu_state_member (const pu_state_t *s,
@@ -134,18 +134,18 @@
    loaded or reserved by orders that may still take effect.  */
 uint64_t pu_state_committed_mb (const pu_state_t *s, const char *backend);
 
-/* pu_state_shrink_submit - makes C a delta against the document in force when
-   C is based on it and that is shorter.  C's text is replaced (by malloc and
-   free).  Applied to the same document, the delta gives the same text.  */
-void pu_state_shrink_submit (const pu_state_t *s, pu_submit *c);
+/* pu_state_delta_encode_submit - makes C a delta against the document in force
+   when C is based on it and that is shorter.  C's text is replaced (by malloc
+   and free).  Applied to the same document, the delta gives the same text.  */
+void pu_state_delta_encode_submit (const pu_state_t *s, pu_submit *c);
 
-/* pu_state_apply_delta - as pu_state_apply, for a report (BACKEND_UP); *DELTA
+/* pu_state_apply_report - as pu_state_apply, for a report (BACKEND_UP); *DELTA
    becomes the same change as a BACKEND_DELTA for public copies, or NULL when
    there is none or it would be longer.  *CHANGED says whether the report
    changed the state: else public copies need not see it.  */
-bool pu_state_apply_delta (pu_state_t *s, uint64_t position,
-                           const pu_command *c, pu_reply *r, GBytes **delta,
-                           bool *changed);
+bool pu_state_apply_report (pu_state_t *s, uint64_t position,
+                            const pu_command *c, pu_reply *r, GBytes **delta,
+                            bool *changed);
 
 /* pu_command_encode, pu_command_decode - XDR bytes of a command.  A decoded
    command is freed with pu_command_clear.  */
--- a/libplantainusher/state/state_fuzz_test.cc
+++ b/libplantainusher/state/state_fuzz_test.cc
@@ -187,7 +187,7 @@
         continue;
       if (!pu_state_each_changed_backend (s.s, since, put, &reader))
         pu_state_each_backend (s.s, put, &reader);
-      since = pu_state_changes (s.s);
+      since = pu_state_change_count (s.s);
       pu_state_each_backend (s.s, put, &whole);
       if (reader != whole)
         return false;
@@ -230,10 +230,10 @@
 
 TEST (StateFuzz, BrokenRulesAreCaught)
 {
-  EXPECT_TRUE (caught (ranks_only_rise, PU_STATE_BREAK_RANK));
+  EXPECT_TRUE (caught (ranks_only_rise, PU_STATE_BREAK_NO_RANK_CHECK));
   EXPECT_TRUE (caught (grants_hold, PU_STATE_BREAK_REGRANT_UNKNOWN));
-  EXPECT_TRUE (caught (grants_hold, PU_STATE_BREAK_LATE_COPY));
-  EXPECT_TRUE (caught (versions_are_linear, PU_STATE_BREAK_BASE_VERSION));
+  EXPECT_TRUE (caught (grants_hold, PU_STATE_BREAK_REOPEN_CLAIM));
+  EXPECT_TRUE (caught (versions_are_linear, PU_STATE_BREAK_NO_BASE_CHECK));
 }
 
 /* A voter that starts from an image goes on exactly as one that did not.  */
--- a/libplantainusher/state/state_rig_test.h
+++ b/libplantainusher/state/state_rig_test.h
@@ -39,7 +39,7 @@
 
     pu_state_options_init (&o);
     o.claim_window_ms = 1000;
-    o.suspect_window_ms = 1000;
+    o.strike_window_ms = 1000;
     o.test_breaks = breaks;
     s = pu_state_new (&o);
   }
--- a/libplantainusher/state/state_test.cc
+++ b/libplantainusher/state/state_test.cc
@@ -119,23 +119,23 @@
 
   s.backend ("a", 1, 1);
   s.backend ("b", 1, 1);
-  uint64_t seen = pu_state_changes (s.s);
+  uint64_t seen = pu_state_change_count (s.s);
   EXPECT_EQ ("b a ", changed (s, 0));
   EXPECT_EQ ("", changed (s, seen));
   s.backend ("a", 1, 1);
   EXPECT_EQ ("", changed (s, seen)) << "the same report again";
   s.backend ("a", 1, 2);
   EXPECT_EQ ("a ", changed (s, seen));
-  seen = pu_state_changes (s.s);
+  seen = pu_state_change_count (s.s);
   s.down (PU_COMMAND_BACKEND_LEAVING, "b", 1);
   EXPECT_EQ ("b ", changed (s, seen));
-  seen = pu_state_changes (s.s);
+  seen = pu_state_change_count (s.s);
   s.down (PU_COMMAND_BACKEND_DOWN, "b", 1);
   EXPECT_EQ ("b ", changed (s, seen));
   bytes = s.image (true);
   ASSERT_TRUE (pu_state_decode (s.s, bytes.data (), bytes.size (), nullptr));
   EXPECT_EQ ("all", changed (s, seen)) << "an image";
-  EXPECT_EQ ("", changed (s, pu_state_changes (s.s)));
+  EXPECT_EQ ("", changed (s, pu_state_change_count (s.s)));
 }
 
 /* More are down than are remembered: a reader must find the one that went.  */
@@ -146,7 +146,7 @@
   for (int i = 0; i < 1025; i++)
     {
       const std::string name = "b" + std::to_string (i);
-      const uint64_t seen = pu_state_changes (s.s);
+      const uint64_t seen = pu_state_change_count (s.s);
 
       s.backend (name, 1, 0);
       EXPECT_EQ (PU_OUTCOME_DONE, s.down (PU_COMMAND_BACKEND_DOWN, name, 1));
@@ -317,7 +317,7 @@
       = strdup (std::to_string (pu_state_position (to.s)).c_str ());
   c.pu_command_u.submit.author = strdup ("");
   c.pu_command_u.submit.text = strdup (text.c_str ());
-  pu_state_shrink_submit (from.s, &c.pu_command_u.submit);
+  pu_state_delta_encode_submit (from.s, &c.pu_command_u.submit);
   sent = strlen (c.pu_command_u.submit.text);
   EXPECT_TRUE (pu_state_apply (to.s, pu_state_position (to.s) + 1, &c, &r));
   pu_reply_clear (&r);
