--- a/libplantainusher/daemon/build.c
+++ b/libplantainusher/daemon/build.c
@@ -42,7 +42,7 @@
   pu_rpc_server_options_t o = { 0 };
 
   o.loop = d->loop;
-  o.address = pu_settings_peers_listen (s);
+  o.address = pu_settings_peer_listen_address (s);
   o.key = s->keys.peers;
   o.counters = d->counters;
   o.max_record = s->limits.max_peer_message_bytes;
@@ -111,7 +111,7 @@
   const pu_settings_voter_t *rows = s->voters.items;
   GArray *peers = g_array_new (FALSE, TRUE, sizeof (pu_log_peer));
   GPtrArray *join = pu_daemon_join_addresses (s);
-  bool founds = pu_settings_founds (s);
+  bool founds = pu_settings_is_initial_voter (s);
 
   g_array_set_clear_func (peers, peer_clear);
   if (is_first_voter (s))
@@ -200,7 +200,7 @@
   o.control = d->control;
   o.name = d->settings->name;
   o.counters = d->counters;
-  o.wire = pu_platform_order_wire ();
+  o.wire = pu_platform_get_order_protocol ();
   o.on_load_report = on_load;
   o.on_unload = on_unload;
   o.data = d;
@@ -230,7 +230,7 @@
   o.server = d->peers;
   o.name = s->name;
   o.address = s->addresses.peers;
-  o.source = pu_settings_peers_listen (s);
+  o.source = pu_settings_peer_listen_address (s);
   o.key = s->keys.peers;
   o.folder = folder;
   o.voters = (const pu_log_peer *)(const void *)peers->data;
@@ -327,7 +327,7 @@
   if (has_folder (s))
     folder = g_build_filename (s->data_folder, VIEW_FOLDER, NULL);
   o.loop = d->loop;
-  o.source = pu_settings_peers_listen (s);
+  o.source = pu_settings_peer_listen_address (s);
   o.key = s->keys.peers;
   o.self = &self;
   o.join = (const char *const *)join->pdata;
@@ -421,7 +421,7 @@
   if (pu_settings_on_platform (s))
     {
       d->platform = pu_platform_new (d->loop, s);
-      o.front = pu_platform_entry_front (d->platform);
+      o.front = pu_platform_frontend (d->platform);
     }
   d->entry = pu_entry_new (&o, e);
   return d->entry != NULL
--- a/libplantainusher/daemon/daemon.c
+++ b/libplantainusher/daemon/daemon.c
@@ -239,7 +239,7 @@
 static void
 warn_of_fixed (const pu_daemon_t *d, const pu_settings_t *s)
 {
-  char **fixed = pu_settings_reloadable_diff (d->started, s);
+  char **fixed = pu_settings_restart_diff (d->started, s);
 
   for (char **f = fixed; *f != NULL; f++)
     pu_log_warn (PART, "A change of %s needs a restart.", *f);
@@ -292,7 +292,7 @@
     pu_platform_settings (s);
   take_join (d, s);
   warn_of_fixed (d, s);
-  pu_settings_keep_fixed (s, d->started);
+  pu_settings_keep_restart_fields (s, d->started);
   free_settings (d);
   d->settings = s;
   apply_settings (d);
--- a/libplantainusher/document/document.c
+++ b/libplantainusher/document/document.c
@@ -357,7 +357,7 @@
 }
 
 const pu_engine_class_t *
-pu_document_engines (const pu_document_t *d, const char *service)
+pu_document_engine_class (const pu_document_t *d, const char *service)
 {
   pu_service_handle_t h = pu_document_find_service (d, service);
 
@@ -372,8 +372,8 @@
 }
 
 bool
-pu_document_lists (const pu_document_t *d, pu_service_handle_t s,
-                   pu_model_handle_t m)
+pu_document_service_lists_model (const pu_document_t *d, pu_service_handle_t s,
+                                 pu_model_handle_t m)
 {
   const pu_service_t *service = pu_document_service (d, s);
 
--- a/libplantainusher/document/document.h
+++ b/libplantainusher/document/document.h
@@ -65,7 +65,7 @@
 /* Texts of at least this many bytes take tens of milliseconds to parse, or a
    second on a small processor share, and must not be parsed on an event loop.
    Parsing accesses only its arguments and can run on another thread.  */
-#define PU_DOCUMENT_LONG ((size_t)65536)
+#define PU_DOCUMENT_LONG_BYTES ((size_t)65536)
 
 typedef enum
 {
@@ -247,7 +247,7 @@
 const pu_model_t *pu_document_model (const pu_document_t *d,
                                      pu_model_handle_t h);
 const pu_placement_settings_t *pu_document_placement (const pu_document_t *d);
-const pu_caller_limits_t *pu_document_callers (const pu_document_t *d);
+const pu_caller_limits_t *pu_document_caller_limits (const pu_document_t *d);
 
 /* pu_document_source - the unchanged source text from which the submitter
    generated D; "" when there is none.  */
@@ -267,9 +267,10 @@
 pu_route_handle_t pu_document_find_route (const pu_document_t *d,
                                           const char *host, const char *path);
 
-/* pu_route_choose - selects a service of R at random, in proportion to the
-   weights.  DRAW is a random number.  */
-pu_service_handle_t pu_route_choose (const pu_route_t *r, guint32 draw);
+/* pu_route_choose_service - selects a service of R at random, in proportion to
+   the weights.  DRAW is a random number.  */
+pu_service_handle_t pu_route_choose_service (const pu_route_t *r,
+                                             guint32 draw);
 
 const pu_version_change_t *pu_document_version_change (const pu_document_t *d);
 
@@ -280,19 +281,20 @@
 pu_model_handle_t pu_document_find_model (const pu_document_t *d,
                                           const char *name);
 
-/* pu_document_engines - the engine properties of SERVICE, or NULL when it is
-   not declared.  */
-const pu_engine_class_t *pu_document_engines (const pu_document_t *d,
-                                              const char *service);
+/* pu_document_engine_class - the engine properties of SERVICE, or NULL when it
+   is not declared.  */
+const pu_engine_class_t *pu_document_engine_class (const pu_document_t *d,
+                                                   const char *service);
 
 /* pu_document_default_service - the service of a request that names only its
    model: the first, in order of name, that lists H.  */
 pu_service_handle_t pu_document_default_service (const pu_document_t *d,
                                                  pu_model_handle_t h);
 
-/* pu_document_lists - whether service S lists model M.  */
-bool pu_document_lists (const pu_document_t *d, pu_service_handle_t s,
-                        pu_model_handle_t m);
+/* pu_document_service_lists_model - whether service S lists model M.  */
+bool pu_document_service_lists_model (const pu_document_t *d,
+                                      pu_service_handle_t s,
+                                      pu_model_handle_t m);
 
 /* pu_document_adapters - the handles of the adapters of base model H; sets N
    to their number.  Owned by D; NULL when there are none.  */
--- a/libplantainusher/document/document_test.cc
+++ b/libplantainusher/document/document_test.cc
@@ -144,9 +144,10 @@
   pu_service_handle_t chat = pu_document_find_service (d, "chat");
 
   EXPECT_EQ (chat, pu_document_default_service (d, small));
-  EXPECT_TRUE (pu_document_lists (d, chat, small));
-  EXPECT_FALSE (pu_document_lists (d, pu_document_find_service (d, "hint"),
-                                   pu_document_find_model (d, "big")));
+  EXPECT_TRUE (pu_document_service_lists_model (d, chat, small));
+  EXPECT_FALSE (
+      pu_document_service_lists_model (d, pu_document_find_service (d, "hint"),
+                                       pu_document_find_model (d, "big")));
 }
 
 TEST_F (Good, ProposesNearNames)
--- a/libplantainusher/document/route.c
+++ b/libplantainusher/document/route.c
@@ -26,7 +26,7 @@
 }
 
 const pu_caller_limits_t *
-pu_document_callers (const pu_document_t *d)
+pu_document_caller_limits (const pu_document_t *d)
 {
   return &d->callers;
 }
@@ -183,7 +183,7 @@
 }
 
 pu_service_handle_t
-pu_route_choose (const pu_route_t *r, guint32 draw)
+pu_route_choose_service (const pu_route_t *r, guint32 draw)
 {
   const pu_route_part_t *parts = r->parts.items;
   guint32 left = draw % r->weights;
--- a/libplantainusher/entry/attempt.c
+++ b/libplantainusher/entry/attempt.c
@@ -523,7 +523,7 @@
 is_full (const pu_exchange_t *x, const pu_server_t *s)
 {
   const pu_engine_class_t *c
-      = pu_document_engines (x->en->document, x->q.service);
+      = pu_document_engine_class (x->en->document, x->q.service);
   pu_router_load_t load;
 
   if (c == NULL)
--- a/libplantainusher/entry/demand.c
+++ b/libplantainusher/entry/demand.c
@@ -20,7 +20,7 @@
 {
   const pu_entry_t *en = x->en;
   const pu_engine_class_t *c
-      = pu_document_engines (en->document, x->q.service);
+      = pu_document_engine_class (en->document, x->q.service);
   guint event_tokens = c != NULL && c->event_tokens > 0 ? c->event_tokens : 1;
 
   return pu_router_cost_ms (en->router,
--- a/libplantainusher/entry/document.c
+++ b/libplantainusher/entry/document.c
@@ -270,7 +270,7 @@
       || record->doc_version == en->rejected_version)
     return false;
   r = parse_new (en, record);
-  if (strlen (r->text) >= PU_DOCUMENT_LONG
+  if (strlen (r->text) >= PU_DOCUMENT_LONG_BYTES
       && uv_queue_work (en->o.loop, &r->work, parse_work, on_parsed) == 0)
     {
       en->parsing = r;
--- a/libplantainusher/entry/entry.c
+++ b/libplantainusher/entry/entry.c
@@ -262,7 +262,7 @@
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, pu_server_free);
   en->ticking_servers = g_hash_table_new (NULL, NULL);
   en->other_addresses = g_ptr_array_new_with_free_func (g_free);
-  en->other_entries_view = G_MAXUINT64;
+  en->other_addresses_version = G_MAXUINT64;
   en->reporters = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
                                          pu_reporter_free);
   en->suspect_fingerprints
@@ -420,8 +420,9 @@
 pu_entry_limits_set (pu_entry_t *en)
 {
   static const pu_caller_limits_t none = { 0, 0, 0, 0 };
-  const pu_caller_limits_t *l
-      = en->document != NULL ? pu_document_callers (en->document) : &none;
+  const pu_caller_limits_t *l = en->document != NULL
+                                    ? pu_document_caller_limits (en->document)
+                                    : &none;
 
   pu_http_server_set_limits (
       en->server, limit_min (en->o.header_max, l->max_header_bytes),
--- a/libplantainusher/entry/entry_private.h
+++ b/libplantainusher/entry/entry_private.h
@@ -164,8 +164,8 @@
   guint64
       duplicate_wait_since; /* loop time since when it waits for an identical
                      request that runs elsewhere; 0: it does not wait */
-  guint duplicate_wait_server; /* number of the backend server that it is kept
-                                  from */
+  guint duplicate_wait_server_number; /* number of the backend server that it
+                                  is kept from */
   bool waits_for_suspect; /* no copy of its model is ready, because a suspect
                              occupies one: waits until that ends */
   bool waits_for_model;   /* waits for its model to be loaded */
@@ -211,10 +211,10 @@
   guint64 rejected_version;     /* of the last document that was invalid */
   pu_document_parse_t *parsing; /* next document; NULL: none is being parsed */
   guint64 changes; /* change count of the view that was last applied */
-  GPtrArray *other_addresses; /* peer addresses of all other entries */
-  guint64 other_entries_view; /* version of the view's members that
+  GPtrArray *other_addresses;      /* peer addresses of all other entries */
+  guint64 other_addresses_version; /* version of the view's members that
                                  other_addresses was made from */
-  GHashTable *servers;        /* name -> pu_server_t */
+  GHashTable *servers;             /* name -> pu_server_t */
   GHashTable
       *ticking_servers;  /* set of pu_server_t that have a pending timer */
   GHashTable *reporters; /* name -> pu_reporter_t */
--- a/libplantainusher/entry/exchange.c
+++ b/libplantainusher/entry/exchange.c
@@ -375,7 +375,7 @@
     return false;
   if (x->duplicate_wait_since == 0)
     x->duplicate_wait_since = uv_now (x->en->o.loop);
-  x->duplicate_wait_server = s->number;
+  x->duplicate_wait_server_number = s->number;
   return true;
 }
 
@@ -593,7 +593,7 @@
       || (x->waits_for_suspect && is_blocked_by_suspect (x)))
     return false;
   return x->duplicate_wait_since == 0
-         || !must_avoid (x, x->duplicate_wait_server);
+         || !must_avoid (x, x->duplicate_wait_server_number);
 }
 
 static void
--- a/libplantainusher/entry/load_forward.c
+++ b/libplantainusher/entry/load_forward.c
@@ -147,13 +147,13 @@
   const pu_state_t *view = en->o.hooks.view (en->o.hooks.data);
   entry_list_t o = { .en = en };
 
-  if (en->other_entries_view == pu_state_membership_version (view))
+  if (en->other_addresses_version == pu_state_membership_version (view))
     return en->other_addresses;
   o.seen = g_hash_table_new (g_str_hash, g_str_equal);
   g_ptr_array_set_size (en->other_addresses, 0);
   pu_state_each_member (view, add_other_entry, &o);
   g_hash_table_destroy (o.seen);
-  en->other_entries_view = pu_state_membership_version (view);
+  en->other_addresses_version = pu_state_membership_version (view);
   return en->other_addresses;
 }
 
--- a/libplantainusher/entry/parse.c
+++ b/libplantainusher/entry/parse.c
@@ -243,7 +243,7 @@
     return model_refuse (x);
   s = name != NULL ? pu_document_find_service (d, name)
                    : pu_document_default_service (d, m);
-  if (s == PU_HANDLE_NONE || !pu_document_lists (d, s, m))
+  if (s == PU_HANDLE_NONE || !pu_document_service_lists_model (d, s, m))
     {
       return refuse (x, &not_found, "No service%s%s offers model '%s'.",
                      name != NULL ? " named " : "", name != NULL ? name : "",
--- a/libplantainusher/placer/sequenced.c
+++ b/libplantainusher/placer/sequenced.c
@@ -276,7 +276,7 @@
 engine_class (const leader_state_t *l, const engine_t *e)
 {
   return l->document != NULL && e->service != NULL
-             ? pu_document_engines (l->document, e->service)
+             ? pu_document_engine_class (l->document, e->service)
              : NULL;
 }
 
--- a/libplantainusher/settings/settings.c
+++ b/libplantainusher/settings/settings.c
@@ -11,7 +11,8 @@
 #define PORT_MAX 65535
 
 /* Fields that can be reloaded at run time; all others need a restart.
-   pu_settings_keep_fixed must take the same fields from the new settings.  */
+   pu_settings_keep_restart_fields must take the same fields from the new
+   settings.  */
 static const char *const reloadable_paths[] = {
   "/limits/max_header_bytes",
   "/limits/max_body_bytes",
@@ -150,7 +151,7 @@
 }
 
 const char *
-pu_settings_peers_listen (const pu_settings_t *s)
+pu_settings_peer_listen_address (const pu_settings_t *s)
 {
   return *s->listen.peers != '\0' ? s->listen.peers : s->addresses.peers;
 }
@@ -199,7 +200,7 @@
 }
 
 bool
-pu_settings_founds (const pu_settings_t *s)
+pu_settings_is_initial_voter (const pu_settings_t *s)
 {
   if (!s->found || !s->control)
     return false;
@@ -232,8 +233,8 @@
 }
 
 char **
-pu_settings_reloadable_diff (const pu_settings_t *older,
-                             const pu_settings_t *newer)
+pu_settings_restart_diff (const pu_settings_t *older,
+                          const pu_settings_t *newer)
 {
   json_t *a = pu_json_write (&pu_settings_schema, older, false);
   json_t *b = pu_json_write (&pu_settings_schema, newer, false);
@@ -257,7 +258,8 @@
 }
 
 void
-pu_settings_keep_fixed (pu_settings_t *newer, const pu_settings_t *older)
+pu_settings_keep_restart_fields (pu_settings_t *newer,
+                                 const pu_settings_t *older)
 {
   pu_settings_t merged = *older;
 
--- a/libplantainusher/settings/settings.h
+++ b/libplantainusher/settings/settings.h
@@ -172,9 +172,9 @@
    defaults included and keys hidden.  The caller owns it.  */
 json_t *pu_settings_to_json (const pu_settings_t *s);
 
-/* pu_settings_peers_listen - returns the address to listen on for peers, which
-   is also the source address of connections to them.  */
-const char *pu_settings_peers_listen (const pu_settings_t *s);
+/* pu_settings_peer_listen_address - returns the address to listen on for
+   peers, which is also the source address of connections to them.  */
+const char *pu_settings_peer_listen_address (const pu_settings_t *s);
 
 /* pu_settings_on_platform - returns whether the instance runs on the
    platform.  */
@@ -184,25 +184,28 @@
    NULL-terminated array; free it with g_strfreev.  */
 char **pu_settings_seeds (const pu_settings_t *s);
 
-/* pu_settings_founds - returns whether this instance is an initial voter: it
-   has the role control, `found` is set and its address is among the seeds.  */
-bool pu_settings_founds (const pu_settings_t *s);
+/* pu_settings_is_initial_voter - returns whether this instance is an initial
+   voter: it has the role control, `found` is set and its address is among the
+   seeds.  */
+bool pu_settings_is_initial_voter (const pu_settings_t *s);
 
 /* pu_settings_log_level - returns "warn", "note", "info" or "debug".  */
 const char *pu_settings_log_level (const pu_settings_t *s);
 
-/* pu_settings_reloadable_diff - returns the fields that differ between OLDER
+/* pu_settings_restart_diff - returns the fields that differ between OLDER
    and NEWER and need a restart, as a new, NULL-terminated array of JSON
    pointers.  The array is empty when every difference can be reloaded at run
    time: log_level, join, seeds, the keys of operators and backend servers, and
    limits except max_peer_message_bytes, snapshot_entries and voters.  Free it
    with g_strfreev.  */
-char **pu_settings_reloadable_diff (const pu_settings_t *older,
-                                    const pu_settings_t *newer);
-
-/* pu_settings_keep_fixed - copies the fields that need a restart from OLDER to
-   NEWER.  Their strings still belong to OLDER, which must outlive NEWER.  */
-void pu_settings_keep_fixed (pu_settings_t *newer, const pu_settings_t *older);
+char **pu_settings_restart_diff (const pu_settings_t *older,
+                                 const pu_settings_t *newer);
+
+/* pu_settings_keep_restart_fields - copies the fields that need a restart from
+   OLDER to NEWER.  Their strings still belong to OLDER, which must outlive
+   NEWER.  */
+void pu_settings_keep_restart_fields (pu_settings_t *newer,
+                                      const pu_settings_t *older);
 
 /* pu_settings_split_address - splits "IP:port" or "[IP]:port" into HOST (of
    at least PU_SETTINGS_HOST_MAX bytes) and PORT.  Returns false when ADDRESS
--- a/libplantainusher/settings/settings_test.cc
+++ b/libplantainusher/settings/settings_test.cc
@@ -125,11 +125,11 @@
 {
   pu_settings_t *s = parse (control);
 
-  EXPECT_STREQ ("127.0.0.1:3", pu_settings_peers_listen (s));
+  EXPECT_STREQ ("127.0.0.1:3", pu_settings_peer_listen_address (s));
   pu_settings_free (s);
   s = parse (replaced (control, "'data_folder'",
                        "'listen': {'peers': '127.0.0.9:3'}, 'data_folder'"));
-  EXPECT_STREQ ("127.0.0.9:3", pu_settings_peers_listen (s));
+  EXPECT_STREQ ("127.0.0.9:3", pu_settings_peer_listen_address (s));
   EXPECT_STREQ ("127.0.0.1:3", s->addresses.peers);
   pu_settings_free (s);
 }
@@ -275,7 +275,7 @@
   for (const auto &c : cases)
     {
       pu_settings_t *newer = parse (replaced (entry, c.from, c.to));
-      char **paths = pu_settings_reloadable_diff (older, newer);
+      char **paths = pu_settings_restart_diff (older, newer);
       char *all = g_strjoinv (" ", paths);
 
       EXPECT_STREQ (c.paths, all);
@@ -286,7 +286,7 @@
   pu_settings_free (older);
 }
 
-/* After pu_settings_keep_fixed, no difference needs a restart.  */
+/* After pu_settings_keep_restart_fields, no difference needs a restart.  */
 TEST (Settings, KeepWhatNeedsARestart)
 {
   pu_settings_t *older = parse (entry);
@@ -295,8 +295,8 @@
                 "'limits': {'snapshot_entries': 77, 'drain_s': 1}, 'name'"));
   char **paths;
 
-  pu_settings_keep_fixed (newer, older);
-  paths = pu_settings_reloadable_diff (older, newer);
+  pu_settings_keep_restart_fields (newer, older);
+  paths = pu_settings_restart_diff (older, newer);
   EXPECT_EQ (nullptr, paths[0]);
   EXPECT_STREQ ("a", newer->zone);
   EXPECT_EQ (1u, newer->limits.drain_s);
--- a/libplantainusher/state/apply.c
+++ b/libplantainusher/state/apply.c
@@ -47,7 +47,7 @@
     return false;
   a->reply->doc_version = first->doc_version;
   a->reply->position = first->position;
-  if (first->hash == pu_delta_hash (c))
+  if (first->hash == pu_delta_target_hash (c))
     {
       pu_apply_set_outcome (a, PU_OUTCOME_SEEN,
                             "The change was already accepted.");
@@ -105,7 +105,7 @@
   if (c->rank > 0 ? reply_if_outranked (a, c)
                   : reply_if_stale_base (a, c, current))
     return;
-  text = pu_delta_text (s, c);
+  text = pu_delta_apply (s, c);
   if (text == NULL)
     {
       pu_apply_set_outcome (a, PU_OUTCOME_REFUSED,
@@ -115,7 +115,7 @@
   d.doc_version = current + 1;
   d.position = a->position;
   d.wall = c->wall;
-  d.hash = pu_delta_hash (c);
+  d.hash = pu_delta_target_hash (c);
   d.change_id = c->change_id;
   d.author = c->author;
   d.rank = c->rank > 0 || old == NULL ? c->rank : old->rank;
--- a/libplantainusher/state/apply_backends.c
+++ b/libplantainusher/state/apply_backends.c
@@ -76,7 +76,7 @@
   pu_backend_record *n = NULL;
 
   if (old != NULL
-      && (pu_backend_delta_fits (c, old)
+      && (pu_backend_delta_matches (c, old)
           || pu_apply_has_break (s, PU_STATE_BREAK_NO_DELTA_CHECK)))
     n = pu_backend_delta_apply (c, old);
   if (n == NULL)
@@ -106,7 +106,7 @@
   *delta = NULL;
   *changed = applied && r->outcome == PU_OUTCOME_DONE;
   if (*changed && before != NULL)
-    *delta = pu_backend_delta_make (before, pu_state_backend (s, name));
+    *delta = pu_backend_delta_encode (before, pu_state_backend (s, name));
   pu_codec_free ((xdrproc_t)xdr_pu_backend_record, before);
   return applied;
 }
--- a/libplantainusher/state/backend_delta.c
+++ b/libplantainusher/state/backend_delta.c
@@ -21,7 +21,8 @@
 }
 
 bool
-pu_backend_delta_fits (const pu_backend_delta *d, const pu_backend_record *old)
+pu_backend_delta_matches (const pu_backend_delta *d,
+                          const pu_backend_record *old)
 {
   return d->base == record_hash (old);
 }
@@ -164,8 +165,8 @@
 }
 
 GBytes *
-pu_backend_delta_make (const pu_backend_record *old,
-                       const pu_backend_record *next)
+pu_backend_delta_encode (const pu_backend_record *old,
+                         const pu_backend_record *next)
 {
   pu_command c = { .type = PU_COMMAND_BACKEND_DELTA };
   pu_backend_delta *d = &c.pu_command_u.backend_delta;
--- a/libplantainusher/state/backend_delta.h
+++ b/libplantainusher/state/backend_delta.h
@@ -14,20 +14,21 @@
  * previous record shows that the delta is applied to the right base.
  */
 
-/* pu_backend_delta_make - returns the encoded PU_COMMAND_BACKEND_DELTA that
+/* pu_backend_delta_encode - returns the encoded PU_COMMAND_BACKEND_DELTA that
    turns OLD into NEXT.  NULL when a delta cannot express the difference: it
    covers changed, removed and appended copies, seq and token only.  */
-GBytes *pu_backend_delta_make (const pu_backend_record *old,
-                               const pu_backend_record *next);
+GBytes *pu_backend_delta_encode (const pu_backend_record *old,
+                                 const pu_backend_record *next);
 
-/* pu_backend_delta_fits - whether OLD is the record that D was made from.  */
-bool pu_backend_delta_fits (const pu_backend_delta *d,
-                            const pu_backend_record *old);
+/* pu_backend_delta_matches - whether OLD is the record that D was made from.
+ */
+bool pu_backend_delta_matches (const pu_backend_delta *d,
+                               const pu_backend_record *old);
 
 /* pu_backend_delta_apply - returns the record that D makes of OLD; free it
    with pu_codec_free.  NULL when D refers to a copy that OLD does not have, or
    the result has more than PU_LIST_MAX copies.  Does not check that OLD is the
-   base of D: see pu_backend_delta_fits.  */
+   base of D: see pu_backend_delta_matches.  */
 pu_backend_record *pu_backend_delta_apply (const pu_backend_delta *d,
                                            const pu_backend_record *old);
 
--- a/libplantainusher/state/recent.c
+++ b/libplantainusher/state/change_index.c
@@ -1,4 +1,4 @@
-#include "state/recent.h"
+#include "state/change_index.h"
 
 typedef struct
 {
@@ -7,7 +7,7 @@
   GList link; /* in the queue of the index */
 } node_t;
 
-struct pu_recent
+struct pu_change_index
 {
   GQueue queue;      /* of node_t, by change number, the latest last */
   GHashTable *nodes; /* name -> node_t */
@@ -22,10 +22,10 @@
   g_free (n);
 }
 
-pu_recent_t *
-pu_recent_new (void)
+pu_change_index_t *
+pu_change_index_new (void)
 {
-  pu_recent_t *r = g_new0 (pu_recent_t, 1);
+  pu_change_index_t *r = g_new0 (pu_change_index_t, 1);
 
   g_queue_init (&r->queue);
   r->nodes = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, node_free);
@@ -33,7 +33,7 @@
 }
 
 void
-pu_recent_free (pu_recent_t *r)
+pu_change_index_free (pu_change_index_t *r)
 {
   if (r == NULL)
     return;
@@ -42,7 +42,8 @@
 }
 
 void
-pu_recent_note (pu_recent_t *r, const char *name, uint64_t change)
+pu_change_index_record (pu_change_index_t *r, const char *name,
+                        uint64_t change)
 {
   node_t *n = g_hash_table_lookup (r->nodes, name);
 
@@ -62,7 +63,7 @@
 }
 
 void
-pu_recent_drop (pu_recent_t *r, const char *name)
+pu_change_index_remove (pu_change_index_t *r, const char *name)
 {
   node_t *n = g_hash_table_lookup (r->nodes, name);
 
@@ -73,8 +74,8 @@
 }
 
 void
-pu_recent_each (const pu_recent_t *r, uint64_t since, pu_recent_fn *fn,
-                void *data)
+pu_change_index_each_since (const pu_change_index_t *r, uint64_t since,
+                            pu_change_index_fn *fn, void *data)
 {
   for (const GList *l = r->queue.tail; l != NULL; l = l->prev)
     {
--- a/libplantainusher/state/recent_test.cc
+++ b/libplantainusher/state/change_index_test.cc
@@ -4,7 +4,7 @@
 
 extern "C"
 {
-#include "state/recent.h"
+#include "state/change_index.h"
 }
 
 namespace
@@ -13,16 +13,16 @@
 class Recent : public ::testing::Test
 {
 public:
-  pu_recent_t *r = pu_recent_new ();
+  pu_change_index_t *r = pu_change_index_new ();
 
-  ~Recent () override { pu_recent_free (r); }
+  ~Recent () override { pu_change_index_free (r); }
 
   std::string
   NamesAfter (uint64_t since)
   {
     std::string found;
 
-    pu_recent_each (
+    pu_change_index_each_since (
         r, since,
         [] (const char *name, void *data) {
           *static_cast<std::string *> (data) += std::string (name) + " ";
@@ -34,9 +34,9 @@
 
 TEST_F (Recent, ListsOnlyLaterChanges)
 {
-  pu_recent_note (r, "a", 1);
-  pu_recent_note (r, "b", 2);
-  pu_recent_note (r, "c", 3);
+  pu_change_index_record (r, "a", 1);
+  pu_change_index_record (r, "b", 2);
+  pu_change_index_record (r, "c", 3);
   EXPECT_EQ ("c b a ", NamesAfter (0));
   EXPECT_EQ ("c ", NamesAfter (2));
   EXPECT_EQ ("", NamesAfter (3));
@@ -44,19 +44,19 @@
 
 TEST_F (Recent, LastChangeOfANameCounts)
 {
-  pu_recent_note (r, "a", 1);
-  pu_recent_note (r, "b", 2);
-  pu_recent_note (r, "a", 3);
+  pu_change_index_record (r, "a", 1);
+  pu_change_index_record (r, "b", 2);
+  pu_change_index_record (r, "a", 3);
   EXPECT_EQ ("a ", NamesAfter (2));
   EXPECT_EQ ("a b ", NamesAfter (0)) << "each name is listed once";
 }
 
 TEST_F (Recent, RemovedNameIsNotListed)
 {
-  pu_recent_note (r, "a", 1);
-  pu_recent_note (r, "b", 2);
-  pu_recent_drop (r, "a");
-  pu_recent_drop (r, "unknown");
+  pu_change_index_record (r, "a", 1);
+  pu_change_index_record (r, "b", 2);
+  pu_change_index_remove (r, "a");
+  pu_change_index_remove (r, "unknown");
   EXPECT_EQ ("b ", NamesAfter (0));
 }
 
--- a/libplantainusher/state/delta.c
+++ b/libplantainusher/state/delta.c
@@ -23,7 +23,7 @@
 }
 
 char *
-pu_delta_text (const pu_state_t *s, const pu_submit *c)
+pu_delta_apply (const pu_state_t *s, const pu_submit *c)
 {
   const pu_doc_record *d = pu_state_document (s);
   const char *base = d == NULL ? "" : d->text;
@@ -47,7 +47,7 @@
 }
 
 uint64_t
-pu_delta_hash (const pu_submit *c)
+pu_delta_target_hash (const pu_submit *c)
 {
   return c->delta ? c->hash : XXH3_64bits (c->text, strlen (c->text));
 }
--- a/libplantainusher/state/delta.h
+++ b/libplantainusher/state/delta.h
@@ -22,13 +22,14 @@
    between the prefix and the suffix of the base text.  */
 #define PU_DELTA_SUFFIX_HUNKS_FLAG 0x80000000u
 
-/* pu_delta_text - returns the full text that C submits, as a new string.  A
+/* pu_delta_apply - returns the full text that C submits, as a new string.  A
    delta is applied to the document in force in S.  NULL when C is a delta that
    does not fit this document.  */
-char *pu_delta_text (const pu_state_t *s, const pu_submit *c);
+char *pu_delta_apply (const pu_state_t *s, const pu_submit *c);
 
-/* pu_delta_hash - returns the XXH3 hash of the full text that C submits.  */
-uint64_t pu_delta_hash (const pu_submit *c);
+/* pu_delta_target_hash - returns the XXH3 hash of the full text that C
+ * submits.  */
+uint64_t pu_delta_target_hash (const pu_submit *c);
 
 G_END_DECLS
 
--- a/libplantainusher/state/state.c
+++ b/libplantainusher/state/state.c
@@ -116,7 +116,7 @@
 
   if (since < s->last_unlisted_change)
     return false;
-  pu_recent_each (s->recent_backends, since, visit_changed, &c);
+  pu_change_index_each_since (s->recent_backends, since, visit_changed, &c);
   return true;
 }
 
--- a/libplantainusher/state/tables.c
+++ b/libplantainusher/state/tables.c
@@ -77,7 +77,7 @@
   s->documents_by_change = g_hash_table_new (g_str_hash, g_str_equal);
   s->members = g_tree_new_full (compare_names, NULL, NULL, free_member);
   s->backends = g_tree_new_full (compare_names, NULL, NULL, free_backend);
-  s->recent_backends = pu_recent_new ();
+  s->recent_backends = pu_change_index_new ();
   s->orders = g_tree_new_full (compare_uint64, NULL, NULL, free_order);
   s->claims = g_tree_new_full (compare_names, NULL, g_free, free_claim);
   s->open_claims = g_tree_new_full (compare_uint64, NULL, NULL, NULL);
@@ -94,7 +94,7 @@
   g_queue_free_full (s->documents, free_document);
   g_tree_destroy (s->members);
   g_tree_destroy (s->backends);
-  pu_recent_free (s->recent_backends);
+  pu_change_index_free (s->recent_backends);
   g_tree_destroy (s->orders);
   g_tree_destroy (s->open_claims);
   g_tree_destroy (s->claims_by_expiry);
@@ -145,14 +145,14 @@
 void
 pu_tables_mark_backend_changed (pu_state_t *s, const char *name)
 {
-  pu_recent_note (s->recent_backends, name, s->changes + 1);
+  pu_change_index_record (s->recent_backends, name, s->changes + 1);
 }
 
 void
 pu_tables_remove_backend (pu_state_t *s, const char *name)
 {
   s->last_unlisted_change = s->changes + 1;
-  pu_recent_drop (s->recent_backends, name);
+  pu_change_index_remove (s->recent_backends, name);
   g_tree_remove (s->backends, name);
 }
 
--- a/libplantainusher/state/tables.h
+++ b/libplantainusher/state/tables.h
@@ -3,7 +3,7 @@
 
 #include "state/codec.h"
 #include "state/memory.h"
-#include "state/recent.h"
+#include "state/change_index.h"
 #include "state/state.h"
 
 G_BEGIN_DECLS
@@ -27,9 +27,10 @@
   GHashTable *documents_by_change; /* change id -> element of documents */
   GTree *members;                  /* name -> pu_member_record * */
   GTree *backends;                 /* name -> pu_backend_record * */
-  pu_recent_t *recent_backends;    /* backend servers by their last change */
-  GTree *orders;                   /* &token -> pu_order_record * */
-  GTree *claims;                   /* "service\nkey" -> pu_claim_record * */
+  pu_change_index_t
+      *recent_backends;    /* backend servers by their last change */
+  GTree *orders;           /* &token -> pu_order_record * */
+  GTree *claims;           /* "service\nkey" -> pu_claim_record * */
   GTree *open_claims;      /* &position -> record in claims, not owned */
   GTree *claims_by_expiry; /* record in claims -> itself, by the end of its
                               window; not owned */
