--- a/libplantainusher/directory/directory.c
+++ b/libplantainusher/directory/directory.c
@@ -212,8 +212,10 @@
   g_qsort_with_data (ranks, (gint)n, sizeof *ranks, compare_scores,
                      (gpointer)d);
   for (guint i = 0; i < n; i++)
-    ranks[i].zone_rank
-        = n_ranked[member_at (d, ranks[i].member)->zone_index]++;
+    {
+      ranks[i].zone_rank
+          = n_ranked[member_at (d, ranks[i].member)->zone_index]++;
+    }
   g_qsort_with_data (ranks, (gint)n, sizeof *ranks, compare_zone_ranks,
                      (gpointer)d);
   for (guint i = 0; i < n; i++)
--- a/libplantainusher/document/check.c
+++ b/libplantainusher/document/check.c
@@ -105,8 +105,10 @@
 check_plain_service (checker_t *c, const pu_service_t *s)
 {
   if (s->model_names.n != 0)
-    add_finding (c, row_pointer ("services", s->name, "/models"),
-                 "is for kind model only");
+    {
+      add_finding (c, row_pointer ("services", s->name, "/models"),
+                   "is for kind model only");
+    }
   if (s->targets.first_token_ms != 0)
     {
       add_finding (
@@ -225,8 +227,10 @@
                    parts[i].service_name);
     }
   if (r->parts.n > 0 && r->weights == 0)
-    add_finding (c, row_pointer ("routes", r->name, "/to"),
-                 "has weights that add up to 0");
+    {
+      add_finding (c, row_pointer ("routes", r->name, "/to"),
+                   "has weights that add up to 0");
+    }
 }
 
 static void
--- a/libplantainusher/entry/announce.c
+++ b/libplantainusher/entry/announce.c
@@ -183,8 +183,10 @@
     record_propose (p);
   router_report (en, a);
   if (a->has_load)
-    pu_load_forward_queue (en, a->record->name, a->record->incarnation,
-                           &a->load);
+    {
+      pu_load_forward_queue (en, a->record->name, a->record->incarnation,
+                             &a->load);
+    }
 }
 
 bool
--- a/libplantainusher/entry/claim.c
+++ b/libplantainusher/entry/claim.c
@@ -140,8 +140,10 @@
               const pu_error_t *e)
 {
   if (r == NULL)
-    return e->kind == PU_ERROR_TIMEOUT ? PU_ONCE_CLAIM_TIMED_OUT
-                                       : PU_ONCE_CLAIM_REFUSED;
+    {
+      return e->kind == PU_ERROR_TIMEOUT ? PU_ONCE_CLAIM_TIMED_OUT
+                                         : PU_ONCE_CLAIM_REFUSED;
+    }
   if (pu_break_active (PU_BREAK_CLAIM_AGAIN))
     return PU_ONCE_CLAIM_GRANTED;
   switch (r->outcome)
--- a/libplantainusher/log/group.c
+++ b/libplantainusher/log/group.c
@@ -365,8 +365,10 @@
   bool ok = open_folder (g, &image, e);
 
   if (ok && image.snapshot.index > 0 && !restore_snapshot (g, &image.snapshot))
-    ok = pu_error_set (e, PU_ERROR_CORRUPT,
-                       "the state machine rejected its snapshot");
+    {
+      ok = pu_error_set (e, PU_ERROR_CORRUPT,
+                         "the state machine rejected its snapshot");
+    }
   if (ok)
     g->replica = create_replica (g, &image);
   pu_disk_image_clear (&image);
@@ -534,8 +536,10 @@
   uint64_t index;
 
   if (g->closing)
-    return pu_error_set (e, PU_ERROR_UNAVAILABLE,
-                         "this voter is shutting down");
+    {
+      return pu_error_set (e, PU_ERROR_UNAVAILABLE,
+                           "this voter is shutting down");
+    }
   if (!pu_replica_propose (g->replica, now_ms (g), bytes, len, &index, e))
     return false;
   p = g_new (pu_proposal_t, 1);
--- a/libplantainusher/log/journal.c
+++ b/libplantainusher/log/journal.c
@@ -103,8 +103,10 @@
   const void *p;
 
   for (guint i = 0; i < n; i++)
-    pu_record_to_xdr (g_ptr_array_index (j->uncommitted_entries, first + i),
-                      &x[i]);
+    {
+      pu_record_to_xdr (g_ptr_array_index (j->uncommitted_entries, first + i),
+                        &x[i]);
+    }
   b.commit = j->commit_index;
   b.entries.entries_len = n;
   b.entries.entries_val = x;
--- a/libplantainusher/log/journal_save.c
+++ b/libplantainusher/log/journal_save.c
@@ -148,8 +148,10 @@
   job->obsolete_paths = g_ptr_array_new_with_free_func (g_free);
   detach_obsolete_segments (j, job->snapshot.index, job->obsolete_paths);
   if (j->snapshot_index != 0 && j->snapshot_index != job->snapshot.index)
-    g_ptr_array_add (job->obsolete_paths,
-                     pu_snapshot_path (j, j->snapshot_index));
+    {
+      g_ptr_array_add (job->obsolete_paths,
+                       pu_snapshot_path (j, j->snapshot_index));
+    }
 }
 
 void
--- a/libplantainusher/log/replica.c
+++ b/libplantainusher/log/replica.c
@@ -344,8 +344,10 @@
           &g_array_index (r->configs, pu_config_entry_t, i).config);
     }
   for (guint i = 0; i < r->progress->len; i++)
-    g_queue_clear (
-        &g_array_index (r->progress, pu_progress_t, i).in_flight_appends);
+    {
+      g_queue_clear (
+          &g_array_index (r->progress, pu_progress_t, i).in_flight_appends);
+    }
   g_array_unref (r->seeds);
   g_array_unref (r->configs);
   g_array_unref (r->progress);
--- a/libplantainusher/log/replica_append.c
+++ b/libplantainusher/log/replica_append.c
@@ -98,8 +98,10 @@
   r->committed_config_index = 0;
   r->transfer_deadline = 0;
   for (guint i = 0; i < r->progress->len; i++)
-    g_queue_clear (
-        &g_array_index (r->progress, pu_progress_t, i).in_flight_appends);
+    {
+      g_queue_clear (
+          &g_array_index (r->progress, pu_progress_t, i).in_flight_appends);
+    }
   g_array_set_size (r->progress, 0);
   pu_r_reconcile_progress (r, now);
   r->term_first_index = pu_r_append_as_leader (r, PU_LOG_NOOP, "", 0);
@@ -117,8 +119,10 @@
   if (r->role != PU_ROLE_LEADER || r->silent)
     return pu_error_set (e, PU_ERROR_UNAVAILABLE, "not the leader");
   if (r->transfer_deadline != 0)
-    return pu_error_set (e, PU_ERROR_UNAVAILABLE,
-                         "a leadership transfer is in progress");
+    {
+      return pu_error_set (e, PU_ERROR_UNAVAILABLE,
+                           "a leadership transfer is in progress");
+    }
   if (len > PU_LOG_ENTRY_MAX)
     {
       return pu_error_set (e, PU_ERROR_TOO_LARGE,
--- a/libplantainusher/log/replica_log.c
+++ b/libplantainusher/log/replica_log.c
@@ -209,8 +209,10 @@
   if (commit <= r->commit)
     return;
   for (uint64_t i = r->commit + 1; i <= commit; i++)
-    r->uncommitted_bytes
-        -= MIN (r->uncommitted_bytes, pu_replica_entry (r, i)->len);
+    {
+      r->uncommitted_bytes
+          -= MIN (r->uncommitted_bytes, pu_replica_entry (r, i)->len);
+    }
   r->commit = commit;
 }
 
--- a/libplantainusher/once/once.c
+++ b/libplantainusher/once/once.c
@@ -202,8 +202,10 @@
                 stored_result_t *result)
 {
   for (guint i = 0; i < l->waiters->len; i++)
-    answer_caller (c, l, g_array_index (l->waiters, guint64, i), answer,
-                   result);
+    {
+      answer_caller (c, l, g_array_index (l->waiters, guint64, i), answer,
+                     result);
+    }
   g_array_set_size (l->waiters, 0);
 }
 
--- a/libplantainusher/placement/ledger.c
+++ b/libplantainusher/placement/ledger.c
@@ -170,8 +170,10 @@
   guint64 sum_mb = 0;
 
   for (guint i = 0; i < n->copies->len; i++)
-    sum_mb += copy_committed_mb (
-        l, n, g_array_index (n->copies, pu_ledger_copy_t, i).copy);
+    {
+      sum_mb += copy_committed_mb (
+          l, n, g_array_index (n->copies, pu_ledger_copy_t, i).copy);
+    }
   for (guint i = 0; i < n->orders->len; i++)
     {
       if (is_first_load_of_new_copy (l, n, i))
--- a/libplantainusher/placement/placement.c
+++ b/libplantainusher/placement/placement.c
@@ -325,8 +325,10 @@
     {
       g_ptr_array_set_size (pl->backend_orders, 0);
       for (guint i = next[n + b]; i < n; i = next[i])
-        g_ptr_array_add (pl->backend_orders,
-                         (gpointer)pu_orders_get (pl->orders, i));
+        {
+          g_ptr_array_add (pl->backend_orders,
+                           (gpointer)pu_orders_get (pl->orders, i));
+        }
       update_planner_engine (pl, b, now);
     }
 }
--- a/libplantainusher/placer/placer.c
+++ b/libplantainusher/placer/placer.c
@@ -322,8 +322,10 @@
   pu_placement_step (p->sync->placement, begin_plan_if_due (p, urgent, now),
                      now, p->actions);
   for (guint i = 0; i < p->actions->len && p->sync != NULL; i++)
-    execute_action (p, &g_array_index (p->actions, pu_orders_action_t, i),
-                    now);
+    {
+      execute_action (p, &g_array_index (p->actions, pu_orders_action_t, i),
+                      now);
+    }
 }
 
 static void
--- a/libplantainusher/routing/feedback.c
+++ b/libplantainusher/routing/feedback.c
@@ -80,8 +80,10 @@
   record_cached_prefix (r, q);
   target = service_at (r, q->service)->first_token_ms;
   if (target > 0)
-    prefill_window_update (backend_at (r, q->backend), q->sent_at,
-                           now > q->first_token_due, now);
+    {
+      prefill_window_update (backend_at (r, q->backend), q->sent_at,
+                             now > q->first_token_due, now);
+    }
   if (target > 0 && q->attempt == 1 && !q->late)
     service_record_first_token (r, q->service, now - q->offered_at > target);
   backend_mark_dirty (r, q->backend);
--- a/libplantainusher/routing/limit.c
+++ b/libplantainusher/routing/limit.c
@@ -83,8 +83,10 @@
       const model_t *m = model_at (r, h);
 
       for (guint j = 0; m->waiting > 0 && j < m->ready->len; j++)
-        backend_mark_dirty (r,
-                            g_array_index (m->ready, ready_copy_t, j).backend);
+        {
+          backend_mark_dirty (
+              r, g_array_index (m->ready, ready_copy_t, j).backend);
+        }
     }
 }
 
--- a/libplantainusher/state/codec.c
+++ b/libplantainusher/state/codec.c
@@ -11,8 +11,10 @@
 
   xdrmem_create (&x, data, (u_int)len, XDR_ENCODE);
   if (len == 0 || !proc (&x, (void *)record))
-    g_error ("An XDR record cannot be encoded: a string is NULL, a string "
-             "or list is over its limit or a union has an unknown type.");
+    {
+      g_error ("An XDR record cannot be encoded: a string is NULL, a string "
+               "or list is over its limit or a union has an unknown type.");
+    }
   xdr_destroy (&x);
   return g_bytes_new_take (data, len);
 }
@@ -26,8 +28,10 @@
 
   memset (record, 0, size);
   if (len > G_MAXINT)
-    return pu_error_set (e, PU_ERROR_TOO_LARGE,
-                         "An XDR record is over 2147483647 bytes.");
+    {
+      return pu_error_set (e, PU_ERROR_TOO_LARGE,
+                           "An XDR record is over 2147483647 bytes.");
+    }
   xdrmem_create (&x, (char *)data, (u_int)len, XDR_DECODE);
   complete = proc (&x, record) && xdr_getpos (&x) == len;
   xdr_destroy (&x);
