--- a/libplantainusher/state/change_index.h
+++ b/libplantainusher/state/change_index.h
@@ -7,7 +7,8 @@
 G_BEGIN_DECLS
 
 /*
- * change_index - an index of names, ordered by the number of their last change.
+ * change_index - an index of names, ordered by the number of their last
+ * change.
  *
  * Each daemon follows the records of all backend servers.  With this index,
  * the cost of reading changes grows with the number of changed records, not
