--- a/libplantainusher/membership/membership.c
+++ b/libplantainusher/membership/membership.c
@@ -5,7 +5,8 @@
 
 #define SUBJECT_KINDS 2
 
-/* Mean intervals in the timeout, so that one heartbeat may be lost.  */
+/* The timeout is this many mean intervals, so that one heartbeat may be lost,
+   plus the allowance for deviations.  */
 #define MEAN_INTERVALS 2
 
 /* Weights of a new interval in the moving averages.  */
@@ -17,11 +18,11 @@
   char *name;
   uint64_t incarnation;
   uint64_t last_heard;  /* leader's clock, ms */
-  double mean;          /* of heartbeat intervals; 0: none yet */
-  double deviation;     /* mean absolute deviation of the intervals */
+  double mean;          /* of heartbeat intervals, ms; 0: none yet */
+  double deviation;     /* mean absolute deviation of the intervals, ms */
   char *route;          /* route of the last heartbeat; NULL: none */
   bool expected;        /* named by pu_membership_expect since the last tick */
-  uint64_t reported_at; /* when a failure was last reported; 0: never */
+  uint64_t reported_at; /* when a failure was last reported, ms; 0: never */
 } subject_t;
 
 struct pu_membership
@@ -29,7 +30,7 @@
   pu_membership_options_t options;
   GHashTable *subjects[SUBJECT_KINDS]; /* name -> subject_t */
   GHashTable *routes; /* voter name -> last_heard, uint64_t * */
-  uint64_t last_tick; /* 0: none yet */
+  uint64_t last_tick; /* ms; 0: none yet */
 };
 
 static void
@@ -50,7 +51,7 @@
   o->max_timeout_ms[PU_SUBJECT_MEMBER] = 32000;
   o->min_timeout_ms[PU_SUBJECT_BACKEND] = 5000;
   o->max_timeout_ms[PU_SUBJECT_BACKEND] = 20000;
-  o->deviations = 6;
+  o->deviation_factor = 6;
   o->route_timeout_ms = 3000;
   o->max_tick_gap_ms = 1000;
   o->report_interval_ms = 3000;
@@ -156,7 +157,7 @@
 {
   subject_t *s = g_hash_table_lookup (m->subjects[kind], name);
 
-  /* Only subjects that the log has as up, in this incarnation, can fail.  */
+  /* Only subjects that are up in the log, in this incarnation, can fail.  */
   if (s == NULL || incarnation != s->incarnation)
     return;
   if (g_strcmp0 (s->route, route) != 0)
@@ -182,7 +183,8 @@
   *heard = MAX (*heard, at);
 }
 
-/* route_last_heard - when the route of S was last heard; 0: never.  */
+/* route_last_heard - the time of the last heartbeat from the route of S; 0:
+   never.  */
 static uint64_t
 route_last_heard (const pu_membership_t *m, pu_subject_kind_t kind,
                   const subject_t *s)
@@ -218,7 +220,7 @@
   uint64_t min_ms = m->options.min_timeout_ms[kind];
   uint64_t max_ms = MAX (m->options.max_timeout_ms[kind], min_ms);
   double adaptive
-      = MEAN_INTERVALS * s->mean + m->options.deviations * s->deviation;
+      = MEAN_INTERVALS * s->mean + m->options.deviation_factor * s->deviation;
 
   if (is_rule_broken (m, PU_MEMBERSHIP_BREAK_FIXED_TIMEOUT))
     return min_ms;
@@ -258,7 +260,7 @@
 
 static void
 check_subject (pu_membership_t *m, pu_subject_kind_t kind, subject_t *s,
-               uint64_t now, GArray *verdicts)
+               uint64_t now, GArray *failures)
 {
   uint64_t silent = now > s->last_heard ? now - s->last_heard : 0;
   pu_membership_failure_t v = { kind, s->name, s->incarnation, silent };
@@ -269,11 +271,11 @@
       && now - s->reported_at < m->options.report_interval_ms)
     return;
   s->reported_at = now;
-  g_array_append_val (verdicts, v);
+  g_array_append_val (failures, v);
 }
 
 void
-pu_membership_tick (pu_membership_t *m, uint64_t now, GArray *verdicts)
+pu_membership_tick (pu_membership_t *m, uint64_t now, GArray *failures)
 {
   GHashTableIter iter;
   gpointer value;
@@ -292,21 +294,21 @@
               continue;
             }
           s->expected = false;
-          check_subject (m, (pu_subject_kind_t)i, s, now, verdicts);
+          check_subject (m, (pu_subject_kind_t)i, s, now, failures);
         }
     }
 }
 
 bool
 pu_membership_get_silence (const pu_membership_t *m, pu_subject_kind_t kind,
-                           const char *name, uint64_t now, uint64_t *silent,
-                           uint64_t *allowed)
+                           const char *name, uint64_t now, uint64_t *silent_ms,
+                           uint64_t *timeout_ms)
 {
   const subject_t *s = g_hash_table_lookup (m->subjects[kind], name);
 
   if (s == NULL)
     return false;
-  *silent = now > s->last_heard ? now - s->last_heard : 0;
-  *allowed = suspicion_timeout_ms (m, kind, s, now);
+  *silent_ms = now > s->last_heard ? now - s->last_heard : 0;
+  *timeout_ms = suspicion_timeout_ms (m, kind, s, now);
   return true;
 }
--- a/libplantainusher/membership/membership_test.cc
+++ b/libplantainusher/membership/membership_test.cc
@@ -226,8 +226,8 @@
   EXPECT_EQ (t.advance (14500), Names{});
 }
 
-/* No daemon is reported before the minimum timeout, and each one is after the
-   maximum.  */
+/* No daemon is reported as failed before the minimum timeout, and each silent
+   one is reported after the maximum.  */
 RC_GTEST_PROP (Membership, KeepsToItsBounds, ())
 {
   Membership t;
--- a/libplantainusher/once/once.c
+++ b/libplantainusher/once/once.c
@@ -34,7 +34,7 @@
   guint64 fingerprint;
   guint64 attempt;
   guint64 window_ms;
-  guint64 position;
+  guint64 position; /* log position of the claim */
   phase_t phase;
   bool claim_uncertain; /* a claim timed out and may still commit */
   guint64 retry_at_ms;  /* end of the backoff */
@@ -60,7 +60,7 @@
   GHashTable *by_handle;    /* handle -> call_t *; owns the call */
   GHashTable *by_call_id;   /* call_id -> call_t * */
   GHashTable *by_caller;    /* &caller -> call_t *; owns the key */
-  GQueue *actions;          /* of queued_t * */
+  GQueue *actions;          /* of queued_action_t * */
   queued_action_t *current; /* last action returned by pu_once_next */
 };
 
--- a/libplantainusher/once/once.h
+++ b/libplantainusher/once/once.h
@@ -43,11 +43,11 @@
   guint test_breaks; /* pu_once_break_t; 0 outside tests */
 } pu_once_options_t;
 
-/* Deliberate faults for the tests that show the checks can fail.  */
+/* Faults that tests inject to show that their checks can fail.  */
 typedef enum
 {
-  PU_ONCE_BREAK_DISPATCH_LATE = 1,  /* dispatch a claim that is granted late */
-  PU_ONCE_BREAK_SHARED_ATTEMPT = 2, /* give all calls one attempt number */
+  PU_ONCE_BREAK_DISPATCH_LATE = 1,      /* dispatch without a waiting caller */
+  PU_ONCE_BREAK_SHARED_ATTEMPT = 2,     /* give all calls one attempt number */
   PU_ONCE_BREAK_UNKNOWN_AS_NOT_RUN = 4, /* record unknown as not run */
   PU_ONCE_BREAK_IGNORE_TIMEOUT = 8      /* refusal settles a timed-out claim */
 } pu_once_break_t;
@@ -61,7 +61,7 @@
 {
   PU_ONCE_ACTION_CLAIM,    /* propose the claim: handle, attempt */
   PU_ONCE_ACTION_DISPATCH, /* send the call, once: handle */
-  PU_ONCE_ACTION_RECORD,   /* propose the outcome: handle, position, phase,
+  PU_ONCE_ACTION_RECORD,   /* propose the outcome: handle, position, outcome,
                               result */
   PU_ONCE_ACTION_ANSWER    /* answer the caller: caller, answer, result */
 } pu_once_action_type_t;
@@ -103,7 +103,7 @@
   guint64 fingerprint;
   guint64 attempt;           /* CLAIM */
   guint64 window_ms;         /* CLAIM: how long the log keeps the result */
-  guint64 position;          /* RECORD */
+  guint64 position;          /* RECORD: log position of the claim */
   pu_once_outcome_t outcome; /* RECORD */
   guint64 caller;            /* ANSWER */
   pu_once_answer_t answer;   /* ANSWER */
@@ -134,7 +134,7 @@
 typedef enum
 {
   PU_ONCE_BEGIN_ACCEPTED,
-  PU_ONCE_BEGIN_KEY_EXPIRED, /* the key's timestamp is outside the window */
+  PU_ONCE_BEGIN_KEY_EXPIRED, /* the key's timestamp is too old */
   PU_ONCE_BEGIN_INVALID_KEY, /* empty or too long */
   PU_ONCE_BEGIN_KEY_REUSED,  /* in progress here for another request */
   PU_ONCE_BEGIN_OVERLOADED   /* keys_max or waiters_max is reached */
@@ -168,8 +168,9 @@
                        pu_once_outcome_t outcome,
                        const pu_once_result_t *result, guint64 now);
 
-/* pu_once_recorded - reports whether the log took the record of HANDLE.  If
-   not OK, the record is retried after retry_ms.  */
+/* pu_once_recorded - reports the log's reply to the record of HANDLE.  If OK
+   is false, the record may not be in the log and is proposed again after
+   retry_ms.  */
 void pu_once_recorded (pu_once_t *c, pu_once_handle_t handle, bool ok,
                        guint64 now);
 
--- a/libplantainusher/state/apply_suspects.c
+++ b/libplantainusher/state/apply_suspects.c
@@ -98,7 +98,7 @@
 
 /* Returns the suspect with the fingerprint in C.  Adds one without strikes
    when there is none, or in place of one that is not convicted and whose last
-   strike has left the window.  */
+   strike is older than strike_window_ms.  */
 static pu_suspect_record *
 find_or_add_suspect (pu_state_t *s, const pu_strike *c)
 {
--- a/libplantainusher/state/backend_delta_test.cc
+++ b/libplantainusher/state/backend_delta_test.cc
@@ -325,8 +325,8 @@
 };
 
 /* Oracle: a public copy that takes deltas has the same state as one that takes
-   full records and as the voter.  After a divergent image was restored, it
-   has so again once each engine's record changed.  */
+   full records and as the voter.  A copy that restored a divergent image
+   has the same state again once each engine's record has changed.  */
 bool
 copies_agree (unsigned seed, unsigned breaks)
 {
--- a/libplantainusher/state/hunks.c
+++ b/libplantainusher/state/hunks.c
@@ -50,7 +50,8 @@
 }
 
 /* Emits a copy of the longest common run around the equal blocks at AT in the
-   target and FROM in the base, after an insert of what stands before it.  */
+   target and FROM in the base.  First emits an insert of the bytes of the
+   target before the run that are not encoded yet.  */
 static void
 copy_emit (diff_t *d, gsize at, gsize from)
 {
@@ -116,7 +117,7 @@
 
 /* --- apply --- */
 
-/* Parses the number at *AT, which END must follow, and moves *AT behind
+/* Parses the number at *AT, which END must follow, and moves *AT past
    END.  */
 static bool
 number_parse (const char **at, char end, gsize *value)
--- a/libplantainusher/state/memory.h
+++ b/libplantainusher/state/memory.h
@@ -29,8 +29,8 @@
 bool pu_memory_backend_up (pu_memory_t *m, pu_backend_record *b,
                            GArray *closed);
 
-/* pu_memory_backend_down, pu_memory_backend_leaving - as the functions of the
-   ledger.  */
+/* pu_memory_backend_down, pu_memory_backend_leaving - pass the change of B to
+   the ledger: see pu_ledger_backend_down and pu_ledger_backend_leaving.  */
 void pu_memory_backend_down (pu_memory_t *m, const pu_backend_record *b);
 void pu_memory_backend_leaving (pu_memory_t *m, const pu_backend_record *b);
 
--- a/libplantainusher/state/state.c
+++ b/libplantainusher/state/state.c
@@ -5,7 +5,7 @@
 
 #define DEFAULT_HISTORY_MAX 10000
 #define DEFAULT_CLAIM_WINDOW_MS 3600000u
-#define DEFAULT_SUSPECT_WINDOW_MS 600000u
+#define DEFAULT_STRIKE_WINDOW_MS 600000u
 #define DEFAULT_CONVICT_STRIKES 2
 
 void
@@ -13,7 +13,7 @@
 {
   o->history_max = DEFAULT_HISTORY_MAX;
   o->claim_window_ms = DEFAULT_CLAIM_WINDOW_MS;
-  o->strike_window_ms = DEFAULT_SUSPECT_WINDOW_MS;
+  o->strike_window_ms = DEFAULT_STRIKE_WINDOW_MS;
   o->convict_strikes = DEFAULT_CONVICT_STRIKES;
   o->test_breaks
       = pu_break_bit (PU_BREAK_BASE_IGNORED, PU_STATE_BREAK_NO_BASE_CHECK)
--- a/libplantainusher/state/state.h
+++ b/libplantainusher/state/state.h
@@ -42,7 +42,8 @@
   uint64_t claim_window_ms;  /* retention of a claim that sets none */
   uint64_t strike_window_ms; /* age of the last strike after which the next
                                  one starts a new count; a conviction stays */
-  uint32_t convict_strikes;  /* strikes that convict a suspect */
+  uint32_t convict_strikes;  /* strikes (lost backend servers) that convict a
+                                suspect */
   uint32_t test_breaks;      /* pu_state_break_t; 0 outside tests */
 } pu_state_options_t;
 
--- a/libplantainusher/state/state_msg.x
+++ b/libplantainusher/state/state_msg.x
@@ -229,8 +229,8 @@
 struct pu_release
 {
   unsigned hyper token;
-  pu_detail proof;           /* why the memory is known to be free or counted
-                                otherwise */
+  pu_detail proof;           /* why closing the order is safe: its memory is
+                                known to be free, or is counted without it */
 };
 
 struct pu_claim_request
--- a/libplantainusher/state/tables.h
+++ b/libplantainusher/state/tables.h
@@ -9,8 +9,8 @@
 G_BEGIN_DECLS
 
 /*
- * tables - the records in a pu_state_t and their indexes, for the files of
- * this slice.
+ * tables - the records in a pu_state_t and their indexes, for the files in
+ * state/ only.
  */
 
 struct pu_state
@@ -47,12 +47,12 @@
    of it.  Evicts the oldest beyond history_max.  */
 void pu_tables_put_document (pu_state_t *s, pu_doc_record *d);
 
-/* pu_tables_mark_backend_changed - lists NAME as changed with the next number
-   of state->changes, to which the caller then increments it.  */
+/* pu_tables_mark_backend_changed - records that the next change, number
+   s->changes + 1, changes NAME.  The caller then increments s->changes.  */
 void pu_tables_mark_backend_changed (pu_state_t *s, const char *name);
 
-/* pu_tables_remove_backend - removes NAME, with the next number of
-   state->changes.  */
+/* pu_tables_remove_backend - removes NAME.  Its removal is change number
+   s->changes + 1; the caller then increments s->changes.  */
 void pu_tables_remove_backend (pu_state_t *s, const char *name);
 
 /* The other put functions add a record, take ownership of it, and replace one
