--- a/libplantainusher/document/check.c
+++ b/libplantainusher/document/check.c
@@ -226,7 +226,7 @@
                    "the service \"%s\" is not declared",
                    parts[i].service_name);
     }
-  if (r->parts.n > 0 && r->weights == 0)
+  if (r->parts.n > 0 && r->weight_sum == 0)
     {
       add_finding (c, row_pointer ("routes", r->name, "/to"),
                    "has weights that add up to 0");
--- a/libplantainusher/document/document.h
+++ b/libplantainusher/document/document.h
@@ -173,7 +173,7 @@
   bool serve_late;      /* an answer after the target is still useful */
   guint32 priority;     /* 0..9, 9 first */
   pu_json_rows_t parts; /* pu_route_part_t */
-  guint32 weights;      /* sum of the parts' weights */
+  guint32 weight_sum;   /* sum of the parts' weights */
 } pu_route_t;
 
 /* Limits on the size and the duration of callers' requests.  The daemon's own
@@ -195,7 +195,8 @@
   double store_loads_per_s; /* loads that may start per second */
   guint32 store_full_speed; /* concurrent loads that the store serves at full
                                speed */
-  guint32 min_stay_s;       /* moving a copy sooner costs extra */
+  guint32 min_stay_s;       /* the planner counts the move of a copy that
+                               has been ready for less time as costlier */
   guint32 payback_s;        /* period over which a move's gain must exceed its
                                cost */
   bool zone_spread;         /* prefer different zones for copies of a model */
@@ -261,9 +262,8 @@
 bool pu_document_route_named (const pu_document_t *d, const char *name);
 
 /* pu_document_find_route - the route of a request for HOST (without regard to
-   case and port) and PATH (without a query): the
-   route of that host with the longest matching path prefix, or
-   PU_HANDLE_NONE.  */
+   case and port) and PATH (without a query): the route of that host with the
+   longest matching path prefix, or PU_HANDLE_NONE.  */
 pu_route_handle_t pu_document_find_route (const pu_document_t *d,
                                           const char *host, const char *path);
 
@@ -339,8 +339,8 @@
    servers at C.  A copy takes its memory on every accelerator of the server
    that holds it, a server holds one copy of a model at most and must have at
    least the model's number of accelerators; an adapter needs its base on the
-   same server. Adds findings with the sums for PU_FIT_IMPOSSIBLE only. Returns
-   PU_FIT_UNPROVED when N is 0.  */
+   same server.  Adds findings with the sums for PU_FIT_IMPOSSIBLE only.
+   Returns PU_FIT_UNPROVED when N is 0.  */
 pu_fit_t pu_document_check_fit (const pu_document_t *d, const pu_capacity_t *c,
                                 size_t n, pu_findings_t *f);
 
--- a/libplantainusher/document/internal.h
+++ b/libplantainusher/document/internal.h
@@ -33,7 +33,7 @@
                            the longest prefix first */
 };
 
-/* Cross checks add at most this many findings.  */
+/* pu_document_check adds at most this many findings.  */
 #define PU_DOCUMENT_FINDINGS_MAX 200
 
 extern const pu_schema_t pu_document_schema;
@@ -65,7 +65,7 @@
 } pu_document_break_t;
 
 /* pu_document_check_fit_with_break - pu_document_check_fit with the fault
- * TEST_BREAK.  */
+   TEST_BREAK.  */
 pu_fit_t pu_document_check_fit_with_break (const pu_document_t *d,
                                            const pu_capacity_t *c, size_t n,
                                            pu_document_break_t test_break,
--- a/libplantainusher/document/route.c
+++ b/libplantainusher/document/route.c
@@ -60,7 +60,7 @@
   for (guint i = 0; i < r->parts.n; i++)
     {
       parts[i].service = pu_document_find_service (d, parts[i].service_name);
-      r->weights += parts[i].weight;
+      r->weight_sum += parts[i].weight;
     }
 }
 
@@ -186,7 +186,7 @@
 pu_route_choose_service (const pu_route_t *r, guint32 draw)
 {
   const pu_route_part_t *parts = r->parts.items;
-  guint32 left = draw % r->weights;
+  guint32 left = draw % r->weight_sum;
   guint i = 0;
 
   while (left >= parts[i].weight)
--- a/libplantainusher/settings/settings.h
+++ b/libplantainusher/settings/settings.h
@@ -78,31 +78,34 @@
 
 typedef struct
 {
-  guint32 heartbeat_ms;       /* interval, leader to voters */
-  guint32 election_ms;        /* minimum silence before an election;
-                                 the leader's lease is derived from it */
-  guint32 replace_after_ms;   /* a voter silent for longer is replaced by a
-                                 spare instance, if there is one */
-  guint32 poll_wait_ms;       /* a long poll without news ends after this */
-  guint32 leave_ms;           /* how long a leaving entry accepts callers; 0:
-                                 entries_ttl_s */
-  guint32 loads_ms;           /* minimum interval between an entry's messages
-                                 about loads to another entry */
-  guint32 gather_ms;          /* delay of changes of copies, to notify daemons
-                                 of several at once */
-  guint32 sessions_ms;        /* interval of a voter's messages to the leader
-                                 on daemons, backend servers and demand */
-  guint32 session_ms;         /* a daemon silent for longer is down */
-  guint32 backend_lease_ms;   /* a backend server silent for longer is down */
-  guint32 report_interval_ms; /* requested of backend servers */
-  guint32 order_life_ms;      /* lifetime of an order */
-  guint32 rpc_timeout_ms;     /* of one call between daemons */
-  guint32 connect_timeout_ms; /* of any new connection */
-  guint32
-      progress_timeout_ms;  /* a stream without a byte for longer is silent */
-  guint32 probe_timeout_ms; /* of a health probe, on a new connection */
-  guint32 idle_connection_ms; /* lifetime of an idle pooled connection */
-  guint32 entries_ttl_s;      /* how long callers cache an answer */
+  guint32 heartbeat_ms;        /* interval, leader to voters */
+  guint32 election_ms;         /* minimum silence before an election;
+                                  the leader's lease is derived from it */
+  guint32 replace_after_ms;    /* a voter silent for longer is replaced by a
+                                  spare instance, if there is one */
+  guint32 poll_wait_ms;        /* a long poll that has no change to return ends
+                                  after this */
+  guint32 leave_ms;            /* how long a leaving entry accepts callers; 0:
+                                  entries_ttl_s */
+  guint32 loads_ms;            /* minimum interval between an entry's messages
+                                  about loads to another entry */
+  guint32 gather_ms;           /* delay of changes of copies, to notify daemons
+                                  of several at once */
+  guint32 sessions_ms;         /* interval of a voter's messages to the leader
+                                  on daemons, backend servers and demand */
+  guint32 session_ms;          /* a daemon silent for longer is down */
+  guint32 backend_lease_ms;    /* a backend server silent for longer is down */
+  guint32 report_interval_ms;  /* requested of backend servers */
+  guint32 order_life_ms;       /* latest time, from its creation, at which an
+                                  order to an engine can take effect */
+  guint32 rpc_timeout_ms;      /* of one call between daemons */
+  guint32 connect_timeout_ms;  /* of any new connection */
+  guint32 progress_timeout_ms; /* a stream that sends no byte for longer counts
+                                  as stalled */
+  guint32 probe_timeout_ms;    /* of the health probe that checks a suspected
+                                 failure, on a new connection */
+  guint32 idle_connection_ms;  /* lifetime of an idle pooled connection */
+  guint32 entries_ttl_s;       /* how long callers cache an answer */
 } pu_settings_timing_t;
 
 /* The platform's parameters for an instance that runs on it;
@@ -121,13 +124,15 @@
                             after this */
   double grace_s;        /* from the stop signal to the kill */
   guint32 reuse_s;       /* an address may be reassigned after this */
-  guint32 lease_ms;      /* of a sender of orders */
+  guint32 lease_ms;      /* lease of the instance that sends orders to
+                            engines */
   guint32 ttl_s;         /* callers cache a directory answer this long */
   bool fenced;           /* engines reject orders with an old fencing token */
   double retry_ratio;    /* retries per first attempt, over all instances */
   guint32 retry_slack;   /* retries allowed beyond that in one window */
   guint32 retry_window_s;
-  double store_overage; /* loads in a window, relative to the store's rate */
+  double store_overage; /* loads from the weights store allowed in one window,
+                           as a multiple of the store's rate */
   guint32 store_window_s;
 } pu_settings_platform_t;
 
