--- a/libplantainusher/directory/directory.c
+++ b/libplantainusher/directory/directory.c
@@ -153,7 +153,7 @@
 }
 
 guint
-pu_directory_size (const pu_directory_t *d, double rate)
+pu_directory_set_size (const pu_directory_t *d, double rate)
 {
   double capacity = MAX (d->options.entry_capacity_per_s, 1);
   double need = ceil (MAX (rate, 0) / capacity);
@@ -301,7 +301,7 @@
 }
 
 guint
-pu_directory_ttl (const pu_directory_t *d)
+pu_directory_ttl_s (const pu_directory_t *d)
 {
   return d->options.ttl_s;
 }
--- a/libplantainusher/directory/directory.h
+++ b/libplantainusher/directory/directory.h
@@ -57,10 +57,10 @@
 bool pu_directory_set_members (pu_directory_t *d, guint64 view,
                                const pu_directory_member_t *members, guint n);
 
-/* pu_directory_size - the number of entries for a key that receives RATE
+/* pu_directory_set_size - the number of entries for a key that receives RATE
    requests per second, limited by set_min, set_max and the number of entries.
  */
-guint pu_directory_size (const pu_directory_t *d, double rate);
+guint pu_directory_set_size (const pu_directory_t *d, double rate);
 
 typedef struct
 {
@@ -77,8 +77,8 @@
 guint pu_directory_entries (pu_directory_t *d, const char *key, guint size,
                             const char *region, const char *zone, GArray *out);
 
-/* pu_directory_ttl - time in seconds for which a result may be cached.  */
-guint pu_directory_ttl (const pu_directory_t *d);
+/* pu_directory_ttl_s - time in seconds for which a result may be cached.  */
+guint pu_directory_ttl_s (const pu_directory_t *d);
 
 /* pu_directory_contains - whether member NAME is in KEY's set of SIZE.  */
 bool pu_directory_contains (pu_directory_t *d, const char *key, guint size,
--- a/libplantainusher/directory/directory_test.cc
+++ b/libplantainusher/directory/directory_test.cc
@@ -88,11 +88,11 @@
 TEST (Directory, SizeFollowsDemandWithinBounds)
 {
   Directory d (members (11, 3));
-  EXPECT_EQ (pu_directory_size (d.get (), 0), 2u);
-  EXPECT_EQ (pu_directory_size (d.get (), 900), 5u);
-  EXPECT_EQ (pu_directory_size (d.get (), 1e9), 11u);
+  EXPECT_EQ (pu_directory_set_size (d.get (), 0), 2u);
+  EXPECT_EQ (pu_directory_set_size (d.get (), 900), 5u);
+  EXPECT_EQ (pu_directory_set_size (d.get (), 1e9), 11u);
   d.set (2, members (1, 1));
-  EXPECT_EQ (pu_directory_size (d.get (), 0), 1u);
+  EXPECT_EQ (pu_directory_set_size (d.get (), 0), 1u);
 }
 
 TEST (Directory, NearZoneComesFirstAndWeighsMore)
--- a/libplantainusher/entry/entries.c
+++ b/libplantainusher/entry/entries.c
@@ -70,7 +70,7 @@
 guint
 pu_service_entry_count (const pu_entry_t *en, const char *service)
 {
-  return pu_directory_size (en->directory, mean_rate (en, service));
+  return pu_directory_set_size (en->directory, mean_rate (en, service));
 }
 
 static json_t *
@@ -139,7 +139,7 @@
           http, 200,
           json_pack ("{s:s, s:o, s:i}", "service", name, "entries",
                      entries_json (en, name, region, zone), "ttl_s",
-                     (int)pu_directory_ttl (en->directory)));
+                     (int)pu_directory_ttl_s (en->directory)));
     }
   g_free (service);
   g_free (region);
