--- a/libplantainusher/control/feed.h
+++ b/libplantainusher/control/feed.h
@@ -36,7 +36,7 @@
                   size_t len, GBytes *delta);
 
 /* pu_feed_covers - whether the feed holds all public entries after POSITION,
-   so that a reader there needs no image.  */
+   so that a reader at POSITION needs no image.  */
 bool pu_feed_covers (const pu_feed_t *f, uint64_t position);
 
 /* pu_feed_newest - returns the position of the newest public entry, or of the
--- a/libplantainusher/control/pace.h
+++ b/libplantainusher/control/pace.h
@@ -29,8 +29,8 @@
   PU_PACE_IMMEDIATE,    /* a document, which must be in force everywhere within
                          seconds: no delay */
   PU_PACE_RATE_LIMITED, /* no delay after a pause, else rate-limited */
-  PU_PACE_BATCHED /* always batched: a change of copies, which is less than
-                      half of the bytes of the reply and the poll it costs */
+  PU_PACE_BATCHED /* always batched: a change of copies, whose size is less
+                     than half of the reply and the poll needed to send it */
 } pu_pace_urgency_t;
 
 typedef struct
--- a/libplantainusher/placer/order_sender.h
+++ b/libplantainusher/placer/order_sender.h
@@ -13,9 +13,10 @@
  * order_sender - sends orders to engines over HTTP.
  *
  * Each order has a connection of its own, which is reset at the end of the
- * transit time or by pu_order_sender_cancel_all.  The time of the loop stands
- * still while the process is stopped, so the caller also enforces the transit
- * time, by calling pu_order_sender_expire with its own clock.
+ * transit time (within which an order takes effect or never does) or by
+ * pu_order_sender_cancel_all.  The clock of the loop does not advance while
+ * the process is stopped, so the caller also enforces the transit time, by
+ * calling pu_order_sender_expire with its own clock.
  */
 
 typedef struct pu_order_sender pu_order_sender_t;
--- a/libplantainusher/placer/placer.h
+++ b/libplantainusher/placer/placer.h
@@ -16,11 +16,11 @@
 /*
  * placer - the leader's task that loads and unloads models on engines.
  *
- * The placer passes the replicated state to the planner and the orders of the
- * placement slice and executes their actions: it proposes RESERVE and RELEASE
- * to the log and sends orders to the engines over HTTP.  After each take-over
- * it starts with no data but the state.  Backend servers that are not engines
- * are ignored.
+ * The placer passes the replicated state to the planner and to the order table
+ * (placement/planner.h, placement/orders.h) and executes their actions: it
+ * proposes RESERVE and RELEASE to the log and sends orders to the engines over
+ * HTTP.  After each change of leader it starts with no data but the state.
+ * Backend servers that are not engines are ignored.
  *
  * An order is sent on a new connection, which is closed at the end of the
  * transit time, and only while the lease of the leader is held.
--- a/libplantainusher/placer/sequenced.c
+++ b/libplantainusher/placer/sequenced.c
@@ -15,9 +15,9 @@
   REPORT_INTERVAL_MS = 400,
 };
 
-/* Daemons report demand in milliseconds of one engine's time, so an engine
-   counts as one stream.  By default, the planner treats an engine as hot above
-   a utilization of 70 %.  */
+/* Capacity of an engine.  The planner measures demand in concurrent requests,
+   but here daemons report it in milliseconds of one engine's time, so the
+   capacity is 1.  The planner's option hot_utilization is 70 % by default.  */
 #define ENGINE_STREAMS 1.0
 
 /* Time constants of the demand forecast.  The set of busy models changes
--- a/libplantainusher/placer/sequenced_calls.c
+++ b/libplantainusher/placer/sequenced_calls.c
@@ -16,7 +16,8 @@
   REPORT_TIMEOUT_MS = 600, /* a report that takes longer is of no use */
   REPORT_AGE_MS = 300,     /* assumed age of the numbers in a report when
                               the engine sends it */
-  SEQ_TERM_SHIFT = 40,     /* log2 of the report numbers of one term */
+  SEQ_TERM_SHIFT = 40,     /* number of low bits of a sequence number
+                              that count the reports of one term */
 };
 
 /* An order or a fetch in flight.  */
@@ -306,8 +307,8 @@
     }
   clear_wire_report (&r);
   pu_findings_free (findings);
-  /* When a load has ended, a load on another engine may take its turn at the
-     weights store.  */
+  /* When a load has ended, a load on another engine may start to read from
+     the weights store.  */
   if (busy && !pu_dispatcher_is_busy (s->leader->dispatcher, a.engine))
     {
       pu_sequenced_step (s);
--- a/libplantainusher/placer/sequenced_copy_requests.c
+++ b/libplantainusher/placer/sequenced_copy_requests.c
@@ -71,7 +71,7 @@
 }
 
 /* Answers REQUEST with the time until ITEM can be ready, as no engine holds it
-   or can load it at once.  */
+   or can load it immediately.  */
 static void
 answer_due (pu_sequenced_t *s, guint32 item,
             pu_control_copy_request_t *request)
@@ -155,7 +155,7 @@
       pu_control_copy_request_answer (request, NULL);
       return;
     }
-  /* Only adapters are loaded at once; models are loaded by the next plan.  */
+  /* Only adapters are loaded immediately; models wait for the next plan.  */
   if (!pu_adapters_contains (l->adapters, item))
     {
       answer_due (s, item, request);
--- a/libplantainusher/placer/sequenced_private.h
+++ b/libplantainusher/placer/sequenced_private.h
@@ -26,7 +26,7 @@
   guint reported_requests;  /* running and waiting, by its last report */
   GHashTable *cached_items; /* set of items whose weights are in its host's
                                memory or on its disk */
-  bool in_state;            /* was in the state at its last update */
+  bool in_state; /* found in the replicated state at its last update */
 } engine_t;
 
 /* The state of one leadership of this voter.  */
--- a/libplantainusher/placer/wire.h
+++ b/libplantainusher/placer/wire.h
@@ -33,7 +33,7 @@
   bool busy;
   guint running;    /* requests */
   guint waiting;    /* requests */
-  guint64 kv_used;  /* tokens that can't yield */
+  guint64 kv_used;  /* tokens in the KV cache that cannot be evicted */
   guint64 kv_total; /* tokens */
   GPtrArray *held;  /* names of loaded models and adapters; the strings in this
                        and the following lists are owned */
--- a/libplantainusher/routing/limit.c
+++ b/libplantainusher/routing/limit.c
@@ -19,7 +19,8 @@
 #define SLOTS_SATURATED_PCT 80 /* of the slots; counts as saturated */
 #define SLOTS_GROW_PERIOD_MS 1000
 #define SLOTS_GROW_STEPS_MAX 8
-/* Up to this many requests waiting in the engine are not a queue.  */
+/* With at most this many requests waiting, an engine does not count as
+   queueing.  */
 #define ENGINE_WAITING_MAX 2
 #define SLOTS_GROW_FACTOR_INITIAL 1.3 /* until the slots have shrunk once */
 #define QUEUEING_REPORTS_MIN 2        /* consecutive; fewer may be a burst */
@@ -33,7 +34,7 @@
 #define FULL_COOLDOWN_MS 100    /* after a refusal as overloaded */
 #define FAILURE_WEIGHT 0.2      /* of a new outcome in the failure share */
 #define FAILURE_SHARE_MAX 0.5   /* a higher share ejects */
-#define EJECT_DOUBLINGS 10      /* at most, of the length of an ejection */
+#define EJECT_DOUBLINGS 10      /* most doublings of an ejection's length */
 #define RETRY_AFTER_JITTER 0.25 /* highest random addition, as a share */
 
 guint
--- a/libplantainusher/routing/router.c
+++ b/libplantainusher/routing/router.c
@@ -2,7 +2,8 @@
 
 #include <string.h>
 
-/* Interval at which a request is let through against the estimate.  */
+/* Interval at which one request is admitted although the estimate predicts
+   that it will be late.  */
 #define PROBE_INTERVAL_MS 1000
 /* The first-token target is extended to this many times the first-token time
    of an idle copy.  */
@@ -324,7 +325,7 @@
     service_mark_backends_dirty (r, s);
 }
 
-/* Offers.  */
+/* Admission of new requests.  */
 
 static void
 refuse_undeclared (pu_router_t *r, pu_router_reason_t reason,
@@ -341,7 +342,7 @@
 
 /* Returns whether Q cannot be answered in time even on an idle copy.  While
    the model has nothing in flight, one such request each PROBE_INTERVAL_MS is
-   let through, as a wrong estimate would otherwise never be corrected.  */
+   admitted, as a wrong estimate would otherwise never be corrected.  */
 static bool
 cannot_be_on_time (pu_router_t *r, const request_t *q, guint64 now)
 {
--- a/libplantainusher/routing/router.h
+++ b/libplantainusher/routing/router.h
@@ -220,7 +220,7 @@
 /* Load of a backend server.  */
 typedef struct
 {
-  guint own;     /* requests of this router in flight there */
+  guint own;     /* this router's requests in flight on it */
   guint running; /* by the last report, of all entries */
   guint waiting;
   guint64 age_ms; /* of that report; G_MAXUINT32: there was none */
--- a/libplantainusher/routing/router_int.h
+++ b/libplantainusher/routing/router_int.h
@@ -17,8 +17,8 @@
 #define TRIED_MAX 4 /* failed backend servers that a request avoids */
 /* Weight of a new sample in a moving average.  */
 #define MEAN_SAMPLE_WEIGHT 0.1
-/* Ticks for which the own requests in flight are kept, so that a late report
-   is compared with the count at the time it describes.  */
+/* Ticks for which the number of this entry's requests in flight is kept, so
+   that a late report is compared with the count at the time it describes.  */
 #define HISTORY_MAX 16
 #define HISTORY_TICK_MS 64
 #define REPORT_VALID_MS 5000 /* for a report without a life_ms of its own */
@@ -71,9 +71,9 @@
   GArray *flows;   /* of flow_t */
   guint waiting;
   guint in_flight;
-  /* Milliseconds to the first token over prefill tokens.  */
+  /* Milliseconds to the first token (y) by prefill tokens queued (x).  */
   linear_fit_t first_token_fit;
-  /* Milliseconds for each output token over concurrent requests.  */
+  /* Milliseconds for each output token (y) by concurrent requests (x).  */
   linear_fit_t decode_step_fit;
   double mean_prompt_tokens;
   double mean_output_tokens;  /* 0: not known */
@@ -84,7 +84,8 @@
   guint64 busy_since;    /* since then the queue has not been empty */
   double drain_per_ms;   /* starts from the queue per ms; 0: not known */
   guint starts;          /* from the queue since busy_since */
-  /* When a request that the estimate called late was last let through.  */
+  /* When a request was last admitted although the estimate predicted that it
+     would be late.  */
   guint64 probed_at;
 } model_t;
 
@@ -118,7 +119,7 @@
   guint queueing_reports; /* consecutive reports that showed a queue */
   GArray *copies;         /* of copy_t */
   guint in_flight;
-  guint prefilling;       /* own requests before their first token */
+  guint prefilling;       /* this entry's requests without a first token */
   guint64 pending_tokens; /* prompt tokens of these that are not cached */
   /* Adaptive share of prefill_window_pct that queued prefill work may take. */
   double prefill_window;
@@ -131,7 +132,7 @@
   pu_router_report_t report;
   guint others_running;
   guint others_waiting;
-  guint in_flight_history[HISTORY_MAX]; /* own requests, by tick */
+  guint in_flight_history[HISTORY_MAX]; /* of this entry, by tick */
   guint64 history_tick;
   guint consecutive_failures;
   double failure_share; /* moving average */
@@ -188,8 +189,8 @@
   pu_router_backend_t backend;
   guint64 sent_at;
   guint64 first_token_at; /* 0: no token yet */
-  guint64 prefill_tokens; /* queued there, its own included */
-  guint uncached_tokens;  /* own prompt tokens that are not cached */
+  guint64 prefill_tokens; /* queued on `backend`, its own included */
+  guint uncached_tokens;  /* of its prompt, not cached on `backend` */
   guint tokens;
   guint sampled_tokens; /* at the last sample of the decode step */
   guint64 sampled_at;
@@ -230,8 +231,8 @@
   guint copy;
   double predicted_ms;    /* to the first token, with the network latency */
   double score;           /* predicted cost; the lowest is best */
-  guint cached;           /* tokens of the prompt assumed cached there */
-  guint64 prefill_tokens; /* queued there, the request's included */
+  guint cached;           /* prompt tokens assumed cached on `backend` */
+  guint64 prefill_tokens; /* queued on `backend`, the request's included */
 } candidate_t;
 
 static inline service_t *
@@ -276,8 +277,8 @@
    in flight.  */
 void backend_reclaim (pu_router_t *r, pu_router_backend_t b);
 
-/* backend_load - returns the requests on B: the own ones in flight and, from a
-   valid report, those of other entries.  */
+/* backend_load - returns the number of requests on B: those of this entry in
+   flight and, from a valid report, those of other entries.  */
 guint backend_load (const backend_t *b, guint64 now);
 
 /* backend_others_waiting - returns the requests of other entries that wait on
@@ -301,8 +302,8 @@
 void copy_add_sample (const pu_router_t *r, copy_t *c, double prefill_tokens,
                       double ms);
 
-/* backend_record_in_flight - records a change of the own requests in flight on
-   B in its history.  */
+/* backend_record_in_flight - records a change of this entry's requests in
+   flight on B in the history of B.  */
 void backend_record_in_flight (backend_t *b, guint64 now);
 
 /* choose.c */
--- a/libplantainusher/routing/tables.c
+++ b/libplantainusher/routing/tables.c
@@ -471,7 +471,8 @@
   s->in_flight_history[s->history_tick % HISTORY_MAX] = s->in_flight;
 }
 
-/* Returns the own requests that were in flight on S AGE milliseconds ago.  */
+/* Returns how many requests of this entry were in flight on S AGE milliseconds
+   ago.  */
 static guint
 in_flight_before (backend_t *s, guint age, guint64 now)
 {
--- a/libplantainusher/suspects/suspects.c
+++ b/libplantainusher/suspects/suspects.c
@@ -456,7 +456,8 @@
 }
 
 /* Whether R was isolated when its backend server died.  An aborted request
-   was, if no request was sent to the backend server after the abort.  */
+   that ran isolated still counts as isolated if no request was sent to the
+   backend server after the abort.  */
 static bool
 was_isolated (const pu_suspects_t *s, const GPtrArray *dead,
               const attempt_t *r, guint64 now)
--- a/libplantainusher/suspects/suspects_test.cc
+++ b/libplantainusher/suspects/suspects_test.cc
@@ -184,9 +184,9 @@
 namespace
 {
 
-/* Request 7 is aborted before it is a suspect, and becomes one by a death
-   elsewhere.  Then request 8 crashes the backend server that request 7 was
-   aborted on.  */
+/* Request 7 is aborted before it is a suspect, and becomes one when another
+   backend server dies.  Then request 8 crashes the backend server that request
+   7 was aborted on.  */
 std::vector<guint64>
 aborted_before_suspected (Suspects &t)
 {
@@ -252,7 +252,8 @@
 enum class Routing
 {
   Consistent,   /* all entries use the same order of preference */
-  OneDivergent, /* the last entry passes over some as if busy */
+  OneDivergent, /* the last entry skips backend servers at random, as if
+                   they were busy */
   Random        /* deliberate fault: each choice is random */
 };
 
