--- a/libplantainusher/placement/dispatcher.h
+++ b/libplantainusher/placement/dispatcher.h
@@ -39,7 +39,7 @@
   guint64 conflict_timeout_ms;   /* an order that gets a conflict this long
                                     after it was first sent fails */
   guint64 retry_backoff_ms;      /* after a conflict or a lost answer, before
-                                    the next sending */
+                                    the next send */
   guint64 poll_interval_ms;      /* interval between reports of an engine */
   guint64 poll_per_engine_ms;    /* the interval is at least this times the
                                     number of engines, as one leader polls all
--- a/libplantainusher/placement/dispatcher_private.h
+++ b/libplantainusher/placement/dispatcher_private.h
@@ -32,19 +32,19 @@
   guint adapter_slots; /* 0: no limit */
   GArray *items;       /* of pu_dispatcher_item_t */
   GQueue queue;        /* of pu_dispatcher_queued_t *; only the head is sent */
-  bool head_sent; /* the head was sent; `expected` is the count of accepted
-                     orders that it requires */
+  bool head_sent;      /* the head was sent, with the count `expected` */
   const pu_dispatcher_queued_t *first_sent_order; /* the order that was
                                                      sent at first_sent_at;
                                                      NULL: none */
   guint64 first_sent_at;                          /* ms */
   guint64 last_sent_at;                           /* ms */
-  bool head_answered;   /* the last sending was answered, or timed out */
-  bool outcome_unknown; /* a sending of the head had no answer and may still
+  bool head_answered;   /* the last send was answered, or timed out */
+  bool outcome_unknown; /* the head was sent without an answer and may still
                            be executed */
-  guint64 expected;     /* count of accepted orders that the last sending
-                           requires */
-  guint64 send_after;   /* ms; back-off: nothing is sent earlier */
+  guint64 expected;   /* count of accepted orders that was sent with the head:
+                         the engine refuses the head if its own count
+                         differs */
+  guint64 send_after; /* ms; back-off: nothing is sent earlier */
   bool fetching;
   guint64 fetch_at; /* ms; when to fetch the next report */
 } pu_dispatcher_engine_t;
--- a/libplantainusher/placement/dispatcher_test.cc
+++ b/libplantainusher/placement/dispatcher_test.cc
@@ -317,7 +317,7 @@
   Dispatcher k;
 };
 
-/* The first sending gets a conflict because the previous leader had sent an
+/* The first send gets a conflict because the previous leader had sent an
    order after the report was made; that order filled the slot.  */
 TEST_F (AdapterSlots, LoadFailsWhenItsSlotIsTakenAfterAConflict)
 {
--- a/libplantainusher/placement/due.c
+++ b/libplantainusher/placement/due.c
@@ -1,6 +1,7 @@
 #include "placement/due.h"
 
-/* The entry of ITEM on ENGINE, whatever its phase; NULL: none.  */
+/* Returns the dispatcher's record of ITEM on ENGINE, in any phase; NULL:
+   none.  */
 static const pu_dispatcher_item_t *
 find_item (const pu_dispatcher_t *d, guint32 engine, guint32 item)
 {
--- a/libplantainusher/placement/due.h
+++ b/libplantainusher/placement/due.h
@@ -9,8 +9,8 @@
  * due - the shortest time until a copy of an item can be ready.
  *
  * Callers of a model that no engine holds wait this long, or are told to retry
- * after it.  It is a lower bound: a load may take
- * longer than expected, or may not be planned yet.
+ * after it.  It is a lower bound: a load may take longer than expected, or may
+ * not be planned yet.
  */
 
 /* Expected times of a load in milliseconds; 0: unknown.  */
@@ -20,7 +20,7 @@
   guint32 cached_load_ms; /* from the engine's disk or its host's memory */
 } pu_due_times_t;
 
-/* An engine in use.  */
+/* An engine on which the item may be loaded.  */
 typedef struct
 {
   guint32 engine;
--- a/libplantainusher/placement/forecast.c
+++ b/libplantainusher/placement/forecast.c
@@ -34,8 +34,9 @@
   o->burst_sigmas = DEFAULT_BURST_SIGMAS;
 }
 
-/* STREAM_MS, the estimate for REQUESTS, with the part above the cap weighted
- * by the number of requests of the model so far.  */
+/* Returns STREAM_MS, the estimate for REQUESTS, with the part above CAP_MEANS
+   times the mean of all models reduced; the more requests the model has had,
+   the less.  */
 static double
 cap_estimate_ms (const pu_forecast_t *f, const pu_forecast_request_stats_t *c,
                  guint32 requests, double stream_ms)
--- a/libplantainusher/placement/fuzz_test.cc
+++ b/libplantainusher/placement/fuzz_test.cc
@@ -35,7 +35,8 @@
   RC_ASSERT (Run (seed, ops, Breaks ()) == "");
 }
 
-/* The first violation that the breaks B cause, over a fixed range of seeds. */
+/* The first violation found with the injected faults B, over a fixed range of
+   seeds.  */
 std::string
 FirstViolation (const Breaks &b)
 {
--- a/libplantainusher/placement/orders.c
+++ b/libplantainusher/placement/orders.c
@@ -630,9 +630,11 @@
   return v->token >= r->token || now >= r->state_since + o->o.report_ms;
 }
 
-/* Whether the order has failed: no answer within its lifetime, acknowledged
-   but not done in time, acknowledged but its copy is absent, or fenced off
-   without effect.  */
+/* Whether the order has failed: it was not acknowledged within its lifetime
+   (when inherited, for an engine that checks tokens: within report_ms), it was
+   acknowledged but not completed in time, it was acknowledged but its copy is
+   absent, or the engine has reported a later token and not the order's
+   copy.  */
 static bool
 has_failed (const pu_orders_t *o, const pu_orders_order_t *r, guint64 now)
 {
--- a/libplantainusher/placement/orders.h
+++ b/libplantainusher/placement/orders.h
@@ -136,7 +136,7 @@
   PU_ORDERS_BREAK_NONE = 0,
   PU_ORDERS_BREAK_RELEASE_ON_LOST_ANSWER = 1, /* release on a lost answer */
   PU_ORDERS_BREAK_RELEASE_ON_TIMEOUT
-  = 2, /* release on a timeout without proof */
+  = 2, /* release on a timeout, although the order may still take effect */
   PU_ORDERS_BREAK_NO_TAKEOVER_WAIT = 4, /* a new leader does not wait */
   PU_ORDERS_BREAK_SEND_UNRESERVED = 8   /* sent before it is reserved */
 } pu_orders_break_t;
--- a/libplantainusher/placement/placement.c
+++ b/libplantainusher/placement/placement.c
@@ -568,8 +568,9 @@
                r->spec.copy, memory_mb, "to fence off an earlier order", now);
 }
 
-/* Handles fence actions, forbidden unloads and failures.  Returns whether A is
-   passed on to the caller.  */
+/* Queues the order that a fence action asks for, cancels an unload that the
+   planner no longer allows, and records a failed load.  Returns whether A
+   stays in the list that pu_placement_step returns.  */
 static bool
 handle_action (pu_placement_t *pl, const pu_orders_action_t *a, guint64 now)
 {
--- a/libplantainusher/placement/planner.c
+++ b/libplantainusher/placement/planner.c
@@ -403,7 +403,8 @@
   run_round (&r);
 }
 
-/* Completes all ordered moves: loads become ready, unloaded copies go.  */
+/* Completes all ordered moves: loads become ready, unloaded copies are
+   removed.  */
 static void
 complete_moves (pu_planner_t *p)
 {
--- a/libplantainusher/placement/planner_choose.c
+++ b/libplantainusher/placement/planner_choose.c
@@ -5,11 +5,13 @@
 /* Terms of the score by which engines are ranked, in units of utilization.  */
 #define SAME_ZONE_SCORE 0.5
 #define FULL_MEMORY_SCORE 0.2
-/* A load of cached weights takes one second instead of six and does not use
-   the store.  */
+/* Subtracted for an engine with cached weights: the load takes one second
+   instead of six and does not use the store.  */
 #define CACHED_SCORE 0.6
 /* Engines on which eviction is tried, in order of score.  */
 #define EVICTION_TRIES 8
+/* Utilization above which an eviction on another engine may be better than
+   free memory on this one.  */
 #define CROWDED_UTILIZATION 0.5
 /* Utilization of its ready copies above which an item needs its pending loads.
  */
--- a/libplantainusher/placement/planner_grow.c
+++ b/libplantainusher/placement/planner_grow.c
@@ -301,7 +301,8 @@
 typedef struct
 {
   guint32 item;
-  double exposure; /* demand times importance, by the square of its copies */
+  double exposure; /* peak demand, plus 1, times importance, divided by the
+                      square of the number of copies */
 } pu_spare_candidate_t;
 
 /* The items that may get a spare copy and fit in FREE_MB.  */
--- a/libplantainusher/placement/planner_internal.h
+++ b/libplantainusher/placement/planner_internal.h
@@ -26,10 +26,10 @@
   pu_plan_reason_t reason;
   guint64 since;    /* when it entered its phase */
   guint32 for_item; /* PU_REASON_MAKE_ROOM: the item that needs the memory */
-  double gain;      /* of the move that loaded it */
-  double price;
-  double share;  /* streams of its item's demand assigned to it */
-  bool deferred; /* not ordered yet: waits for memory or the store */
+  double gain;      /* of the move that loaded it, late stream-seconds */
+  double price;     /* of that move, late stream-seconds */
+  double share;     /* streams of its item's demand assigned to it */
+  bool deferred;    /* not ordered yet: waits for memory or the store */
 } pu_planned_copy_t;
 
 /* Excludes loads of ITEM on an engine before UNTIL.  */
@@ -118,7 +118,8 @@
      loading.  */
   bool only_loading_engines_fit;
   guint deferred_loads; /* deferred loads, all items */
-  bool ignore_adapters; /* the memory need of a base leaves out its adapters */
+  bool ignore_adapters; /* pu_planned_need_mb leaves out the adapters of a base
+                           model */
   guint32 *holder_stamp; /* by engine: equals item_stamp if the engine holds
                             the marked item */
   double *scratch_load;  /* scratch by copy: engine load without the item */
@@ -248,8 +249,9 @@
 bool pu_planner_bundle (const pu_planner_t *p, guint32 engine, guint slot,
                         guint32 item, pu_eviction_t evict, GArray *slots);
 
-/* Returns the free memory that a copy of T needs, in MB.  That of a base
-   includes its adapters, except while the planner ignores them.  */
+/* Returns the free memory that a copy of T needs, in MB.  For a base model,
+   memory for its adapters is included unless ignore_adapters is set, as it is
+   for an item that has no room otherwise.  */
 guint32 pu_planned_need_mb (const pu_planner_t *p, const pu_planned_item_t *t);
 
 /* Returns the free memory of E, in MB.  */
--- a/libplantainusher/placement/planner_load.c
+++ b/libplantainusher/placement/planner_load.c
@@ -5,8 +5,8 @@
 /* Utilization of an engine above which requests are late or rejected.  */
 #define LATE_UTILIZATION 0.7
 #define MEAN_IMPORTANCE 5.0
-/* Loss, beside that for the demand, of leaving an item with one ready copy at
-   most, in late streams for mean importance.  */
+/* Loss, in addition to that for the demand, of leaving an item with one ready
+   copy at most, in late streams for mean importance.  */
 #define LAST_COPY_LOSS 0.05
 
 guint32
--- a/libplantainusher/placement/planner_repair.c
+++ b/libplantainusher/placement/planner_repair.c
@@ -189,8 +189,8 @@
   r->any_not_loading = true;
 }
 
-/* Whether T needs a first copy: none is ready, and it has only stalled loads,
-   fewer than the limit.  */
+/* Whether T needs a first copy: none is ready, and all its pending loads,
+   fewer than MAX_DEFERRED_PER_ITEM, have stalled for lack of memory.  */
 static bool
 needs_first_copy (const pu_planned_item_t *t)
 {
--- a/libplantainusher/placement/planner_room.c
+++ b/libplantainusher/placement/planner_room.c
@@ -4,10 +4,12 @@
    some of these, with their adapters, are loaded on another engine first and
    can be unloaded then.  */
 
-/* An engine chosen for relocation is kept for this long.  */
+/* Time for which copies are moved away from the engine chosen for an item;
+   after it, an engine is chosen again.  */
 #define RELOCATION_MS 60000
 #define RELOCATION_RETRY_MS 1000
-/* Engines that are tried, those that lack the least memory first.  */
+/* Engines that are tried for an item, those that lack the least memory for it
+   first.  */
 #define RELOCATION_TRIES 16
 
 /* Memory by handle: what an engine lacks for an item, or what a copy takes
@@ -73,9 +75,10 @@
   return need - MIN (need, have);
 }
 
-/* The bundles on ENGINE that can be evicted only once they have another copy.
-   The smallest that frees MISSING MB comes first, then the larger ones in
-   ascending order, then the smaller ones in descending order.  */
+/* The bundles (a copy and its adapters) on ENGINE that can be evicted for ITEM
+   only once they have another copy.  The smallest that frees MISSING MB comes
+   first, then the larger ones in ascending order, then the smaller ones in
+   descending order.  */
 static GArray *
 find_relocatable (pu_round_t *r, guint32 engine, guint32 item,
                   guint32 missing_mb)
@@ -145,9 +148,10 @@
   return false;
 }
 
-/* Loads ROOT, which is on ENGINE, on another engine or, when it has another
-   copy already, those of its adapters on ENGINE that have none.  False when no
-   load could be started.  */
+/* Starts loads on other engines so that the copy of ROOT on ENGINE and its
+   adapters there can be unloaded for ITEM.  While the copy of ROOT is the only
+   one that is ready, ROOT is loaded; after that, each of these adapters that
+   has no other ready copy.  False when no load could be started.  */
 static bool
 relocate_bundle (pu_round_t *r, guint32 engine, guint32 root, guint32 item)
 {
--- a/libplantainusher/placement/planner_round.h
+++ b/libplantainusher/placement/planner_round.h
@@ -22,11 +22,11 @@
      load of it failed: spare copies wait.  */
   bool any_unreachable;
   guint loads; /* ordered in this round */
-  /* Such an item is in demand and has no load in flight: copies for demand
-     wait.  */
+  /* An item for which any_unreachable is set is in demand and has no load in
+     flight: copies for demand wait.  */
   bool in_demand_not_loading;
-  /* Such an item, in demand or not, has no load in flight: copies for demand
-     get every other load slot.  */
+  /* An item for which any_unreachable is set, in demand or not, has no load in
+     flight: copies for demand get every other load slot.  */
   bool any_not_loading;
 } pu_round_t;
 
