--- a/libplantainusher/entry/admit.c
+++ b/libplantainusher/entry/admit.c
@@ -98,8 +98,8 @@
   static const pu_refusal_t full
       = { 503, "overloaded", PU_RUN_OUTCOME_NOT_RUN, PU_BUSY_RETRY_AFTER_MS };
 
-  /* The request came on a keep-alive connection and might not end within the
-     time left for the stop.  */
+  /* The request came on a keep-alive connection and might not end before the
+     graceful stop times out.  */
   if (en->stopping)
     {
       reject (en, http, &pu_refusal_stopping, "This entry is stopping.");
--- a/libplantainusher/entry/announcement.c
+++ b/libplantainusher/entry/announcement.c
@@ -235,8 +235,8 @@
   b->down = FALSE;
 }
 
-/* Checks that B has what a record needs, from this report or an earlier one.
- */
+/* Checks that the required fields of B are set, by this report or an earlier
+   one.  */
 static void
 check_record (const pu_backend_record *b, pu_findings_t *f)
 {
--- a/libplantainusher/entry/deliver.c
+++ b/libplantainusher/entry/deliver.c
@@ -23,7 +23,8 @@
 
 /* --- response heads --- */
 
-/* Makes response headers of PASSED, names and values in turn.  */
+/* Returns the response headers in PASSED, which holds names and values in
+   turn.  */
 static GArray *
 headers_of (const GPtrArray *passed)
 {
--- a/libplantainusher/entry/demand.c
+++ b/libplantainusher/entry/demand.c
@@ -2,10 +2,11 @@
 
 /*
  * Demand reported to the leader: each request for a model, and how long it
- * will keep a stream of an engine busy.  The time is a moving average over
- * the requests for the same model that ended here.  Requests take longer on an
- * overloaded engine, so that the demand is then overestimated rather than
- * underestimated.
+ * is expected to occupy one of the concurrent request slots of an engine, or a
+ * whole engine if the request gives the token counts of its prompt.  The time
+ * in a slot is a moving average over the requests for the same model that
+ * ended here.  Requests take longer on an overloaded engine, so that the
+ * demand is then overestimated rather than underestimated.
  */
 
 /* The estimate until the first request for a model has ended here.  */
@@ -29,8 +30,9 @@
                             c != NULL ? c->slots : 0);
 }
 
-/* Estimates how long X will keep a stream of an engine busy, in milliseconds;
-   or a whole engine if the request gives the token counts of its prompt.  */
+/* Estimates how long X will occupy one of the concurrent request slots of an
+   engine, in milliseconds; or a whole engine if the request gives the token
+   counts of its prompt.  */
 static double
 expected_busy_ms (const pu_exchange_t *x)
 {
--- a/libplantainusher/entry/document.c
+++ b/libplantainusher/entry/document.c
@@ -255,8 +255,9 @@
       return;
     }
   parse_finish (en, r);
-  /* Applies the whole view again, which depends on the document, and parses
-     the next document if there is one.  */
+  /* A change count of 0 makes pu_view_sync apply all backend servers again,
+     because the router's tables depend on the document.  It also starts to
+     parse a newer document, if the view has one.  */
   en->changes = 0;
   pu_view_sync (en);
 }
--- a/libplantainusher/entry/entry_private.h
+++ b/libplantainusher/entry/entry_private.h
@@ -97,8 +97,8 @@
 {
   PU_EXCHANGE_WAITING,  /* for an identical request, for a suspect to end that
                            occupies a copy, or for its model to be loaded */
-  PU_EXCHANGE_CLAIMING, /* the claim of its key is being proposed or recorded
-                         */
+  PU_EXCHANGE_CLAIMING, /* the claim of its Idempotency-Key, or the outcome of
+                           the claimed call, is being proposed to the log */
   PU_EXCHANGE_QUEUED,   /* in the router's queue */
   PU_EXCHANGE_RUNNING,  /* sent to a backend server or relayed to another entry
                          */
@@ -222,16 +222,17 @@
   GHashTable *suspect_fingerprints; /* set of &fingerprint, as in the view */
   GHashTable *rates;  /* service -> double: requests per second */
   GHashTable *counts; /* service -> guint: requests in the current second */
-  GHashTable *mean_run_ms;    /* model -> double: mean run time of a request */
-  GHashTable *claims;         /* once handle -> pu_exchange_t */
-  GHashTable *tickets;        /* &ticket -> pu_exchange_t */
-  GHashTable *numbers;        /* &number -> pu_exchange_t */
-  GQueue open;                /* of pu_exchange_t */
-  GQueue startup_queue;       /* of held_request_t of startup.c */
-  gsize startup_bytes;        /* total size of their bodies */
-  GHashTable *load_receivers; /* peer address -> load_receiver_t of spread.c */
-  GHashTable *load_ids;       /* &load_id -> pu_server_t */
-  GHashTable *model_waits;    /* model -> model_wait_t of model_wait.c */
+  GHashTable *mean_run_ms; /* model -> double: mean run time of a request */
+  GHashTable *claims;      /* once handle -> pu_exchange_t */
+  GHashTable *tickets;     /* &ticket -> pu_exchange_t */
+  GHashTable *numbers;     /* &number -> pu_exchange_t */
+  GQueue open;             /* of pu_exchange_t */
+  GQueue startup_queue;    /* of held_request_t of startup.c */
+  gsize startup_bytes;     /* total size of their bodies */
+  GHashTable
+      *load_receivers;  /* peer address -> load_receiver_t of load_forward.c */
+  GHashTable *load_ids; /* &load_id -> pu_server_t */
+  GHashTable *model_waits; /* model -> model_wait_t of model_wait.c */
   uv_timer_t tick_timer;
   uv_timer_t router_timer; /* next call of pu_router_schedule */
   guint open_handles;      /* of libuv */
@@ -268,8 +269,8 @@
   pu_router_report_t load;
   bool has_events;
   pu_router_kv_events_t events;
-  GArray *added;   /* of guint64 */
-  GArray *removed; /* of guint64 */
+  GArray *added;   /* of guint64: hashes of the blocks newly cached */
+  GArray *removed; /* of guint64: hashes of the blocks no longer cached */
 } pu_announcement_t;
 
 /* pu_announcement_read_sender - reads the name and the incarnation of the
@@ -454,12 +455,13 @@
 void pu_strike_begin (pu_entry_t *en, const pu_server_t *s,
                       const pu_suspects_strike_t *one);
 
-/* pu_strike_pending - whether a strike against FINGERPRINT is not yet settled:
-   its request must not run.  */
+/* pu_strike_pending - whether a strike against FINGERPRINT has not been
+   removed by pu_strikes_tick yet: its request must not run.  */
 bool pu_strike_pending (const pu_entry_t *en, guint64 fingerprint);
 
-/* pu_strikes_tick - removes the settled strikes and proposes the others again
-   when that is due.  */
+/* pu_strikes_tick - removes the strikes that all entries have received, whose
+   request is convicted, or that have timed out.  Proposes the others to the
+   log again when their retry is due.  */
 void pu_strikes_tick (pu_entry_t *en, guint64 now);
 void pu_strike_free (gpointer strike);
 
@@ -471,7 +473,7 @@
    pu_view_sync at the end.  */
 bool pu_entry_document_sync (pu_entry_t *en, const pu_doc_record *record);
 
-/* --- view.c --- */
+/* --- view.c: the local copy of the replicated state --- */
 
 /* pu_view_sync - applies the changes of the view to the entry's tables.  */
 void pu_view_sync (pu_entry_t *en);
--- a/libplantainusher/entry/events.h
+++ b/libplantainusher/entry/events.h
@@ -37,7 +37,8 @@
    when the stream is complete by its length.  */
 void pu_event_filter_flush (pu_event_filter_t *s);
 
-/* pu_event_filter_last_id - id of the last event forwarded, or AFTER.  */
+/* pu_event_filter_last_id - id of the last event forwarded; if there is none,
+   the AFTER given to pu_event_filter_new.  */
 guint64 pu_event_filter_last_id (const pu_event_filter_t *s);
 
 /* pu_event_filter_count - number of events with an id that were forwarded.  */
--- a/libplantainusher/entry/exchange.c
+++ b/libplantainusher/entry/exchange.c
@@ -521,7 +521,7 @@
 
 /* Handles a failed attempt of X, a suspect that may be repeated, without the
    router's retry budget: the suspects of a lost backend server would use up
-   the budget that other requests need to leave it.  */
+   the budget that other requests need to move to another one.  */
 static void
 suspect_retry (pu_exchange_t *x, pu_router_failure_t failure)
 {
@@ -570,7 +570,7 @@
       return;
     }
   /* The router has tried every copy.  The request is offered once more,
-     because a cut stream may be resumed on the same copy.  */
+     because an interrupted stream may be resumed on the same copy.  */
   if (d.verdict == PU_ROUTER_REFUSE && d.reason == PU_ROUTER_REASON_ATTEMPTS
       && x->q.repeatable && x->q.attempts_max == 0 && !x->offered_again
       && failure != PU_ROUTER_FAIL_NOT_RUN)
--- a/libplantainusher/entry/servers.c
+++ b/libplantainusher/entry/servers.c
@@ -19,7 +19,8 @@
 {
   char *version;
   bool present;
-  guint64 expires_at; /* loop time; reports show the copy's state by then */
+  guint64 expires_at; /* loop time; by then the backend server's reports
+                         show the actual state of the copy */
 } copy_override_t;
 
 static void
--- a/libplantainusher/entry/startup.c
+++ b/libplantainusher/entry/startup.c
@@ -5,8 +5,8 @@
 
 enum
 {
-  /* Covers a leader election and a poll.  Callers disconnect after two seconds
-     without a byte.  */
+  /* Covers a leader election and the agent's next poll of a voter.  Callers
+     disconnect after two seconds without a byte.  */
   HOLD_TIMEOUT_MS = 1500,
   /* Several times the requests that callers send to one instance in that
      time.  */
--- a/libplantainusher/entry/stream.c
+++ b/libplantainusher/entry/stream.c
@@ -106,9 +106,9 @@
   return strcmp (s->id, id) == 0;
 }
 
-/* Whether the usage at the end reports fewer tokens than were forwarded, each
-   in an event of its own.  Not checked after a resume, where the usage may
-   count only the remaining tokens.  */
+/* Whether more tokens were forwarded than the usage in P reports, so that some
+   were sent twice.  Each event with text counts as one token.  Not checked
+   after a resume, where the usage may count only the remaining tokens.  */
 static bool
 has_duplicates (const pu_stream_t *s, const pu_chunk_t *p)
 {
