--- a/libplantainusher/document/check.c
+++ b/libplantainusher/document/check.c
@@ -165,7 +165,8 @@
     }
 }
 
-/* Rows are sorted by name, a model before an adapter.  */
+/* Whether the model or adapter H has the name of the row before it.  Rows are
+   sorted by name, and a model precedes an adapter of the same name.  */
 static bool
 is_duplicate (const pu_document_t *d, pu_model_handle_t h)
 {
@@ -202,7 +203,8 @@
       add_finding (c, row_pointer (table, m->name, ""),
                    "is in no service, so that no caller can reach it");
     }
-  /* Rows are sorted by name, a model before an adapter.  */
+  /* Rows are sorted by name, and a model precedes an adapter of the same
+     name.  */
   if (h > 0 && g_str_equal (c->d->models[h - 1].name, m->name))
     {
       add_finding (c, row_pointer (table, m->name, ""),
--- a/libplantainusher/document/document.h
+++ b/libplantainusher/document/document.h
@@ -53,7 +53,7 @@
 typedef guint32 pu_model_handle_t;
 typedef guint32 pu_service_handle_t;
 
-/* The handle that stands for no row.  */
+/* A handle that refers to no row.  */
 #define PU_HANDLE_NONE G_MAXUINT32
 
 /* Longest name of a service, model, adapter or version, in bytes.  */
@@ -104,7 +104,7 @@
 {
   const char *name;
   guint32 kind;       /* pu_service_kind_t */
-  guint32 importance; /* 1..10, 10 first */
+  guint32 importance; /* 1..10, 10 is the highest */
   pu_targets_t targets;
   guint32 timeout_ms;      /* when the caller gives none */
   guint32 max_concurrency; /* requests running at once in the whole system */
@@ -171,7 +171,7 @@
   guint32 patience_ms;  /* callers disconnect after this time without a first
                            event; 0: at the timeout */
   bool serve_late;      /* an answer after the target is still useful */
-  guint32 priority;     /* 0..9, 9 first */
+  guint32 priority;     /* 0..9, 9 is the highest */
   pu_json_rows_t parts; /* pu_route_part_t */
   guint32 weight_sum;   /* sum of the parts' weights */
 } pu_route_t;
--- a/libplantainusher/document/fit.c
+++ b/libplantainusher/document/fit.c
@@ -222,8 +222,8 @@
   return x->handle < y->handle ? -1 : 1;
 }
 
-/* The first N needs as "a 2 x 20000 MB, b 1 x 14000 MB, 12 more", in
-   descending order of total memory.  */
+/* Returns the copies and memory of the first N needs, such as "a 2 x 20000 MB,
+   b 1 x 14000 MB, 12 more", in descending order of total memory.  */
 static char *
 name_needs (const fit_t *fit, guint n)
 {
@@ -305,8 +305,9 @@
   g_free (names);
 }
 
-/* Compares the number of copies of at least MB among the first N needs with
-   the number that servers with at least WIDTH accelerators can hold.  */
+/* Counts the copies of at least MB that the models of the first N needs
+   require.  Adds a finding and returns false when the servers with at least
+   WIDTH accelerators can't hold as many.  */
 static bool
 check_copy_count (const fit_t *fit, guint n, guint32 width, guint32 mb)
 {
@@ -334,8 +335,8 @@
   return false;
 }
 
-/* Checks the models of each number of accelerators together with those
-   that need more.  */
+/* For each number of accelerators that a model needs, checks together all
+   models that need at least as many.  */
 static void
 check_classes (const fit_t *fit)
 {
--- a/libplantainusher/document/internal.h
+++ b/libplantainusher/document/internal.h
@@ -5,8 +5,8 @@
 
 G_BEGIN_DECLS
 
-/* Private to the slice.  The schema fills in the first group of
-   fields; the lookup tables are built from them.  */
+/* Used only in libplantainusher/document.  The schema fills in the first group
+   of fields; the lookup tables are built from them.  */
 struct pu_document
 {
   pu_json_rows_t services; /* pu_service_t, by name */
--- a/libplantainusher/settings/checks.c
+++ b/libplantainusher/settings/checks.c
@@ -57,9 +57,9 @@
     }
 }
 
-/* A backend server's report reaches the leader with the next poll of its entry
-   and then the next message of the polled voter.  The lease must outlast that
-   delay and the loss of one report.  */
+/* The entry that receives a backend server's report passes it on with its next
+   poll of a voter, and that voter with its next message to the leader.  The
+   lease must outlast both delays and the loss of one report.  */
 static void
 check_backend_lease (const pu_settings_timing_t *t, pu_findings_t *f)
 {
--- a/libplantainusher/settings/checks.h
+++ b/libplantainusher/settings/checks.h
@@ -6,7 +6,7 @@
 G_BEGIN_DECLS
 
 /* pu_settings_check - adds a finding to F for each constraint between fields
-   that S violates.  Private to the slice.  */
+   that S violates.  Used only in libplantainusher/settings.  */
 void pu_settings_check (const pu_settings_t *s, pu_findings_t *f);
 
 G_END_DECLS
--- a/libplantainusher/settings/settings.h
+++ b/libplantainusher/settings/settings.h
@@ -51,7 +51,7 @@
 typedef struct
 {
   pu_json_rows_t operators;   /* pu_settings_operator_t */
-  pu_json_strings_t backends; /* each permits announcements */
+  pu_json_strings_t backends; /* each allows a backend server to report */
   const char *peers;          /* shared by all daemons */
 } pu_settings_keys_t;
 
@@ -68,7 +68,7 @@
   guint32 max_announcement_bytes; /* of a backend server's report */
   guint32 max_connections;        /* open at once from callers */
   guint32 max_open_streams;       /* requests in progress at once */
-  guint32 max_peer_message_bytes; /* one record between daemons */
+  guint32 max_peer_message_bytes; /* of one message between daemons */
   guint32 max_claims;             /* at-most-once keys kept by a voter */
   guint32 snapshot_entries;       /* log entries between snapshots */
   double drain_s; /* longest wait for requests in flight at a planned stop */
@@ -89,8 +89,9 @@
                                   entries_ttl_s */
   guint32 loads_ms;            /* minimum interval between an entry's messages
                                   about loads to another entry */
-  guint32 gather_ms;           /* delay of changes of copies, to notify daemons
-                                  of several at once */
+  guint32 gather_ms;           /* delay before daemons are notified of changed
+                                  copies, so that one message covers several
+                                  changes */
   guint32 sessions_ms;         /* interval of a voter's messages to the leader
                                   on daemons, backend servers and demand */
   guint32 session_ms;          /* a daemon silent for longer is down */
@@ -119,7 +120,8 @@
   guint32 memory_mb;     /* limit of this process */
   guint32 descriptors;   /* limit of this process */
   guint32 report_ms;     /* interval of a backend server's reports */
-  guint32 drain_ms;      /* a leaving backend server may get work this long */
+  guint32 drain_ms;      /* a leaving backend server may get new requests for
+                            this long */
   guint32 in_force_ms;   /* an accepted document is in force everywhere
                             after this */
   double grace_s;        /* from the stop signal to the kill */
