--- a/bench/log_bench.cc
+++ b/bench/log_bench.cc
@@ -345,12 +345,12 @@
       /* At any point between two heartbeats.  */
       c.run ([] { return false; }, (uint64_t)(i * 37 % 250) + 1);
       gint64 start = g_get_monotonic_time ();
-      old->cut = true;
+      old->isolated = true;
       c.run ([&] { return c.leader () != nullptr; }, 20000);
       s.version = pu_state_document (c.machines[0]->state)->doc_version;
       s.submit (1, 1);
       ms.push_back ((double)(g_get_monotonic_time () - start) / US_A_MS);
-      old->cut = false;
+      old->isolated = false;
       c.run ([] { return false; }, 600);
     }
   report ("log.elect_ms.p50", percentile (ms, 0.5), "ms");
--- a/libplantainusher/control/control.c
+++ b/libplantainusher/control/control.c
@@ -208,7 +208,7 @@
   g->fs = o->fs;
   g->send = on_send;
   g->apply = on_apply;
-  g->take = on_snapshot;
+  g->take_snapshot = on_snapshot;
   g->restore = on_restore;
   g->role = on_role;
   g->data = c;
--- a/libplantainusher/log/group.c
+++ b/libplantainusher/log/group.c
@@ -135,7 +135,7 @@
   GBytes *b = NULL;
 
   if (index == g->applied)
-    b = g->o.take (index, g->o.data);
+    b = g->o.take_snapshot (index, g->o.data);
   pu_replica_snapshot_taken (g->replica, index, b);
   if (b != NULL)
     g_bytes_unref (b);
--- a/libplantainusher/log/group.h
+++ b/libplantainusher/log/group.h
@@ -69,7 +69,7 @@
                                    identity */
   pu_group_send_fn *send;
   pu_group_apply_fn *apply;
-  pu_group_take_snapshot_fn *take;
+  pu_group_take_snapshot_fn *take_snapshot;
   pu_group_restore_fn *restore;
   pu_group_role_fn *role;    /* may be NULL */
   pu_group_now_fn *now;      /* NULL: milliseconds of CLOCK_BOOTTIME */
--- a/libplantainusher/log/group_fake.h
+++ b/libplantainusher/log/group_fake.h
@@ -22,7 +22,7 @@
   pu_journal_fs_t fs = *pu_journal_fs_system ();
   std::vector<std::string> applied;
   uint64_t restored = 0; /* entries restored from a snapshot */
-  bool cut = false;      /* isolated: neither sends nor receives */
+  bool isolated = false; /* isolated: neither sends nor receives */
   /* Set to use another state machine instead of the list.  */
   std::function<void (uint64_t, const void *, size_t)> on_entry;
   std::function<GBytes *()> on_image;
@@ -113,7 +113,7 @@
     o.replica.n_initial = peers.size ();
     o.send = on_send;
     o.apply = on_apply;
-    o.take = on_take_snapshot;
+    o.take_snapshot = on_take_snapshot;
     o.restore = on_restore;
     v.applied.clear ();
     v.group = pu_group_new (&o, e);
@@ -167,7 +167,8 @@
   {
     for (auto &v : voters)
       {
-        if (v->group != nullptr && !v->cut && pu_group_holds_lease (v->group))
+        if (v->group != nullptr && !v->isolated
+            && pu_group_holds_lease (v->group))
           return v.get ();
       }
     return nullptr;
@@ -184,7 +185,7 @@
   {
     auto *v = (FakeVoter *)data;
     FakeCluster *c = v->cluster;
-    if (v->cut)
+    if (v->isolated)
       return;
     c->sent++;
     c->sent_bytes += g_bytes_get_size (msg);
@@ -203,7 +204,7 @@
         FakeVoter &v = *c->voters[p.to[0] - 'a'];
         gsize n;
         const void *bytes = g_bytes_get_data (p.msg, &n);
-        if (v.group != nullptr && !v.cut)
+        if (v.group != nullptr && !v.isolated)
           pu_group_receive (v.group, bytes, n, nullptr);
         g_bytes_unref (p.msg);
       }
--- a/libplantainusher/log/journal.h
+++ b/libplantainusher/log/journal.h
@@ -115,8 +115,9 @@
                             const pu_log_meta *m);
 
 /* pu_journal_queue_snapshot - queues a snapshot, which is written
-   independently of the batches and reported by `saved`.  INSTALLED makes void
-   all entries that were queued or written before.  */
+   independently of the batches and reported by `saved`.  If INSTALLED, the
+   snapshot replaces the log: all entries queued or written before it are
+   discarded.  */
 void pu_journal_queue_snapshot (pu_journal_t *j, const pu_snapshot_t *s,
                                 bool installed);
 
--- a/libplantainusher/log/journal_fake.h
+++ b/libplantainusher/log/journal_fake.h
@@ -106,8 +106,8 @@
   }
 
   /* A power failure: each file keeps what was synced and perhaps a prefix of
-     what was not.  The folder is left as last
-     synced or in its latest state.  */
+     what was not.  The folder is left as last synced or in its latest
+     state.  */
   void
   crash (std::mt19937 &rand)
   {
--- a/libplantainusher/log/journal_load.c
+++ b/libplantainusher/log/journal_load.c
@@ -374,7 +374,7 @@
       if (!load_segment (j, i, first_batch, image, e))
         return false;
     }
-  /* Batches that an installed snapshot made void may be missing at the end:
+  /* Batches that an installed snapshot replaced may be missing at the end:
      the next batch then starts a new segment.  */
   j->rotate = j->next_batch < first_batch;
   j->next_batch = MAX (j->next_batch, first_batch);
--- a/libplantainusher/log/journal_private.h
+++ b/libplantainusher/log/journal_private.h
@@ -32,7 +32,7 @@
   uint64_t start_batch; /* number of the first batch; in the file's name */
   uint64_t last_index;  /* highest entry */
   uint64_t bytes;
-  bool superseded; /* an installed snapshot made all entries void */
+  bool superseded; /* an installed snapshot replaced all its entries */
 } pu_segment_t;
 
 enum
--- a/libplantainusher/log/log_msg.x
+++ b/libplantainusher/log/log_msg.x
@@ -114,7 +114,7 @@
 struct pu_log_append
 {
   unsigned hyper seq;     /* increases with each message to this peer */
-  unsigned hyper sent;    /* send time */
+  unsigned hyper sent;    /* send time by the leader's clock, in ms */
   unsigned hyper prev_index;
   unsigned hyper prev_term;
   unsigned hyper commit;
--- a/libplantainusher/log/record.h
+++ b/libplantainusher/log/record.h
@@ -42,8 +42,8 @@
 GBytes *pu_xdr_encode (xdrproc_t proc, const void *p);
 
 /* pu_xdr_decode - fills the zeroed value at P from the LEN bytes at BYTES.
-   Returns false, and frees what P got, when they are malformed or more bytes
-   follow the value.  */
+   Returns false when they are malformed or more bytes follow the value; the
+   members decoded until then are freed.  */
 bool pu_xdr_decode (xdrproc_t proc, void *p, const void *bytes, size_t len);
 
 /* pu_log_msg_encode, pu_log_msg_decode - encode and decode a message between
--- a/libplantainusher/log/replica.c
+++ b/libplantainusher/log/replica.c
@@ -135,7 +135,7 @@
   pu_deferred_send_t *h;
   GBytes *bytes;
 
-  if (r->silent)
+  if (r->stopped)
     return;
   m.protocol = PU_LOG_PROTOCOL_VERSION;
   m.group = r->o.group;
@@ -211,7 +211,7 @@
     {
       r->term = term;
       r->vote = 0;
-      r->verified = 0;
+      r->matched_leader_index = 0;
       r->reply_pending = false;
       r->echo_seq = 0;
       pu_r_save_meta (r);
@@ -227,7 +227,7 @@
   r->role = PU_ROLE_FOLLOWER;
   pu_log_peer_clear (&r->leader);
   pu_r_drop_deferred_sends (r);
-  r->silent = true;
+  r->stopped = true;
 }
 
 void
@@ -379,7 +379,7 @@
 void
 pu_replica_tick (pu_replica_t *r, uint64_t now)
 {
-  if (r->silent)
+  if (r->stopped)
     return;
   if (r->role == PU_ROLE_LEADER)
     {
@@ -424,7 +424,7 @@
 static bool
 accepts_message (const pu_replica_t *r, const pu_log_msg *m)
 {
-  if (r->silent || m->group != r->o.group || m->from.id == r->self.id
+  if (r->stopped || m->group != r->o.group || m->from.id == r->self.id
       || m->from.id == 0)
     return false;
   if (m->cluster != 0 && r->cluster != 0 && m->cluster != r->cluster)
@@ -500,7 +500,7 @@
   uint64_t durable = r->durable;
   pu_pending_write_t *w;
 
-  if (r->silent || ticket <= r->synced_ticket)
+  if (r->stopped || ticket <= r->synced_ticket)
     return;
   r->synced_ticket = ticket;
   while ((w = g_queue_peek_head (&r->pending_writes)) != NULL
@@ -529,7 +529,7 @@
 {
   pu_action_t *head;
 
-  if (r->actions.length == 0 && !r->silent)
+  if (r->actions.length == 0 && !r->stopped)
     {
       pu_r_flush_writes (r);
       if (r->role == PU_ROLE_LEADER)
--- a/libplantainusher/log/replica_append.c
+++ b/libplantainusher/log/replica_append.c
@@ -42,7 +42,7 @@
   p.next = pu_r_last_index (r) + 1;
   p.probing = true;
   p.floor = pu_r_floor (r, id);
-  p.heard = now;
+  p.last_reply_at = now;
   p.next_heartbeat_at = now;
   g_queue_init (&p.in_flight_appends);
   g_array_append_val (r->progress, p);
@@ -116,7 +116,7 @@
                     size_t len, uint64_t *index, pu_error_t *e)
 {
   (void)now;
-  if (r->role != PU_ROLE_LEADER || r->silent)
+  if (r->role != PU_ROLE_LEADER || r->stopped)
     return pu_error_set (e, PU_ERROR_UNAVAILABLE, "not the leader");
   if (r->transfer_deadline != 0)
     {
@@ -246,7 +246,7 @@
     {
       pu_progress_t *p = &g_array_index (r->progress, pu_progress_t, i);
 
-      while (!p->probing && !p->refused && p->next > r->base
+      while (!p->probing && !p->lost_entries && p->next > r->base
              && p->next <= pu_r_last_index (r)
              && p->in_flight_appends.length < r->o.window)
         send_append (r, p, now, true);
@@ -291,8 +291,8 @@
       const pu_log_member *m = &c->members.members_val[i];
       const pu_progress_t *p = pu_r_find_progress (r, m->peer.id);
 
-      if (m->role != PU_LOG_VOTER || p == NULL || p->refused
-          || now > p->heard
+      if (m->role != PU_LOG_VOTER || p == NULL || p->lost_entries
+          || now > p->last_reply_at
                        + TRANSFER_SILENCE_HEARTBEATS
                              * (uint64_t)r->o.heartbeat_ms)
         continue;
@@ -316,7 +316,7 @@
   if (now < p->next_heartbeat_at)
     return;
   p->next_heartbeat_at = now + r->o.heartbeat_ms;
-  if (p->refused && m != NULL)
+  if (p->lost_entries && m != NULL)
     {
       pu_r_send_rejoin (r, &m->peer);
     }
@@ -387,7 +387,7 @@
         }
       else
         {
-          match[n++] = p != NULL && !p->refused ? p->match : 0;
+          match[n++] = p != NULL && !p->lost_entries ? p->match : 0;
         }
     }
   if (n == 0)
@@ -474,16 +474,16 @@
   pu_progress_t *p = pu_r_find_progress (r, m->from.id);
 
   if (r->role != PU_ROLE_LEADER || m->term != r->term || p == NULL
-      || p->refused || a->seq > p->seq || a->sent > now)
+      || p->lost_entries || a->seq > p->seq || a->sent > now)
     return;
   if (a->match > pu_r_last_index (r))
     return;
   if (has_lost_entries (r, p, a))
     {
-      p->refused = true;
+      p->lost_entries = true;
       return;
     }
-  p->heard = now;
+  p->last_reply_at = now;
   p->acked_send_time = MAX (p->acked_send_time, a->sent);
   update_fetch_progress (p, now, a);
   if (!a->ok)
@@ -515,13 +515,14 @@
   a->seq = r->echo_seq;
   a->sent = r->echo_sent;
   a->ok = ok;
-  a->match = ok && r->installing == 0 ? MIN (r->verified, durable) : 0;
+  a->match
+      = ok && r->installing == 0 ? MIN (r->matched_leader_index, durable) : 0;
   a->last = last;
   a->synced = durable;
   a->snapshot = r->snapshot.index;
   a->fetched = r->fetching.data != NULL ? r->fetching.data->len : 0;
   if (ok)
-    r->reply_pending = r->verified > durable;
+    r->reply_pending = r->matched_leader_index > durable;
   pu_r_send (r, &r->leader, &b);
 }
 
@@ -653,9 +654,9 @@
     }
   if (!merge_entries (r, a))
     return;
-  r->verified = MAX (r->verified, a->prev_index + n);
+  r->matched_leader_index = MAX (r->matched_leader_index, a->prev_index + n);
   pu_r_advance_commit (r, MIN (a->commit, a->prev_index + n));
-  if (n == 0 || r->durable >= r->verified)
+  if (n == 0 || r->durable >= r->matched_leader_index)
     {
       pu_r_reply_append (r, true, 0);
     }
@@ -699,6 +700,6 @@
   if (r->role != PU_ROLE_LEADER || p == NULL)
     return false;
   *match = p->match;
-  *silent_ms = now - MIN (now, p->heard);
+  *silent_ms = now - MIN (now, p->last_reply_at);
   return true;
 }
--- a/libplantainusher/log/replica_disk.h
+++ b/libplantainusher/log/replica_disk.h
@@ -35,7 +35,7 @@
                                               : nullptr;
   }
   void
-  cut (uint64_t first)
+  truncate_from (uint64_t first)
   {
     while (!entries.empty () && last () >= first)
       {
@@ -46,7 +46,7 @@
   void
   clear ()
   {
-    cut (0);
+    truncate_from (0);
     pu_snapshot_t none{};
     pu_log_config_clear (&snapshot.config);
     if (snapshot.data != nullptr)
@@ -61,16 +61,16 @@
 {
   pu_replica_t *r = nullptr;
   Disk disk;
-  std::deque<pu_action_t> pending; // WRITE, META and SAVE not synced yet
+  std::deque<pu_action_t> pending; // writes and snapshots not synced yet
   std::string name;
-  int rate = 0;        // clock rate error, permille
-  uint64_t offset = 0; // of its clock, ms
+  int rate_permille = 0; // clock rate error
+  uint64_t clock_offset_ms = 0;
   bool paused = false;
   bool stalled = false;
   uint64_t state_hash = 0; // the state machine: a hash of all data entries
   uint64_t applied = 0;
   std::vector<uint64_t> voters; // in the configuration of its log
-  uint64_t config = 0;          // index of that configuration
+  uint64_t config_index = 0;    // of that configuration
   bool had_log = false;         // has been a member of a log
   bool surplus = false;         // more voters than the target
 };
--- a/libplantainusher/log/replica_fetch.c
+++ b/libplantainusher/log/replica_fetch.c
@@ -24,9 +24,10 @@
 can_seed (const pu_replica_t *r, const pu_progress_t *p,
           const pu_progress_t *target, uint64_t now)
 {
-  return p != target && !p->refused && p->snapshot >= r->base
+  return p != target && !p->lost_entries && p->snapshot >= r->base
          && p->snapshot > 0
-         && now <= p->heard + STALL_HEARTBEATS * (uint64_t)r->o.heartbeat_ms;
+         && now <= p->last_reply_at
+                       + STALL_HEARTBEATS * (uint64_t)r->o.heartbeat_ms;
 }
 
 /* Returns the seeder at TURN in the rotation over all candidates, of which the
@@ -88,7 +89,7 @@
 
   b.pu_log_body_u.fetch.index = r->fetching.index;
   b.pu_log_body_u.fetch.offset = r->fetching.data->len;
-  r->fetching.asked_at = now;
+  r->fetching.requested_at = now;
   pu_r_send (r, &r->fetching.from, &b);
 }
 
@@ -108,7 +109,7 @@
 pu_r_fetch_tick (pu_replica_t *r, uint64_t now)
 {
   if (r->fetching.from.id != 0
-      && now > r->fetching.asked_at
+      && now > r->fetching.requested_at
                    + RETRY_HEARTBEATS * (uint64_t)r->o.heartbeat_ms)
     request_chunk (r, now);
 }
--- a/libplantainusher/log/replica_log.c
+++ b/libplantainusher/log/replica_log.c
@@ -170,7 +170,7 @@
   g_ptr_array_set_size (r->entries, (gint)(keep - r->base));
   r->written = MIN (r->written, keep);
   r->durable = MIN (r->durable, keep);
-  r->verified = MIN (r->verified, keep);
+  r->matched_leader_index = MIN (r->matched_leader_index, keep);
   limit_pending_writes (r, keep);
   drop_configs_from (r, first);
 }
@@ -183,7 +183,7 @@
   pu_action_t *a;
   pu_pending_write_t *w;
 
-  if (r->silent || r->installing != 0 || r->written >= last)
+  if (r->stopped || r->installing != 0 || r->written >= last)
     return;
   a = pu_r_push_action (r, PU_ACTION_WRITE);
   a->ticket = ++r->last_ticket;
@@ -255,7 +255,7 @@
 {
   pu_action_t *a;
 
-  if (r->silent)
+  if (r->stopped)
     return;
   if (r->applied < r->commit)
     {
@@ -321,7 +321,7 @@
 pu_replica_snapshot_saved (pu_replica_t *r, uint64_t now, uint64_t index)
 {
   (void)now;
-  if (r->silent)
+  if (r->stopped)
     return;
   if (r->installing != 0 && r->installing == index)
     {
@@ -368,7 +368,7 @@
   r->commit = s->index;
   r->applied = s->index;
   r->written = s->index;
-  r->verified = s->index;
+  r->matched_leader_index = s->index;
   r->installing = s->index;
   replace_configs (r, s->index, &s->config);
   a = pu_r_push_action (r, PU_ACTION_SAVE_SNAPSHOT);
--- a/libplantainusher/log/replica_private.h
+++ b/libplantainusher/log/replica_private.h
@@ -31,18 +31,19 @@
   uint64_t id;
   uint64_t next;  /* next index to send */
   uint64_t match; /* match index: durable there and equal to this log */
-  uint64_t floor; /* durable floor, learned from earlier leaders */
+  uint64_t floor; /* durable floor: highest committed index that the member
+                     is known to have synced; 0: unknown */
   uint64_t seq;   /* of the last message sent */
   uint64_t match_check_from_seq; /* replies from this seq on must report at
                          least match as synced */
-  uint64_t reject_seq; /* last seq sent when a rejection arrived; rejections
-                          up to it are repeats */
+  uint64_t reject_seq; /* last seq sent when a rejection arrived; rejections of
+                          messages up to it are ignored as repeats */
   uint64_t acked_send_time; /* newest send time among the answered messages */
-  uint64_t heard;           /* time of the last reply */
+  uint64_t last_reply_at;   /* time of the last reply */
   uint64_t next_heartbeat_at; /* time of the next heartbeat */
   bool probing;               /* next is not confirmed: send no entries */
-  bool refused; /* lost entries that it had synced: not counted, told to
-                   rejoin */
+  bool lost_entries; /* its disk lost synced entries: it is not counted in a
+                        quorum and is told to rejoin */
   GQueue in_flight_appends; /* in-flight messages with entries: the last index
                     of each */
   uint64_t snapshot;        /* index of its newest snapshot */
@@ -50,7 +51,7 @@
   uint64_t fetch_progress_at; /* time of the last change of fetched */
   uint64_t seeder;            /* member it fetches a snapshot from; 0: it needs
                                  none */
-  uint32_t seeder_turn;
+  uint32_t seeder_turn;       /* turn in the rotation over all candidates */
 } pu_progress_t;
 
 /* A configuration and the index of its entry.  */
@@ -92,10 +93,11 @@
   uint64_t term;
   uint64_t total; /* bytes */
   uint64_t hash;
-  uint64_t asked_at; /* time of the last request */
+  uint64_t requested_at; /* time of the last request */
   GByteArray *data;
 } pu_snapshot_fetch_t;
 
+/* Times are in milliseconds.  */
 struct pu_replica
 {
   pu_replica_options_t o;
@@ -103,7 +105,7 @@
   GArray *seeds; /* of pu_seed_t, without self */
   GRand *rand;
   bool initial; /* may bootstrap the log */
-  bool silent;  /* takes no part: the disk failed or the identity is retired */
+  bool stopped; /* takes no part: the disk failed or the identity is retired */
   bool failed;
 
   uint64_t cluster;
@@ -118,7 +120,8 @@
   bool transfer_campaign;    /* the leader requested this campaign */
   uint64_t next_hello_at;    /* time of the next hello messages */
   GHashTable *votes_granted; /* by identity, in this campaign */
-  GHashTable *floors;        /* identity -> uint64_t *, its durable floor */
+  GHashTable *floors; /* identity -> uint64_t *: highest committed index that
+                         it is known to have synced */
 
   GPtrArray *entries;            /* of pu_record_t, from index base + 1 */
   uint64_t base;                 /* index before the first entry in memory */
@@ -137,7 +140,7 @@
   uint64_t commit;            /* commit index */
   uint64_t max_leader_commit; /* highest commit index that a leader reported */
   uint64_t commit_lag_since;  /* since when commit is lower than
-                             max_leader_commit; 0: it  is not */
+                             max_leader_commit; 0: it is not */
   uint64_t applied;           /* last index passed on in PU_ACTION_APPLY */
   uint64_t written;           /* last index passed on in PU_ACTION_WRITE */
   uint64_t durable;           /* last durable index */
@@ -149,10 +152,12 @@
   GQueue deferred_sends;  /* of pu_deferred_send_t * */
 
   /* As a follower.  */
-  uint64_t verified;  /* the log equals the leader's up to this index, in this
-                         term */
-  uint64_t echo_seq;  /* seq and send time of the leader's newest message, */
-  uint64_t echo_sent; /* returned in replies */
+  uint64_t matched_leader_index; /* the log equals the leader's up to this
+                        index, in this term */
+  uint64_t
+      echo_seq; /* seq of the leader's newest message, returned in replies */
+  uint64_t echo_sent; /* send time of that message, by the leader's clock;
+                         returned in replies */
   bool reply_pending; /* reply as soon as more entries are durable */
   pu_snapshot_fetch_t fetching;
 
@@ -161,10 +166,10 @@
   uint64_t leader_since;
   uint64_t
       term_first_index; /* index of the first entry of this leader's term */
-  uint64_t uncommitted_bytes; /* of the entries after commit */
-  uint64_t
-      committed_config_index; /* index of the configuration last seen to be */
-  uint64_t settled_at;        /* committed, and since when */
+  uint64_t uncommitted_bytes;      /* of the entries after commit */
+  uint64_t committed_config_index; /* index of the newest configuration known
+                                      to be committed */
+  uint64_t config_committed_at;    /* time when that was noticed */
   uint64_t transfer_deadline; /* deadline of a leadership transfer; 0: none */
   uint64_t transfer_target;   /* identity that is to become leader */
 };
--- a/libplantainusher/log/replica_sim.h
+++ b/libplantainusher/log/replica_sim.h
@@ -3,7 +3,7 @@
 
 /*
  * replica_sim - simulates replicas, their disks and a network with faults, and
- * checks safety invariants.  Used only by the tests of this slice.
+ * checks safety invariants.  Used only by the tests in this folder.
  */
 
 #include <algorithm>
@@ -77,8 +77,8 @@
       nodes_[i].name = std::string (1, (char)('a' + i));
     for (unsigned i = 0; i < nodes_.size (); i++)
       {
-        nodes_[i].rate = (int)(rand_ () % 21) - 10;
-        nodes_[i].offset = rand_ () % 100000;
+        nodes_[i].rate_permille = (int)(rand_ () % 21) - 10;
+        nodes_[i].clock_offset_ms = rand_ () % 100000;
         reset_disk (i);
         start (i);
       }
@@ -246,7 +246,8 @@
   uint64_t
   clock (const Node &n) const
   {
-    return n.offset + now_ + now_ * (uint64_t)(1000 + n.rate) / 1000 - now_;
+    return n.clock_offset_ms + now_
+           + now_ * (uint64_t)(1000 + n.rate_permille) / 1000 - now_;
   }
   void
   stop (unsigned i)
@@ -298,7 +299,7 @@
       g_ptr_array_add (d.entries, pu_record_ref (e));
     d.commit = n.disk.commit;
     n.state_hash
-        = n.disk.snapshot.index ? read_chain (n.disk.snapshot.data) : 0;
+        = n.disk.snapshot.index ? read_state_hash (n.disk.snapshot.data) : 0;
     n.applied = n.disk.snapshot.index;
     n.r = pu_replica_new (&o, &d, clock (n));
     d.snapshot = pu_snapshot_t{};
@@ -321,7 +322,7 @@
   {
     Disk &d = nodes_[i].disk;
     stop (i);
-    d.cut (d.last () + 1 - n);
+    d.truncate_from (d.last () + 1 - n);
     d.commit = std::min (d.commit, d.last ());
     start (i);
   }
@@ -334,7 +335,7 @@
                                ? pu_replica_entry (n.r, committed_config_)
                                : n.disk.at (committed_config_);
     auto it = committed_.find (committed_config_);
-    return n.config < committed_config_
+    return n.config_index < committed_config_
            || (e != nullptr && it != committed_.end ()
                && e->term != it->second.first);
   }
@@ -390,7 +391,7 @@
     nodes_[i].disk.clear ();
     nodes_[i].disk.meta.id = ((uint64_t)rand_ () << 32 | rand_ ()) | 1;
     nodes_[i].voters.clear ();
-    nodes_[i].config = 0;
+    nodes_[i].config_index = 0;
     nodes_[i].surplus = false;
   }
   void
@@ -406,7 +407,7 @@
       row.assign (row.size (), false);
   }
   static uint64_t
-  read_chain (GBytes *b)
+  read_state_hash (GBytes *b)
   {
     uint64_t state_hash;
     memcpy (&state_hash, g_bytes_get_data (b, nullptr), sizeof state_hash);
@@ -430,7 +431,7 @@
         for (guint i = 0; i < a.write.entries->len; i++)
           {
             auto *e = (pu_record_t *)g_ptr_array_index (a.write.entries, i);
-            n.disk.cut (e->index);
+            n.disk.truncate_from (e->index);
             if (e->index != n.disk.last () + 1)
               fail ("entry written to the journal is not contiguous");
             n.disk.entries.push_back (pu_record_ref (e));
@@ -488,7 +489,9 @@
       }
   }
 
-  /* Picks the leader for large A, since faults of the leader matter most.  */
+  /* Picks the leader, if there is one, unless A is the number of a node:
+     faults of the leader matter most, so events choose it about half of the
+     time.  */
   unsigned
   pick_node (unsigned a)
   {
@@ -641,7 +644,7 @@
       case PU_ACTION_SAVE_SNAPSHOT:
         if (a.save.installed)
           {
-            n.state_hash = read_chain (a.save.snapshot.data);
+            n.state_hash = read_state_hash (a.save.snapshot.data);
             n.applied = a.save.snapshot.index;
             if (committed_[n.applied].second != n.state_hash)
               fail ("installed snapshot does not match the committed state");
@@ -703,7 +706,7 @@
   {
     const pu_log_config *c = pu_replica_config (n.r);
     n.voters.clear ();
-    n.config = pu_replica_config_index (n.r);
+    n.config_index = pu_replica_config_index (n.r);
     n.surplus = pu_log_config_count_voters (c) > c->target;
     n.had_log = n.had_log || c->members.members_len > 0;
     for (guint k = 0; k < c->members.members_len; k++)
--- a/libplantainusher/log/replica_vote.c
+++ b/libplantainusher/log/replica_vote.c
@@ -309,7 +309,7 @@
         }
       else
         {
-          sent[n++] = p != NULL && !p->refused ? p->acked_send_time : 0;
+          sent[n++] = p != NULL && !p->lost_entries ? p->acked_send_time : 0;
         }
     }
   if (n == 0)
--- a/libplantainusher/log/replica_voters.c
+++ b/libplantainusher/log/replica_voters.c
@@ -19,10 +19,11 @@
   EMPTY_REPORT_ELECTIONS = 5,
   /* Election timeouts without a leader until other members are asked.  */
   DISCOVERY_ELECTIONS = 3,
-  /* Election timeouts of silence until a successor may replace a voter.  */
+  /* Election timeouts without a reply until a voter may be removed in favour
+     of a learner that has its name or that an operator chose.  */
   UNRESPONSIVE_ELECTIONS = 2,
-  /* Heartbeats within which a message must have been sent whose answer
-     confirms that a member is live.  */
+  /* A member is live if it has answered a message that was sent within this
+     many heartbeats.  */
   CONFIRM_HEARTBEATS = 2,
   /* Entries by which a caught-up member may lag.  */
   CAUGHT_UP_LAG_ENTRIES = 128,
@@ -201,15 +202,15 @@
 }
 
 /* Returns whether M has lost synced entries or has been silent so long that a
-   new identity of the same name may replace it.  */
+   learner of the same name, or one that an operator chose, may replace it.  */
 static bool
 is_unresponsive (const pu_replica_t *r, const pu_log_member *m, uint64_t now)
 {
   const pu_progress_t *p = pu_r_find_progress (r, m->peer.id);
 
   return p != NULL
-         && (p->refused
-             || now > p->heard
+         && (p->lost_entries
+             || now > p->last_reply_at
                           + UNRESPONSIVE_ELECTIONS
                                 * (uint64_t)r->o.election_ms);
 }
@@ -223,7 +224,9 @@
 
   if (m->peer.id == r->self.id)
     return false;
-  return p != NULL && (p->refused || now > p->heard + r->o.replace_after_ms);
+  return p != NULL
+         && (p->lost_entries
+             || now > p->last_reply_at + r->o.replace_after_ms);
 }
 
 /* Returns whether M has answered a message that was sent after the
@@ -236,7 +239,8 @@
 
   if (m->peer.id == r->self.id)
     return true;
-  return p != NULL && !p->refused && p->acked_send_time > r->settled_at
+  return p != NULL && !p->lost_entries
+         && p->acked_send_time > r->config_committed_at
          && now <= p->acked_send_time
                        + CONFIRM_HEARTBEATS * (uint64_t)r->o.heartbeat_ms;
 }
@@ -540,7 +544,7 @@
   if (r->committed_config_index != pu_r_config_index (r))
     {
       r->committed_config_index = pu_r_config_index (r);
-      r->settled_at = now;
+      r->config_committed_at = now;
     }
   if (remove_surplus_voter (r, now))
     return;
