--- a/libplantainusher/log/journal.c
+++ b/libplantainusher/log/journal.c
@@ -65,7 +65,7 @@
     {
       const pu_record_t *n = g_ptr_array_index (entries, i);
 
-      g_ptr_array_add (j->uncommitted_entries, pu_record_ref (n));
+      g_ptr_array_add (j->queued_entries, pu_record_ref (n));
       j->last_index = n->index;
     }
   j->commit_index = MAX (j->commit_index, commit);
@@ -104,7 +104,7 @@
 
   for (guint i = 0; i < n; i++)
     {
-      pu_record_to_xdr (g_ptr_array_index (j->uncommitted_entries, first + i),
+      pu_record_to_xdr (g_ptr_array_index (j->queued_entries, first + i),
                         &x[i]);
     }
   b.commit = j->commit_index;
@@ -135,9 +135,9 @@
     }
   job->offset = (int64_t)seg->bytes;
   seg->last_index = MAX (seg->last_index, j->last_index);
-  for (guint i = 0; i < j->uncommitted_entries->len; i++)
+  for (guint i = 0; i < j->queued_entries->len; i++)
     {
-      const pu_record_t *n = g_ptr_array_index (j->uncommitted_entries, i);
+      const pu_record_t *n = g_ptr_array_index (j->queued_entries, i);
 
       seg->last_index = MAX (seg->last_index, n->index);
     }
@@ -166,7 +166,7 @@
 new_batch_job (pu_journal_t *j)
 {
   pu_batch_job_t *job = g_new0 (pu_batch_job_t, 1);
-  guint n = j->uncommitted_entries->len;
+  guint n = j->queued_entries->len;
   guint step = j->o.sync_each_entry ? 1 : MAX (n, 1);
 
   pu_journal_job_init (&job->base, j, PU_JOURNAL_JOB_BATCH);
@@ -190,7 +190,7 @@
   if (j->meta_pending)
     job->meta_frame = encode_meta (j);
   j->meta_pending = false;
-  g_ptr_array_set_size (j->uncommitted_entries, 0);
+  g_ptr_array_set_size (j->queued_entries, 0);
   return job;
 }
 
@@ -302,7 +302,7 @@
 static bool
 has_pending_batch (const pu_journal_t *j)
 {
-  return j->uncommitted_entries->len > 0 || j->meta_pending;
+  return j->queued_entries->len > 0 || j->meta_pending;
 }
 
 static void
@@ -546,7 +546,7 @@
   j->meta_fd = -1;
   j->segment_fd = -1;
   j->segments = g_array_new (FALSE, TRUE, sizeof (pu_segment_t));
-  j->uncommitted_entries
+  j->queued_entries
       = g_ptr_array_new_with_free_func ((GDestroyNotify)pu_record_unref);
   g_queue_init (&j->snapshot_queue);
   rc = j->fs->mkdir (j->fs->data, j->folder);
@@ -671,7 +671,7 @@
     j->fs->close (j->fs->data, j->segment_fd);
   g_queue_clear_full (&j->snapshot_queue,
                       (GDestroyNotify)pu_snapshot_job_free);
-  g_ptr_array_unref (j->uncommitted_entries);
+  g_ptr_array_unref (j->queued_entries);
   g_array_unref (j->segments);
   g_free (j->folder);
   g_free (j);
--- a/libplantainusher/log/journal_private.h
+++ b/libplantainusher/log/journal_private.h
@@ -89,7 +89,7 @@
   uint64_t snapshot_bytes;
   pu_log_meta meta; /* as last queued */
 
-  GPtrArray *uncommitted_entries; /* pu_record_t, for the next batch */
+  GPtrArray *queued_entries; /* pu_record_t, for the next batch */
   bool meta_pending;
   uint64_t pending_ticket;        /* highest ticket queued */
   GQueue snapshot_queue;          /* of pu_journal_job_t * */
--- a/libplantainusher/log/journal_save.c
+++ b/libplantainusher/log/journal_save.c
@@ -47,7 +47,7 @@
   pu_log_config_copy (&job->snapshot.config, &s->config);
   if (installed)
     {
-      g_ptr_array_set_size (j->uncommitted_entries, 0);
+      g_ptr_array_set_size (j->queued_entries, 0);
       job->first_batch = j->next_batch;
       j->last_index = s->index;
       j->rotate = true;
