--- a/libplantainusher/log/journal_private.h
+++ b/libplantainusher/log/journal_private.h
@@ -32,7 +32,7 @@
   uint64_t start_batch; /* number of the first batch; in the file's name */
   uint64_t last_index;  /* highest entry */
   uint64_t bytes;
-  bool superseded; /* an installed snapshot made all entries void */
+  bool superseded; /* an installed snapshot replaced all its entries */
 } pu_segment_t;
 
 enum
@@ -89,7 +89,7 @@
   uint64_t snapshot_bytes;
   pu_log_meta meta; /* as last queued */
 
-  GPtrArray *uncommitted_entries; /* pu_record_t, for the next batch */
+  GPtrArray *queued_entries; /* pu_record_t, for the next batch */
   bool meta_pending;
   uint64_t pending_ticket;        /* highest ticket queued */
   GQueue snapshot_queue;          /* of pu_journal_job_t * */
