--- a/libplantainusher/entry/entry.h
+++ b/libplantainusher/entry/entry.h
@@ -100,7 +100,7 @@
   void *data;
 } pu_entry_hooks_t;
 
-/* Injected faults for the tests that show that the checks can fail.  */
+/* Faults that faults_test.cc injects to show that its checks can fail.  */
 typedef enum
 {
   PU_ENTRY_BREAK_FORWARD_REPLAY = 1, /* forward a replayed stream whole */
@@ -122,10 +122,9 @@
   int port;
   const char *certificate; /* PEM file, as is `key`; NULL: no TLS */
   const char *key;
-  const char *peer_key; /* authenticates requests that another entry
-                           relayed */
-  const char *const
-      *backend_keys; /* each key authorizes reports of backend servers */
+  const char *peer_key;            /* authenticates requests that another entry
+                                      relayed */
+  const char *const *backend_keys; /* keys for reports of backend servers */
   guint n_backend_keys;
   pu_counters_t *counters; /* may be NULL */
   guint32 seed;
@@ -137,9 +136,8 @@
                              server */
   guint connections_max;  /* 4096: concurrent connections of callers */
   guint requests_max;     /* 4096: concurrent requests */
-  guint
-      connect_ms; /* 1000: connect timeout; 0: the default of the HTTP client,
-                     also for stream_progress_timeout_ms and idle_ms */
+  guint connect_ms; /* 1000: connect timeout; 0: the HTTP client's default,
+                       also for stream_progress_timeout_ms and idle_ms */
   guint stream_progress_timeout_ms; /* 10000: a stream that sends no byte for
                                        this time has failed */
   guint strike_settle_ms; /* 1000: time until all entries know of a strike */
@@ -157,7 +155,7 @@
   guint ttl_s;               /* 10: how long callers cache a list of entries */
   guint test_breaks; /* injected faults, flags of pu_entry_break_t; 0 outside
                         tests */
-  const pu_frontend_t *front; /* copied; NULL: the built-in frontend */
+  const pu_frontend_t *front; /* the struct is copied; NULL: built-in */
   pu_entry_hooks_t hooks;
 } pu_entry_options_t;
 
@@ -179,9 +177,9 @@
    for the first time.  */
 void pu_entry_view_changed (pu_entry_t *en);
 
-/* pu_entry_add_load - reports LOAD of the known incarnation of the backend
-   server NAME to the router and forwards it to the other entries.  The `seq`
-   of LOAD must rise from call to call.  */
+/* pu_entry_add_load - reports LOAD, of the incarnation that the entry knows of
+   the backend server NAME, to the router and forwards it to the other
+   entries.  The `seq` of LOAD must rise from call to call.  */
 void pu_entry_add_load (pu_entry_t *en, const char *name,
                         const pu_router_report_t *load);
 
@@ -235,11 +233,11 @@
 void pu_entry_leave (pu_entry_t *en);
 
 /* pu_entry_stop - graceful stop: accepts no more connections, completes the
-   open requests and then calls CB.  */
+   requests in progress and then calls CB.  */
 void pu_entry_stop (pu_entry_t *en, void (*cb) (void *data), void *data);
 
-/* pu_entry_abort - fails the requests that are still open, for a stop that
-   takes too long.  CB of pu_entry_stop is still called.  */
+/* pu_entry_abort - fails the requests that are still in progress, for a stop
+   that takes too long.  The callback CB of pu_entry_stop is still called.  */
 void pu_entry_abort (pu_entry_t *en);
 
 /* pu_entry_free - frees EN after the callback of pu_entry_stop.  The loop must
--- a/libplantainusher/entry/entry_private.h
+++ b/libplantainusher/entry/entry_private.h
@@ -164,14 +164,14 @@
   pu_entry_t *en;
   pu_http_request_t *http; /* NULL: the caller disconnected or was answered */
   GList link;              /* in the entry's queue `open` */
-  guint64 number;          /* unique within the entry */
+  guint64 number; /* number of the exchange, unique within the entry */
   pu_request_t q;
   char *key;         /* Idempotency-Key; NULL: none */
   guint64 window_ms; /* how long its service stores the result */
   bool chat;         /* a chat completion */
-  bool once;         /* at-most-once call: its key is claimed before sending */
-  bool relayed;      /* received from another entry */
-  guint hops;        /* number of relays so far */
+  bool once;    /* at-most-once call: its key is claimed before it is sent */
+  bool relayed; /* received from another entry */
+  guint hops;   /* number of relays so far */
   pu_exchange_phase_t phase;
   guint64 duplicate_wait_since;       /* loop time when it began to wait for an
                                          identical request that runs on another
@@ -364,7 +364,7 @@
 bool pu_model_wait_allowed (const pu_exchange_t *x);
 
 /* pu_model_wait_begin - makes X wait, and asks the leader to load its model.
-   Refuses X if a retry by the caller would be served no later.  */
+   Refuses X if a retry by the caller would be served no later than X.  */
 void pu_model_wait_begin (pu_exchange_t *x);
 
 /* pu_model_wait_tick - checks X, which waits for its model.  Offers X to the
@@ -589,8 +589,8 @@
    fails it.  */
 void pu_exchange_retry (pu_exchange_t *x, pu_router_failure_t failure);
 
-/* pu_exchange_finish - ends X after its caller was answered or has gone.  X is
-   freed.  */
+/* pu_exchange_finish - ends X after its caller was answered or has
+   disconnected.  X is freed.  */
 void pu_exchange_finish (pu_exchange_t *x);
 
 /* pu_exchange_apply_decision - carries out the decision D of the router about
--- a/libplantainusher/entry/exchange.c
+++ b/libplantainusher/entry/exchange.c
@@ -478,8 +478,8 @@
   pu_exchange_fail (x, &exhausted, "All attempts at the request failed.");
 }
 
-/* Handles a failed relay of X to ENTRY.  X is not relayed to ENTRY again.
-   Takes ownership of ENTRY.  */
+/* Handles a failed relay of X to ENTRY.  X avoids ENTRY from now on.  Takes
+   ownership of ENTRY.  */
 static void
 relay_retry (pu_exchange_t *x, char *entry)
 {
--- a/libplantainusher/entry/rig_test.h
+++ b/libplantainusher/entry/rig_test.h
@@ -41,8 +41,7 @@
   std::vector<std::string> executed_ids; /* ids of these requests */
   std::vector<std::string> request_bodies;
   std::vector<std::string> request_targets;
-  std::map<std::string, int>
-      executions_by_key; /* number of executions by idempotency key */
+  std::map<std::string, int> executions_by_key; /* by idempotency key */
 
   /* Requests that the server leaves unanswered because of `stalls`, for the
      test to answer.  */
@@ -90,7 +89,7 @@
 
 struct rig;
 
-/* One daemon with the entry role.  */
+/* One daemon that runs an entry.  */
 struct node
 {
   rig *owner = nullptr;
@@ -101,7 +100,7 @@
   bool voters_reachable = true; /* result of the hook leader_reachable */
   bool ready = true;            /* the view may be used for requests */
 
-  /* The service time in each demand report.  */
+  /* The service time, in milliseconds, in each demand report of this node.  */
   std::vector<guint32> reported_demand_ms;
 };
 
@@ -137,7 +136,7 @@
   guint load_reports_sent = 0; /* load reports from node to node */
   guint withdrawals_sent = 0;
 
-  /* Options of the nodes that are added later.  */
+  /* Options of the nodes that are added after these members were set.  */
   guint test_breaks = 0;                /* flags of pu_entry_break_t */
   const pu_frontend_t *front = nullptr; /* NULL: the built-in frontend */
   bool loads_to_all_entries = false;
