--- a/libplantainusher/log/group.c
+++ b/libplantainusher/log/group.c
@@ -15,7 +15,7 @@
   NS_PER_MS = 1000000,
 };
 
-/* A proposal whose outcome is unknown so far.  */
+/* A proposal whose outcome is not known yet.  */
 typedef struct
 {
   uint64_t index;
@@ -32,8 +32,9 @@
   GArray *initial; /* pu_log_peer */
   pu_journal_t *journal;
   pu_replica_t *replica;
-  GQueue proposals;    /* pu_proposal_t *, in order of index */
-  uint64_t applied;    /* by the state machine; never decreases */
+  GQueue proposals; /* pu_proposal_t *, in order of index */
+  /* last index applied by the state machine; never decreases */
+  uint64_t applied;
   bool rejoin_pending; /* retire this identity once the journal is idle */
   bool had_log;        /* the folder held an earlier identity */
   uv_timer_t timer;
@@ -89,8 +90,8 @@
 }
 
 /* Completes the proposals up to INDEX, where an entry of TERM was committed.
-   The one at INDEX succeeded if it was proposed in TERM; any other was
-   replaced.  */
+   The proposal at INDEX succeeded if it was proposed in TERM; any other
+   proposal was replaced by another entry.  */
 static void
 complete_proposals_through (pu_group_t *g, uint64_t index, uint64_t term)
 {
@@ -105,7 +106,7 @@
     }
 }
 
-/* Actions.  */
+/* Execution of the replica's actions.  */
 
 static void
 apply_entries (pu_group_t *g, uint64_t first, uint64_t last)
@@ -126,8 +127,9 @@
     }
 }
 
-/* After a rejoin the replica replays entries that the state machine has
-   applied before.  Until it has caught up, a snapshot of the state machine
+/* Takes a snapshot of the state machine at INDEX, if possible.  After a
+   rejoin the replica replays entries that the state machine has applied
+   before.  Until the replica has caught up, a snapshot of the state machine
    would be ahead of INDEX, so none is taken.  */
 static void
 take_snapshot (pu_group_t *g, uint64_t index)
@@ -237,8 +239,8 @@
   execute_pending_actions (h->data);
 }
 
-/* Schedules the pending actions for the loop's idle phase, so that all inputs
-   of one iteration are batched.  */
+/* Schedules the pending actions for the loop's idle phase, so that all
+   messages and proposals of one iteration are handled in one batch.  */
 static void
 schedule_actions (pu_group_t *g)
 {
@@ -276,7 +278,7 @@
   schedule_actions (g);
 }
 
-/* Opening.  */
+/* Opening of the folder, and the replica created from it.  */
 
 static pu_journal_t *
 open_journal (pu_group_t *g, pu_disk_image_t *image, pu_error_t *e)
@@ -309,8 +311,8 @@
   return id;
 }
 
-/* Opens the journal in the folder.  A damaged one is set aside and a new one,
-   with a new identity, takes its place.  */
+/* Opens the journal in the folder.  A damaged journal is set aside and
+   replaced by a new one with a new identity.  */
 static bool
 open_folder (pu_group_t *g, pu_disk_image_t *image, pu_error_t *e)
 {
@@ -356,8 +358,8 @@
   return pu_replica_new (&o, image, now_ms (g));
 }
 
-/* Creates the journal and the replica from the folder.  The state machine
-   keeps its state, which never includes uncommitted entries.  */
+/* Creates the journal and the replica from the folder.  The state machine is
+   not reset, because its state never includes uncommitted entries.  */
 static bool
 open_replica (pu_group_t *g, pu_error_t *e)
 {
@@ -469,7 +471,7 @@
   return g;
 }
 
-/* Closing.  */
+/* Closing of the group.  */
 
 static void
 on_handle_closed (uv_handle_t *h)
@@ -511,7 +513,7 @@
   uv_timer_start (&g->timer, on_close_timer, 0, CLOSE_POLL_MS);
 }
 
-/* Inputs.  */
+/* Received messages, proposals and requests of operators.  */
 
 bool
 pu_group_receive (pu_group_t *g, const void *bytes, size_t len, pu_error_t *e)
@@ -589,7 +591,7 @@
   return change_voters (g, PU_VOTERS_REPLACE, name, with, e);
 }
 
-/* Queries.  */
+/* Functions that return the state of the group.  */
 
 uint64_t
 pu_group_read_from (pu_group_t *g, uint64_t after, size_t bytes_max,
--- a/libplantainusher/log/group.h
+++ b/libplantainusher/log/group.h
@@ -17,10 +17,10 @@
  * group - one replicated log in this process: a replica and its journal, run
  * by a libuv loop.
  *
- * The owner supplies callbacks for the transport and the state machine.  They
- * run on the loop's thread, never from within pu_group_propose or
- * pu_group_receive.  A process may have several groups, each with its own
- * number and folder.
+ * The owner supplies callbacks for the transport and the state machine.  The
+ * callbacks run on the loop's thread, never from within pu_group_propose or
+ * pu_group_receive.  A process may have several groups, each with a group
+ * number and folder that no other group uses.
  */
 
 typedef struct pu_group pu_group_t;
@@ -31,14 +31,14 @@
 typedef void pu_group_send_fn (const pu_log_peer *to, GBytes *msg, void *data);
 
 /* pu_group_apply_fn - applies the committed entry at INDEX to the state
-   machine.  Called once for each data entry in ascending order of INDEX, with
-   gaps where the log holds entries of its own.  */
+   machine.  Called once for each data entry in ascending order of INDEX.  The
+   indexes have gaps where the log holds configuration entries and no-ops.  */
 typedef void pu_group_apply_fn (uint64_t index, const void *bytes, size_t len,
                                 void *data);
 
 /* pu_group_take_snapshot_fn - returns a new snapshot of the state machine as
-   of the last applied entry, which is at INDEX, or NULL if none can be taken
-   now. The group takes the reference.  */
+   of the last applied entry, which is at INDEX, or NULL if no snapshot can be
+   taken now.  The group takes over the reference.  */
 typedef GBytes *pu_group_take_snapshot_fn (uint64_t index, void *data);
 
 /* pu_group_restore_fn - replaces the state of the state machine by a snapshot
@@ -47,8 +47,8 @@
 typedef bool pu_group_restore_fn (uint64_t index, const void *bytes,
                                   size_t len, void *data, pu_error_t *e);
 
-/* pu_group_role_fn - this voter became the leader in TERM, if LEADER, or
-   stopped leading in it.  */
+/* pu_group_role_fn - called when this voter became the leader in TERM (LEADER
+   is true) or stopped leading in TERM (LEADER is false).  */
 typedef void pu_group_role_fn (bool leader, uint64_t term, void *data);
 
 /* pu_group_done_fn - reports the outcome of a proposal.  KIND is PU_OK if it
@@ -63,7 +63,7 @@
 typedef struct
 {
   uv_loop_t *loop;
-  const char *folder;           /* created if missing; one for each group */
+  const char *folder; /* created if missing; no other group may use it */
   pu_replica_options_t replica; /* names, timing, initial voters, seed;
                                    self.id is ignored, as the folder holds the
                                    identity */
@@ -71,11 +71,13 @@
   pu_group_apply_fn *apply;
   pu_group_take_snapshot_fn *take_snapshot;
   pu_group_restore_fn *restore;
-  pu_group_role_fn *role;    /* may be NULL */
-  pu_group_now_fn *now;      /* NULL: milliseconds of CLOCK_BOOTTIME */
-  bool sync_each_entry;      /* one sync per entry: a benchmark's baseline */
-  const pu_journal_fs_t *fs; /* NULL: the operating system's */
-  void *data;                /* passed to the callbacks */
+  pu_group_role_fn *role; /* may be NULL */
+  pu_group_now_fn *now;   /* NULL: milliseconds of CLOCK_BOOTTIME */
+  bool sync_each_entry;   /* one sync per entry; used as the baseline of a
+                             benchmark */
+  /* NULL: the operating system's file system calls */
+  const pu_journal_fs_t *fs;
+  void *data; /* passed to the callbacks */
 } pu_group_options_t;
 
 /* pu_group_options_init - sets the defaults of all options that have one.  */
@@ -93,16 +95,17 @@
    PU_ERROR_TIMEOUT.  */
 void pu_group_close (pu_group_t *g, void (*closed) (void *data), void *data);
 
-/* pu_group_receive - processes a message from another voter.  Returns false if
-   it is malformed or of another protocol (PU_ERROR_INVALID) or too large
-   (PU_ERROR_TOO_LARGE).  One for another group or identity is ignored.  */
+/* pu_group_receive - processes a message from another voter.  Returns false
+   if the message is malformed or of another protocol version
+   (PU_ERROR_INVALID) or too large (PU_ERROR_TOO_LARGE). A message for another
+   group or identity is ignored, and true is returned.  */
 bool pu_group_receive (pu_group_t *g, const void *bytes, size_t len,
                        pu_error_t *e);
 
 /* pu_group_propose - proposes BYTES as an entry of the log.  If this returns
-   true, DONE is called exactly once, later.  Otherwise the entry is certainly
-   not applied.  Errors: PU_ERROR_UNAVAILABLE (not the leader, a leadership
-   transfer in progress, too many uncommitted entries, or closing),
+   true, DONE is called exactly once, after the return.  Otherwise the entry
+   is certainly not applied.  Errors: PU_ERROR_UNAVAILABLE (not the leader, a
+   leadership transfer in progress, too many uncommitted entries, or closing),
    PU_ERROR_TOO_LARGE.  */
 bool pu_group_propose (pu_group_t *g, const void *bytes, size_t len,
                        pu_group_done_fn *done, void *data, pu_error_t *e);
@@ -115,8 +118,9 @@
                              pu_group_apply_fn *fn, void *data);
 
 /* pu_group_holds_lease - returns true while this voter is the leader, has
-   committed an entry of its own term, and no other voter can be elected.
-   Check it before each action of a leader; the term is the fencing token.  */
+   committed an entry of its current term, and no other voter can be elected.
+   Check it before each action that only the leader may take; the term is the
+   fencing token.  */
 bool pu_group_holds_lease (pu_group_t *g);
 bool pu_group_is_leader (const pu_group_t *g);
 uint64_t pu_group_term (const pu_group_t *g);
@@ -133,30 +137,31 @@
 uint64_t pu_group_config_index (const pu_group_t *g);
 
 /* pu_group_add_seed - adds ADDRESS to the seeds, the peers that this voter
-   asks for a leader while it has none.  Ignored by an initial voter that may
-   bootstrap the log.  */
+   asks for a leader while it knows none.  Ignored by an initial voter that
+   may bootstrap the log.  */
 void pu_group_add_seed (pu_group_t *g, const char *address);
 
 /* pu_group_commit_lag_ms - returns for how many milliseconds the leader's
-   commit index has been ahead of this voter's, as after a restart or with a
-   full disk; 0 if it is not.  */
+   commit index has been ahead of this voter's, for example after a restart or
+   with a full disk; 0 if it is not ahead.  */
 uint64_t pu_group_commit_lag_ms (const pu_group_t *g);
 
 /* pu_group_commit_index - returns the commit index.  */
 uint64_t pu_group_commit_index (const pu_group_t *g);
 
 /* pu_group_transfer_leadership - prepares a graceful stop: a leader waits
-   until another voter has the whole log and transfers leadership to it.
-   Proposals are refused meanwhile.  Wait until pu_group_is_leader is false,
-   for two seconds at most, then close.  */
+   until another voter has the whole log and transfers leadership to that
+   voter.  Proposals are refused during the transfer.  Wait until
+   pu_group_is_leader is false, for two seconds at most, before calling
+   pu_group_close.  */
 void pu_group_transfer_leadership (pu_group_t *g);
 
-/* pu_group_voters_* - changes the voters on the leader, as an operator asked.
-   True means that the change is in the leader's log; pu_group_config shows the
-   result.  Voters are changed one at a time, and a learner catches up before
-   it becomes a voter.  Errors: PU_ERROR_UNAVAILABLE (not the leader, or
-   another change in progress), PU_ERROR_NOT_FOUND (no such name),
-   PU_ERROR_INVALID (too few or too many voters).  */
+/* pu_group_voters_* - changes the voters at an operator's request; works only
+   on the leader.  True means that the change is in the leader's log;
+   pu_group_config shows the result.  Voters are changed one at a time, and a
+   learner catches up before it becomes a voter.  Errors: PU_ERROR_UNAVAILABLE
+   (not the leader, or another change in progress), PU_ERROR_NOT_FOUND (no
+   member has that name), PU_ERROR_INVALID (too few or too many voters).  */
 bool pu_group_voters_add (pu_group_t *g, const char *name, pu_error_t *e);
 bool pu_group_voters_remove (pu_group_t *g, const char *name, pu_error_t *e);
 bool pu_group_voters_replace (pu_group_t *g, const char *name,
--- a/libplantainusher/log/group_fake.h
+++ b/libplantainusher/log/group_fake.h
@@ -21,9 +21,9 @@
   pu_group_t *group = nullptr;
   pu_journal_fs_t fs = *pu_journal_fs_system ();
   std::vector<std::string> applied;
-  uint64_t restored = 0; /* entries restored from a snapshot */
-  bool isolated = false; /* isolated: neither sends nor receives */
-  /* Set to use another state machine instead of the list.  */
+  uint64_t restored = 0; /* number of entries restored from a snapshot */
+  bool isolated = false; /* if true, the voter neither sends nor receives */
+  /* Functions of another state machine, used instead of the list if set.  */
   std::function<void (uint64_t, const void *, size_t)> on_entry;
   std::function<GBytes *()> on_image;
   std::function<bool (const void *, size_t)> on_load;
@@ -149,7 +149,7 @@
     remove_folder (v.folder);
   }
   /* Runs the loop until DONE returns true, for at most MS milliseconds.
-     Returns whether DONE did.  */
+     Returns whether DONE returned true.  */
   bool
   run (const std::function<bool ()> &done, uint64_t ms = 10000)
   {
--- a/libplantainusher/log/group_test.cc
+++ b/libplantainusher/log/group_test.cc
@@ -14,7 +14,7 @@
   *(int *)data += kind == PU_OK;
 }
 
-/* Proposes N entries once there is a leader and waits until all have been
+/* Waits for a leader, proposes N entries and waits until all of them are
    committed.  */
 bool
 propose_and_wait (FakeCluster &c, int n)
--- a/libplantainusher/log/journal.c
+++ b/libplantainusher/log/journal.c
@@ -12,24 +12,26 @@
   DISK_FULL_RETRY_MS = 100,
 };
 
-/* The work of one run on the thread pool: writes the frames, then the
-   metadata.  */
+/* A job that writes the queued entries and metadata on the thread pool: first
+   the frames with entries, then the metadata.  */
 typedef struct pu_batch_job
 {
   pu_journal_job_t base;
   GPtrArray *frames;      /* GBytes */
-  guint frames_written;   /* written and synced; a retry continues there */
-  GBytes *meta_frame;     /* or NULL */
-  char *new_segment_path; /* or NULL: the current segment goes on */
+  guint frames_written;   /* number of frames written and synced; a retry
+                             continues after them */
+  GBytes *meta_frame;     /* NULL: the metadata is not written */
+  char *new_segment_path; /* path of the segment to create, or NULL: the
+                             current segment is continued */
   bool segment_created;
-  int64_t offset; /* in the segment, of the next frame */
+  int64_t offset; /* offset of the next frame in the segment */
   uint64_t ticket;
   uint64_t bytes;
   uint32_t entries;
   uint64_t last_index; /* 0: the batch has no entries */
   uint64_t elapsed_us;
   uint32_t syncs;
-  const char *operation; /* the current one, for the error message */
+  const char *operation; /* the current operation, for the error message */
 } pu_batch_job_t;
 
 void
@@ -55,7 +57,7 @@
     j->o.failed (&j->error, j->o.data);
 }
 
-/* Queueing of writes.  */
+/* Queueing of entries and metadata for the next batch.  */
 
 void
 pu_journal_queue_entries (pu_journal_t *j, uint64_t ticket,
@@ -90,7 +92,7 @@
   return &g_array_index (j->segments, pu_segment_t, j->segments->len - 1);
 }
 
-/* Batches.  */
+/* Building, running and finishing of batch jobs.  */
 
 static GBytes *
 encode_batch (pu_journal_t *j, guint first, guint n)
@@ -152,8 +154,9 @@
   const void *p;
 
   j->meta.saves++;
-  /* The floor covers committed entries alone, because any other may still be
-     dropped from the log.  */
+  /* The floor, up to which entries must exist after a restart, covers only
+     committed entries, because any other entry may still be dropped from the
+     log.  */
   j->meta.floor = MAX (j->meta.floor, MIN (j->commit_index, j->durable_index));
   payload = pu_xdr_encode ((xdrproc_t)xdr_pu_log_meta, &j->meta);
   p = g_bytes_get_data (payload, &len);
@@ -231,8 +234,9 @@
   return 0;
 }
 
-/* Runs on the thread pool.  A retry after a full disk continues with the frame
-   that failed.  */
+/* Writes the frames and metadata of JOB, on the thread pool or, in
+   pu_journal_flush, on the calling thread.  A retry after a full disk
+   continues with the frame that failed.  */
 static void
 run_batch_job (pu_batch_job_t *job)
 {
@@ -297,7 +301,7 @@
     }
 }
 
-/* Running of jobs.  */
+/* Running of batch and snapshot jobs.  */
 
 static bool
 has_pending_batch (const pu_journal_t *j)
@@ -333,10 +337,10 @@
     }
 }
 
-/* Whether JOB, which has run, must run again because the disk was full.  If a
-   full disk failed the journal permanently, the voter would be lost for as
-   long as its process runs, and three voters whose disks were full one after
-   the other would leave the log without a leader.  */
+/* Returns whether JOB, which has run, must run again because the disk was
+   full.  If a full disk failed the journal permanently, the voter would be
+   lost for as long as its process runs, and three voters whose disks were
+   full one after the other would leave the log without a leader.  */
 static bool
 needs_retry (pu_journal_job_t *job)
 {
@@ -356,8 +360,8 @@
   return job->retry;
 }
 
-/* The wait before a retry may block this thread of the pool, which has nothing
-   else to write.  */
+/* Runs a job on a thread of the pool.  The wait before a retry may block this
+   thread, which has nothing else to write.  */
 static void
 on_work (uv_work_t *w)
 {
@@ -392,8 +396,9 @@
   pu_journal_start (j);
 }
 
-/* take_snapshot_job and take_batch_job make the next job of their kind ready
-   to run.  They return false when there is none or one is in flight.  */
+/* take_snapshot_job and take_batch_job make the next job of their kind
+   ready to run.  They return false when no such job is queued or one is
+   in flight.  */
 static bool
 take_snapshot_job (pu_journal_t *j)
 {
@@ -483,10 +488,10 @@
   return j->failed;
 }
 
-/* Opening.  */
+/* Opening, creating, setting aside and freeing of a journal.  */
 
-/* Opens the metadata file.  Its lock keeps other processes out of the folder.
- */
+/* Opens the metadata file and locks it.  The lock keeps other processes from
+   using the folder.  */
 static bool
 open_meta (pu_journal_t *j, pu_error_t *e)
 {
@@ -510,8 +515,9 @@
   return rc >= 0;
 }
 
-/* Writes the metadata again, for the reason that rewrite_tail gives, and opens
-   the newest segment.  */
+/* Opens the newest segment for writing, and writes the metadata again: it may
+   exist in the page cache only, and a sync proves that it is on the disk only
+   if it follows a write (see rewrite_tail in journal_load.c).  */
 static bool
 reopen_for_writing (pu_journal_t *j, pu_error_t *e)
 {
@@ -607,8 +613,8 @@
   if (fs == NULL)
     fs = pu_journal_fs_system ();
   rc = fs->list (fs->data, folder, names);
-  /* The metadata first: without it, the other files are never taken for the
-     log of a voter.  */
+  /* Set the metadata aside first: without it, the other files are never taken
+     for the log of a voter.  */
   for (guint i = 0; rc >= 0 && i < names->len; i++)
     {
       if (strcmp (g_ptr_array_index (names, i), "meta") == 0)
@@ -659,7 +665,7 @@
   if (j == NULL)
     return;
   /* Without a loop, a flush that found the disk full leaves its job in
-     place.  */
+     batch_job or snapshot_job.  */
   g_assert (j->o.loop == NULL || !pu_journal_busy (j));
   if (j->batch_job != NULL)
     free_batch_job ((pu_batch_job_t *)j->batch_job);
--- a/libplantainusher/log/journal.h
+++ b/libplantainusher/log/journal.h
@@ -12,7 +12,8 @@
 G_BEGIN_DECLS
 
 /*
- * journal - the storage of one voter's log, in a folder of its own.
+ * journal - the storage of one voter's log, in a folder that holds nothing
+ * else.
  *
  *   meta          the metadata (identity, term, vote) in two checksummed
  *                 slots, written and synced one after the other, so that
@@ -23,11 +24,11 @@
  *   lost-*        files set aside from an identity that was damaged or retired
  *
  * Writes are queued and written as one batch with one sync (group commit) on
- * libuv's thread pool; writes that arrive meanwhile form the next batch.  A
- * failed write or sync fails the journal permanently: it never reports a later
- * success.  The exception is a write that finds the disk full: nothing of that
- * write was reported, so the journal repeats it from its start until there is
- * space.
+ * libuv's thread pool; writes that are queued during the sync form the next
+ * batch.  A failed write or sync fails the journal permanently: the journal
+ * never reports a later success.  The exception is a write that finds the disk
+ * full: nothing of that write was reported, so the journal repeats it from its
+ * start until there is space.
  */
 
 /* The file system calls.  All of them block; they run on the loop's thread at
@@ -39,7 +40,8 @@
   int64_t (*write) (void *data, int fd, const void *p, size_t n, int64_t at);
   int (*sync) (void *data, int fd);
   int (*truncate) (void *data, int fd, int64_t size);
-  /* Takes an exclusive lock, held for as long as FD is open.  */
+  /* Takes an exclusive lock on the file, which is released when FD is
+     closed.  */
   int (*lock) (void *data, int fd);
   int (*close) (void *data, int fd);
   int (*rename) (void *data, const char *from, const char *to);
@@ -53,7 +55,8 @@
   void *data;
 } pu_journal_fs_t;
 
-/* pu_journal_fs_system - returns the calls of the operating system.  */
+/* pu_journal_fs_system - returns the file system calls of the operating
+   system.  */
 const pu_journal_fs_t *pu_journal_fs_system (void);
 
 typedef struct pu_journal pu_journal_t;
@@ -67,11 +70,13 @@
 
 typedef struct
 {
-  uv_loop_t *loop; /* NULL: writes run in pu_journal_flush alone */
+  uv_loop_t *loop; /* NULL: writes run only in pu_journal_flush */
   const char *folder;
-  const pu_journal_fs_t *fs; /* NULL: the operating system's */
-  uint64_t segment_bytes;    /* 8 MiB: size at which a new segment starts */
-  bool sync_each_entry;      /* one sync per entry; baseline of a benchmark */
+  /* NULL: the operating system's file system calls */
+  const pu_journal_fs_t *fs;
+  /* default 8 MiB: size at which a new segment starts */
+  uint64_t segment_bytes;
+  bool sync_each_entry; /* one sync per entry; baseline of a benchmark */
   pu_journal_synced_fn *synced;
   pu_journal_saved_fn *saved;
   pu_journal_failed_fn *failed;
@@ -80,12 +85,13 @@
 
 void pu_journal_options_init (pu_journal_options_t *o);
 
-/* pu_journal_open - opens the folder, which is created when missing, and fills
-   IMAGE with its contents.  IMAGE->meta.id is 0 for an empty folder: then
-   choose an identity and call pu_journal_create.  An incomplete batch at the
-   end of the log, left by a crash, is dropped.  Returns NULL with
-   PU_ERROR_CORRUPT when synced data is damaged or missing, and with
-   PU_ERROR_IO when a system call fails or another process uses the folder.  */
+/* pu_journal_open - opens the folder, which is created when missing, and
+   fills IMAGE with its contents.  IMAGE->meta.id is 0 for an empty folder:
+   the caller must choose an identity and call pu_journal_create.  An
+   incomplete batch at the end of the log, left by a crash, is dropped.
+   Returns NULL with PU_ERROR_CORRUPT when synced data is damaged or missing,
+   and with PU_ERROR_IO when a system call fails or another process uses the
+   folder.  */
 pu_journal_t *pu_journal_open (const pu_journal_options_t *o,
                                pu_disk_image_t *image, pu_error_t *e);
 
@@ -99,8 +105,8 @@
 bool pu_journal_set_aside (const char *folder, const pu_journal_fs_t *fs,
                            pu_error_t *e);
 
-/* pu_journal_had_identity - whether FOLDER holds files that were set aside, so
-   belonged to an earlier identity.  */
+/* pu_journal_had_identity - returns whether FOLDER holds files that were set
+   aside, which means that it belonged to an earlier identity.  */
 bool pu_journal_had_identity (const char *folder, const pu_journal_fs_t *fs);
 
 /* pu_journal_free - closes the files.  No job may be in flight: see
@@ -108,22 +114,23 @@
 void pu_journal_free (pu_journal_t *j);
 
 /* pu_journal_queue_entries, pu_journal_queue_meta - queue entries or metadata
-   for the next batch.  Tickets must rise; `synced` reports them.  */
+   for the next batch.  Tickets must rise with each call; the `synced`
+   callback reports them.  */
 void pu_journal_queue_entries (pu_journal_t *j, uint64_t ticket,
                                const GPtrArray *entries, uint64_t commit);
 void pu_journal_queue_meta (pu_journal_t *j, uint64_t ticket,
                             const pu_log_meta *m);
 
 /* pu_journal_queue_snapshot - queues a snapshot, which is written
-   independently of the batches and reported by `saved`.  If INSTALLED, the
-   snapshot replaces the log: all entries queued or written before it are
-   discarded.  */
+   independently of the batches and reported by the `saved` callback.  If
+   INSTALLED, the snapshot replaces the log: all entries queued or written
+   before this call are discarded.  */
 void pu_journal_queue_snapshot (pu_journal_t *j, const pu_snapshot_t *s,
                                 bool installed);
 
 /* pu_journal_start - submits the queued writes to the thread pool.  Writes
-   queued while a job is in flight follow when it ends, without another
-   call.  */
+   that are queued while a job is in flight are submitted when that job ends,
+   without another call.  */
 void pu_journal_start (pu_journal_t *j);
 
 /* pu_journal_flush - runs the queued writes on the calling thread and calls
@@ -132,24 +139,26 @@
    retries the write.  */
 bool pu_journal_flush (pu_journal_t *j, pu_error_t *e);
 
-/* pu_journal_stop - submits no more jobs; those in flight finish.  */
+/* pu_journal_stop - makes the journal submit no more jobs; jobs in flight
+   finish.  */
 void pu_journal_stop (pu_journal_t *j);
 
-/* pu_journal_busy - whether a job of the journal is in flight.  */
+/* pu_journal_busy - returns whether a job of the journal is in flight.  */
 bool pu_journal_busy (const pu_journal_t *j);
 
-/* pu_journal_failed - whether the journal failed permanently.  */
+/* pu_journal_failed - returns whether the journal failed permanently.  */
 bool pu_journal_failed (const pu_journal_t *j);
 
 typedef struct
 {
   uint32_t segments;
-  uint64_t bytes; /* of the segments and the snapshot */
+  uint64_t bytes; /* size of the segments and the snapshot */
   uint64_t syncs;
   uint64_t batches;
   uint64_t entries;
-  uint64_t torn_bytes; /* truncated from the tail when it was opened */
-  uint64_t sync_us;    /* mean time to write and sync a batch */
+  uint64_t torn_bytes; /* bytes truncated from the end of the log when the
+                          journal was opened */
+  uint64_t sync_us; /* mean time in microseconds to write and sync a batch */
 } pu_journal_stats_t;
 
 void pu_journal_stats (const pu_journal_t *j, pu_journal_stats_t *s);
--- a/libplantainusher/log/journal_fake.h
+++ b/libplantainusher/log/journal_fake.h
@@ -26,11 +26,13 @@
   Folder live, durable;
   std::vector<std::shared_ptr<File> > open_files;
   int operations = 0;
-  int crash_at = -1; // this operation and all later ones fail
-  int error_at = -1; // only this operation fails, with ERROR
+  int crash_at = -1; // number of the operation that fails, together with all
+                     // later ones; -1: none
+  // number of the only operation that fails, with ERROR; -1: none
+  int error_at = -1;
   int error = 0;
   bool short_writes = false;
-  bool sync_is_noop = false; // fs.sync reports success, saves nothing
+  bool sync_is_noop = false; // fs.sync reports success but saves nothing
   pu_journal_fs_t fs{};
 
   FakeDisk ()
@@ -105,9 +107,9 @@
     };
   }
 
-  /* A power failure: each file keeps what was synced and perhaps a prefix of
-     what was not.  The folder is left as last synced or in its latest
-     state.  */
+  /* Simulates a power failure: each file keeps its synced contents and
+     perhaps a prefix of its unsynced contents.  The folder gets the list of
+     files of its last sync or its latest one.  */
   void
   crash (std::mt19937 &rand)
   {
--- a/libplantainusher/log/journal_frame.c
+++ b/libplantainusher/log/journal_frame.c
@@ -6,7 +6,7 @@
 
 enum
 {
-  /* Fields of the header.  */
+  /* Offsets of the fields in the frame header, in bytes.  */
   OFFSET_MAGIC = 0,
   OFFSET_LEN = 4,
   OFFSET_CHECKSUM = 8,
--- a/libplantainusher/log/journal_fuzz.cc
+++ b/libplantainusher/log/journal_fuzz.cc
@@ -95,8 +95,8 @@
     }
 }
 
-/* Requires a prefix of the written entries.  The identity may be 0 when the
-   metadata was lost together with all else.  */
+/* Requires that IMAGE holds a prefix of the written entries.  The identity
+   may be 0 when the metadata was lost together with all other files.  */
 static void
 check_image (const pu_disk_image_t *image)
 {
--- a/libplantainusher/log/journal_load.c
+++ b/libplantainusher/log/journal_load.c
@@ -11,7 +11,7 @@
  *
  * A batch is written only after the batch before it is synced.  So an invalid
  * batch is a torn write when no later batch follows it anywhere in the
- * segment, and damage to synced data when one does.
+ * segment; if a later batch follows it, synced data is damaged.
  */
 
 static bool
@@ -21,7 +21,8 @@
                        g_strerror (-rc));
 }
 
-/* Decodes a slot of the metadata; BEST becomes the newest valid one.  */
+/* Decodes a slot of the metadata and stores it in BEST if it is valid and
+   newer than BEST.  */
 static void
 load_meta_slot (const uint8_t *p, size_t n, pu_log_meta *best)
 {
@@ -63,8 +64,8 @@
   return ok;
 }
 
-/* Loads the newest snapshot.  It was synced before its rename, so an invalid
-   one means that the folder is damaged.  */
+/* Loads the newest snapshot.  The file was synced before its rename, so an
+   invalid file means that the folder is damaged.  */
 static bool
 load_snapshot (pu_journal_t *j, uint64_t index, pu_snapshot_t *s,
                uint64_t *first_batch, pu_error_t *e)
@@ -109,14 +110,14 @@
 /* The valid part of a segment.  */
 typedef struct
 {
-  size_t valid_bytes;       /* up to the end of the last valid batch */
-  size_t last_batch_offset; /* where that batch starts */
+  size_t valid_bytes;       /* bytes up to the end of the last valid batch */
+  size_t last_batch_offset; /* offset of the last valid batch */
 } pu_segment_extent_t;
 
-/* Entries.  */
+/* Replay of entries.  */
 
-/* Appends X to the entries of IMAGE.  An index that is there already replaces
-   that entry and drops all after it.  */
+/* Appends X to the entries of IMAGE.  If IMAGE already has an entry at the
+   index of X, X replaces it and all entries after it are dropped.  */
 static bool
 replay_entry (const pu_log_entry *x, pu_disk_image_t *image, pu_error_t *e)
 {
@@ -159,8 +160,8 @@
   return ok;
 }
 
-/* Whether P holds a valid batch with a number above NUMBER, at any aligned
-   offset.  */
+/* Returns whether the N bytes at P hold a valid batch with a number above
+   NUMBER, at any aligned offset.  */
 static bool
 has_later_batch (const uint8_t *p, size_t n, uint64_t number)
 {
@@ -175,9 +176,9 @@
   return false;
 }
 
-/* Truncates the newest segment after its last valid batch, and writes that
-   batch again: the batch may exist in the page cache only, and a sync proves
-   that it is on the disk only if it follows a write.  */
+/* Truncates the newest segment after its last valid batch and writes that
+   batch again, because the batch may exist in the page cache only: a sync
+   proves that the batch is on the disk only if the sync follows a write.  */
 static bool
 rewrite_tail (pu_journal_t *j, const char *path, const uint8_t *p, size_t n,
               const pu_segment_extent_t *t, pu_error_t *e)
@@ -207,8 +208,9 @@
   return true;
 }
 
-/* Replays the batches of segment I.  Only the last segment may end in a torn
-   batch.  */
+/* Replays the batches of segment I from the N bytes at P into IMAGE, except
+   those that an installed snapshot replaced (numbers below FIRST_BATCH).  Only
+   the last segment may end in a torn batch.  */
 static bool
 read_segment (pu_journal_t *j, guint i, const uint8_t *p, size_t n,
               uint64_t first_batch, pu_disk_image_t *image,
@@ -273,7 +275,7 @@
   return ok;
 }
 
-/* The folder.  */
+/* Listing and loading of the whole folder.  */
 
 static gint
 compare_segments (gconstpointer a, gconstpointer b)
@@ -284,7 +286,8 @@
   return x < y ? -1 : x > y;
 }
 
-/* Removes an older snapshot that a crash left behind; INDEX 0 is none.  */
+/* Removes the snapshot at INDEX, which is older than another one and was left
+   behind by a crash.  Does nothing if INDEX is 0.  */
 static void
 remove_snapshot (pu_journal_t *j, uint64_t index)
 {
@@ -331,7 +334,8 @@
   return rc < 0 ? io_error (e, "list", j->folder, rc) : true;
 }
 
-/* Checks that the log reaches as far as the metadata says.  */
+/* Checks that the log reaches at least the durable floor and the newest
+   segment that the metadata names.  */
 static bool
 check_log_end (pu_journal_t *j, pu_disk_image_t *image, pu_error_t *e)
 {
@@ -374,8 +378,8 @@
       if (!load_segment (j, i, first_batch, image, e))
         return false;
     }
-  /* Batches that an installed snapshot replaced may be missing at the end:
-     the next batch then starts a new segment.  */
+  /* Batches that an installed snapshot replaced may be missing at the end of
+     the log: in that case the next batch starts a new segment.  */
   j->rotate = j->next_batch < first_batch;
   j->next_batch = MAX (j->next_batch, first_batch);
   return check_log_end (j, image, e);
--- a/libplantainusher/log/journal_private.h
+++ b/libplantainusher/log/journal_private.h
@@ -29,10 +29,11 @@
 
 typedef struct
 {
-  uint64_t start_batch; /* number of the first batch; in the file's name */
-  uint64_t last_index;  /* highest entry */
+  uint64_t start_batch; /* number of the first batch, also part of the file's
+                           name */
+  uint64_t last_index;  /* highest index of an entry in the segment */
   uint64_t bytes;
-  bool superseded; /* an installed snapshot replaced all its entries */
+  bool superseded; /* an installed snapshot replaced its entries */
 } pu_segment_t;
 
 enum
@@ -53,7 +54,7 @@
   uv_work_t work;
   pu_journal_t *j;
   pu_journal_job_kind_t kind;
-  bool retry; /* the disk was full */
+  bool retry; /* the last run found the disk full, so the job must run again */
   int rc;     /* result: 0 or more, or -errno */
 } pu_journal_job_t;
 
@@ -77,19 +78,21 @@
 
   /* The open files; a batch job owns them while it runs.  */
   int meta_fd;
-  int segment_fd; /* -1: none is open */
+  int segment_fd; /* -1: no segment is open */
 
-  GArray *segments; /* pu_segment_t, by number; the last may be open */
-  bool rotate;      /* the next batch starts a new segment */
+  /* pu_segment_t, sorted by start_batch; the last may be open */
+  GArray *segments;
+  bool rotate; /* the next batch starts a new segment */
   uint64_t next_batch;
-  uint64_t last_index;    /* last entry queued or written, and not dropped */
-  uint64_t durable_index; /* last entry synced */
+  uint64_t last_index;    /* index of the last entry queued or written and not
+                             dropped since */
+  uint64_t durable_index; /* index of the last synced entry */
   uint64_t commit_index;
   uint64_t snapshot_index;
   uint64_t snapshot_bytes;
-  pu_log_meta meta; /* as last queued */
+  pu_log_meta meta; /* the metadata as last queued */
 
-  GPtrArray *queued_entries; /* pu_record_t, for the next batch */
+  GPtrArray *queued_entries; /* pu_record_t; they form the next batch */
   bool meta_pending;
   uint64_t pending_ticket;        /* highest ticket queued */
   GQueue snapshot_queue;          /* of pu_journal_job_t * */
@@ -107,24 +110,24 @@
 
 /* journal_save.c: jobs of the kind PU_JOURNAL_JOB_SNAPSHOT */
 
-/* pu_snapshot_job_prepare - chooses the files that JOB, which runs next, makes
-   obsolete.  */
+/* pu_snapshot_job_prepare - sets the paths of JOB and chooses the files that
+   its snapshot makes obsolete.  Call it before JOB runs.  */
 void pu_snapshot_job_prepare (pu_journal_job_t *job);
 
 /* pu_snapshot_job_run - writes the snapshot, on the thread pool, then removes
    the obsolete files.  */
 void pu_snapshot_job_run (pu_journal_job_t *job);
 
-/* pu_snapshot_job_finish - handles the result on the loop's thread and frees
-   JOB.  */
+/* pu_snapshot_job_finish - handles the result of JOB on the loop's thread and
+   frees JOB.  */
 void pu_snapshot_job_finish (pu_journal_job_t *job);
 void pu_snapshot_job_free (pu_journal_job_t *job);
 
 /* journal_frame.c */
 
-/* pu_frame_encode - returns a frame.  NUMBER is that of the batch, the count
-   of metadata writes or the index of the snapshot; ID is the voter's
-   identity.  */
+/* pu_frame_encode - returns a frame.  NUMBER is the number of the batch, the
+   count of metadata writes or the index of the snapshot, depending on MAGIC;
+   ID is the voter's identity.  */
 GBytes *pu_frame_encode (pu_frame_magic_t magic, uint64_t number, uint64_t id,
                          const void *payload, size_t len);
 
@@ -134,7 +137,7 @@
   uint64_t id;
   const uint8_t *payload; /* points into the decoded bytes */
   uint32_t len;
-  size_t size; /* with header and padding */
+  size_t size; /* size of the frame with header and padding */
 } pu_frame_t;
 
 /* pu_frame_decode - fills F and returns true when the N bytes at P begin with
@@ -151,13 +154,13 @@
 int pu_journal_write_all (const pu_journal_fs_t *fs, int fd, const void *p,
                           size_t n, int64_t at);
 
-/* pu_journal_is_disk_full - whether RC is the error of a full disk or quota,
-   after which the same write can be retried.  */
+/* pu_journal_is_disk_full - returns whether RC is the error of a full disk or
+   quota, after which the same write can be retried.  */
 bool pu_journal_is_disk_full (int rc);
 
-/* pu_journal_map_sync_error - returns the result RC of a sync, with -EIO for a
-   full disk.  A failed sync is never retried, because it leaves unknown what
-   is on the disk.  */
+/* pu_journal_map_sync_error - returns the result RC of a sync, with the error
+   of a full disk replaced by -EIO.  A failed sync is never retried, because it
+   leaves unknown which writes are on the disk.  */
 int pu_journal_map_sync_error (int rc);
 
 /* pu_journal_write_meta_slots - writes FRAME to both slots and syncs each.
--- a/libplantainusher/log/journal_save.c
+++ b/libplantainusher/log/journal_save.c
@@ -10,16 +10,17 @@
 {
   pu_journal_job_t base;
   pu_snapshot_t snapshot;
-  uint64_t first_batch; /* batches before it are void; 0: none are */
+  uint64_t first_batch; /* batches with a lower number are void; 0: no batch is
+                           void */
   uint64_t bytes;
   char *temporary_path;
   char *path;
   GPtrArray *obsolete_paths; /* char *, removed after the snapshot is synced */
 } pu_snapshot_job_t;
 
-/* Removes from J->segments those that a snapshot at INDEX covers, from the
-   oldest on, and adds their paths to PATHS.  The newest segment stays, because
-   it may be open.  */
+/* Removes from J->segments, starting with the oldest, the segments that a
+   snapshot at INDEX covers, and adds their paths to PATHS.  The newest segment
+   stays, because it may be open.  */
 static void
 detach_obsolete_segments (pu_journal_t *j, uint64_t index, GPtrArray *paths)
 {
--- a/libplantainusher/log/journal_test.cc
+++ b/libplantainusher/log/journal_test.cc
@@ -82,7 +82,8 @@
     contents.term = image.meta.term;
     contents.commit = image.commit;
   }
-  /* Queues entries FIRST to FIRST + N - 1 of TERM, and puts them into M.  */
+  /* Queues entries FIRST to FIRST + N - 1 of TERM, and adds them to the
+     expected state M.  */
   void
   write (JournalState &m, uint64_t ticket, uint64_t first, unsigned n,
          uint64_t term)
@@ -121,7 +122,7 @@
   }
 };
 
-/* Queues one random operation; the caller flushes after each.  */
+/* Queues one random operation; the caller flushes the journal after each.  */
 void
 queue_random_operation (OpenJournal &o, JournalState &m, uint64_t ticket,
                         std::mt19937 &rand)
@@ -157,9 +158,9 @@
 }
 
 /* Runs random operations, crashes at disk operation CRASH_AT and opens the
-   journal again.  KEPT is set when it holds everything that was reported
-   durable, and nothing that was never written.  Returns false when the
-   operations ended before the crash.  */
+   journal again.  KEPT is set to whether the journal then holds everything
+   that was reported durable and nothing that was never written.  Returns
+   false when the operations ended before the crash.  */
 bool
 crash_and_reopen (unsigned seed, int crash_at, bool sync_is_noop, bool *kept)
 {
@@ -204,8 +205,8 @@
     }
 }
 
-/* Shows that the check of the test above can fail: with a sync that does
-   nothing it finds lost writes.  */
+/* Shows that the check of ReportedWritesSurviveACrashAtEachOperation can
+   fail: with a sync that does nothing, the check must find lost writes.  */
 TEST (Journal, CrashTestDetectsASyncThatDoesNothing)
 {
   bool kept = true;
@@ -235,7 +236,7 @@
   const char *name;
   void (*act) (FakeDisk &d);
   pu_error_kind_t kind; /* PU_OK: the journal opens */
-  uint64_t entries;     /* that it then holds */
+  uint64_t entries;     /* number of entries that the opened journal holds */
 };
 
 std::string &
@@ -295,9 +296,9 @@
   EXPECT_TRUE (o.contents.terms.empty ());
 }
 
-/* The disk operations of the first write: 1 truncates the segment, 2 syncs the
-   folder, 3 writes the batch, 4 syncs it; 5 to 8 write and sync each slot of
-   the metadata, when it is written too.  */
+/* The disk operations of the first write: 1 truncates the segment, 2 syncs
+   the folder, 3 writes the batch, 4 syncs the batch; 5 to 8 write and sync
+   each slot of the metadata, if the metadata is also written.  */
 bool
 is_sync (int operation)
 {
@@ -306,8 +307,8 @@
 
 constexpr int FIRST_WRITE_OPERATIONS = 8;
 
-/* A journal that got ERROR at disk operation AT while it wrote an entry and
-   the metadata.  One more entry is queued.  */
+/* A journal whose disk operation AT failed with ERROR while the journal wrote
+   an entry and the metadata.  One more entry is queued after the error.  */
 struct JournalWithError
 {
   FakeDisk d;
@@ -343,9 +344,9 @@
     }
 }
 
-/* Guards against a voter that stays silent after its disk was full: three
-   voters whose disks were full one after the other, each for four seconds,
-   left the log without a leader.  */
+/* Guards against a voter that acknowledges nothing after its disk was full:
+   three voters whose disks were full one after the other, each for four
+   seconds, left the log without a leader.  */
 TEST (Journal, WriteToAFullDiskIsRetriedUntilItSucceeds)
 {
   for (int at = 1; at <= FIRST_WRITE_OPERATIONS; at++)
@@ -370,7 +371,8 @@
   m.commit = 3;
   ASSERT_TRUE (pu_journal_flush (o.j, nullptr));
   d.operations = 0;
-  d.error_at = 2; /* the write, after the truncate */
+  /* operation 2 is the write of the snapshot, after the truncate */
+  d.error_at = 2;
   d.error = ENOSPC;
   o.save (m, 2, false);
   EXPECT_FALSE (pu_journal_flush (o.j, nullptr));
--- a/libplantainusher/log/log_msg.x
+++ b/libplantainusher/log/log_msg.x
@@ -2,8 +2,8 @@
  * Messages between the members of one replicated log, and the records of the
  * journal.
  *
- * Indexes start at 1.  Times are of the sender's clock; receivers return them
- * and don't interpret them.
+ * Indexes of log entries start at 1.  Times in messages are read from the
+ * sender's clock; receivers return them and do not interpret them.
  */
 
 const PU_LOG_NAME_MAX = 128;
@@ -13,7 +13,8 @@
 const PU_LOG_ENTRIES_MAX = 4096;
 const PU_LOG_CHUNK_MAX = 262144;
 
-/* One identity of a voter.  A voter gets a new identity with a new disk.  */
+/* One identity of a voter.  A voter gets a new identity when it gets a new
+   disk.  */
 struct pu_log_peer
 {
   unsigned hyper id;
@@ -23,10 +24,11 @@
 
 enum pu_log_role
 {
-  PU_LOG_LEARNER = 0, /* replicates the log, is not in the quorum */
+  PU_LOG_LEARNER = 0, /* replicates the log, does not count in the quorum */
   PU_LOG_CHOSEN = 1,  /* a learner that an operator chose as a voter */
-  PU_LOG_VOTER = 2,   /* is in the quorum */
-  PU_LOG_LEAVING = 3  /* a voter to be removed, in the quorum until then */
+  PU_LOG_VOTER = 2,   /* counts in the quorum */
+  /* a voter to be removed; counts in the quorum until then */
+  PU_LOG_LEAVING = 3
 };
 
 struct pu_log_member
@@ -73,18 +75,20 @@
   PU_LOG_REJOIN = 9
 };
 
-/* Sent by an identity that hears from no leader: asks for the leader and, if
-   its log is empty, to be added as a learner.  */
+/* Sent by an identity that receives no messages from a leader: asks for the
+   leader and, if the sender's log is empty, to be added as a learner.  */
 struct pu_log_hello
 {
   bool fresh; /* the sender's log is empty */
-  bool first; /* and its folder never held one: it may bootstrap the log */
+  /* fresh, and the sender's folder never held a log: the sender may bootstrap
+     the log */
+  bool first;
 };
 
 struct pu_log_welcome
 {
-  bool first; /* as in pu_log_hello */
-  pu_log_peer leader; /* id 0: not known */
+  bool first; /* same meaning as in pu_log_hello */
+  pu_log_peer leader; /* id 0: the leader is not known */
 };
 
 struct pu_log_vote
@@ -95,8 +99,8 @@
   unsigned hyper last_term;
 };
 
-/* The durable floor of an identity: all entries up to index are committed and
-   it is known to have synced them.  */
+/* The durable floor of an identity: all entries up to index are committed,
+   and the identity is known to have synced them.  */
 struct pu_log_floor
 {
   unsigned hyper id;
@@ -120,16 +124,20 @@
   unsigned hyper commit;
   pu_log_entry entries<PU_LOG_ENTRIES_MAX>;
   pu_log_floor floors<PU_LOG_MEMBERS_MAX>;
-  pu_log_peer seeder;     /* where to fetch a snapshot; id 0: none is needed */
+  /* member from which to fetch a snapshot; id 0: no snapshot is needed */
+  pu_log_peer seeder;
 };
 
 struct pu_log_append_reply
 {
-  unsigned hyper seq;     /* of the message answered */
-  unsigned hyper sent;    /* of the message answered */
+  unsigned hyper seq;     /* seq of the message answered */
+  unsigned hyper sent;    /* send time of the message answered */
   bool ok;
-  unsigned hyper match;   /* if ok: synced and equal to the leader's log */
-  unsigned hyper last;    /* if not ok: the highest index that may match */
+  /* if ok: the follower's log is synced and equal to the leader's log up to
+     here */
+  unsigned hyper match;
+  /* if not ok: the highest index at which the follower's log may match */
+  unsigned hyper last;
   unsigned hyper synced;  /* last durable index */
   unsigned hyper snapshot; /* index of the newest snapshot */
   unsigned hyper fetched; /* bytes of a snapshot fetched so far */
@@ -182,27 +190,31 @@
   unsigned int group;
   unsigned hyper cluster; /* 0: the sender's log is empty */
   unsigned hyper term;
-  unsigned hyper to;      /* 0: any identity at that address */
+  unsigned hyper to;      /* 0: any identity at the receiver's address */
   pu_log_peer from;
   pu_log_body body;
 };
 
-/* The entries that one group sync writes to a segment.  */
+/* The entries that one group commit writes to a segment.  */
 struct pu_log_batch
 {
-  unsigned hyper commit; /* commit index when it was written; a hint */
+  /* commit index when the batch was written; only a hint */
+  unsigned hyper commit;
   pu_log_entry entries<>;
 };
 
-/* The voter's metadata.  It never reverts to an earlier state.  */
+/* The voter's metadata.  Each save replaces an older state; a voter never
+   goes back to an older one.  */
 struct pu_log_meta
 {
-  unsigned hyper saves;   /* increases with each save */
+  unsigned hyper saves;   /* number of saves so far */
   unsigned hyper id;
   unsigned hyper cluster;
   unsigned hyper term;
-  unsigned hyper vote;     /* 0: none in this term */
-  unsigned hyper floor;    /* entries up to here were durable and committed */
+  /* identity that got this voter's vote in this term; 0: none */
+  unsigned hyper vote;
+  /* entries up to this index were durable and committed */
+  unsigned hyper floor;
   unsigned hyper segment;  /* number of the newest segment */
 };
 
@@ -210,7 +222,8 @@
 {
   unsigned hyper index;
   unsigned hyper term;
-  unsigned hyper first_batch; /* batches before this number are void */
+  /* batches with a lower number are void: the snapshot replaced them */
+  unsigned hyper first_batch;
   pu_log_config config;
   opaque data<>;
 };
--- a/libplantainusher/log/record.c
+++ b/libplantainusher/log/record.c
@@ -112,8 +112,8 @@
   return true;
 }
 
-/* Copies are allocated with malloc, as the XDR library allocates decoded
-   values, so that xdr_free can free both.  */
+/* Copies are allocated with malloc, as are the values that the XDR library
+   decodes, so that xdr_free can free both.  */
 void
 pu_log_peer_copy (pu_log_peer *to, const pu_log_peer *from)
 {
--- a/libplantainusher/log/record.h
+++ b/libplantainusher/log/record.h
@@ -42,22 +42,23 @@
 GBytes *pu_xdr_encode (xdrproc_t proc, const void *p);
 
 /* pu_xdr_decode - fills the zeroed value at P from the LEN bytes at BYTES.
-   Returns false when they are malformed or more bytes follow the value; the
-   members decoded until then are freed.  */
+   Returns false when BYTES is malformed or more bytes follow the value; in
+   that case the members decoded so far are freed.  */
 bool pu_xdr_decode (xdrproc_t proc, void *p, const void *bytes, size_t len);
 
-/* pu_log_msg_encode, pu_log_msg_decode - encode and decode a message between
-   voters.  Decoding refuses messages above PU_LOG_MSG_MAX_BYTES
-   (PU_ERROR_TOO_LARGE), malformed ones and those of another protocol version
-   (PU_ERROR_INVALID).  Free a decoded message with xdr_free.  */
+/* pu_log_msg_encode, pu_log_msg_decode - encode and decode a message
+   between voters.  Decoding refuses messages larger than
+   PU_LOG_MSG_MAX_BYTES (PU_ERROR_TOO_LARGE), and messages that are
+   malformed or of another protocol version (PU_ERROR_INVALID).  Free a
+   decoded message with xdr_free.  */
 #define PU_LOG_PROTOCOL_VERSION 1
 #define PU_LOG_MSG_MAX_BYTES (PU_LOG_ENTRY_MAX + 2 * 1048576)
 GBytes *pu_log_msg_encode (const pu_log_msg *m);
 bool pu_log_msg_decode (pu_log_msg *m, const void *bytes, size_t len,
                         pu_error_t *e);
 
-/* Deep copies, freed with the _clear functions.  A string that is NULL is
-   copied as an empty one.  */
+/* Functions that make deep copies, which are freed with the _clear functions.
+   A string that is NULL is copied as an empty string.  */
 void pu_log_peer_copy (pu_log_peer *to, const pu_log_peer *from);
 void pu_log_peer_clear (pu_log_peer *p);
 void pu_log_config_copy (pu_log_config *to, const pu_log_config *from);
@@ -70,7 +71,8 @@
    pu_log_role_is_voting).  */
 uint32_t pu_log_config_count_voters (const pu_log_config *c);
 
-/* pu_log_role_is_voting - whether members with ROLE count towards a quorum. */
+/* pu_log_role_is_voting - returns whether members with ROLE count towards a
+   quorum.  */
 bool pu_log_role_is_voting (pu_log_role role);
 
 G_END_DECLS
--- a/libplantainusher/log/replica.c
+++ b/libplantainusher/log/replica.c
@@ -50,7 +50,7 @@
   g_clear_pointer (&d->entries, g_ptr_array_unref);
 }
 
-/* Actions and messages.  */
+/* Actions, and messages deferred until a write is durable.  */
 
 void
 pu_action_clear (pu_action_t *a)
@@ -127,7 +127,8 @@
   return any;
 }
 
-/* Sends BODY to TO as soon as the current term and vote are durable.  */
+/* Sends BODY to TO as soon as the current metadata (term and vote) is
+   durable.  */
 void
 pu_r_send (pu_replica_t *r, const pu_log_peer *to, pu_log_body *body)
 {
@@ -174,7 +175,7 @@
   r->meta_ticket = a->ticket;
 }
 
-/* Roles.  */
+/* Changes of role: follower, leader or stopped.  */
 
 void
 pu_r_reset_timeout (pu_replica_t *r, uint64_t now)
@@ -246,7 +247,7 @@
   stop_participating (r);
 }
 
-/* Construction.  */
+/* Creating and freeing a replica.  */
 
 /* An initial voter without a name is identified by its address.  */
 static bool
@@ -287,7 +288,8 @@
   r->base = d->snapshot.index;
   r->base_term = d->snapshot.term;
   pu_r_push_config (r, r->base, &d->snapshot.config);
-  r->written = G_MAXUINT64; /* these entries are on the disk */
+  r->written = G_MAXUINT64; /* keeps pu_r_append from writing entries that are
+                               on the disk already */
   for (guint i = 0; i < d->entries->len; i++)
     pu_r_append (r, pu_record_ref (g_ptr_array_index (d->entries, i)));
   r->written = pu_r_last_index (r);
@@ -374,7 +376,7 @@
   g_free (r);
 }
 
-/* Inputs.  */
+/* Timer ticks, received messages and reports of durable writes.  */
 
 void
 pu_replica_tick (pu_replica_t *r, uint64_t now)
@@ -410,9 +412,9 @@
     pu_r_campaign (r, now, false, true);
 }
 
-/* A leader sends this, while it holds the lease, to an identity that is not in
-   the committed configuration, and to one that has lost entries it had
-   synced.  */
+/* Handles a rejoin message.  A leader sends it, while it holds the lease, to
+   an identity that is not in the committed configuration, and to an identity
+   that has lost entries that it had synced.  */
 static void
 on_rejoin (pu_replica_t *r, const pu_log_msg *m)
 {
@@ -544,7 +546,7 @@
   return true;
 }
 
-/* Queries.  */
+/* Functions that return the state of the replica.  */
 
 bool
 pu_replica_is_leader (const pu_replica_t *r)
--- a/libplantainusher/log/replica_append.c
+++ b/libplantainusher/log/replica_append.c
@@ -3,20 +3,21 @@
 #include <string.h>
 
 /*
- * Replication.  The leader pipelines messages with entries, up to a window for
- * each member.  A follower acknowledges what it has synced to its disk.  A
- * heartbeat carries the index and the term before the next entry to send; a
- * follower that missed a message rejects it and the leader resends, so lost
- * messages need no retransmission timer.
+ * Replication.  The leader sends messages with entries without waiting for
+ * replies, up to a window of unanswered messages for each member.  A follower
+ * acknowledges the entries that it has synced to its disk.  A heartbeat
+ * carries the index and the term of the entry before the next one to send; a
+ * follower that missed a message rejects the heartbeat and the leader resends
+ * the entries, so lost messages need no retransmission timer.
  */
 
 enum
 {
-  /* Election timeouts without replies from a quorum until a leader steps
-     down.  */
+  /* A leader steps down after this many election timeouts without replies
+     from a quorum.  */
   QUORUM_LOSS_ELECTIONS = 2,
-  /* Heartbeats within which the target of a leadership transfer must have
-     replied.  */
+  /* The target of a leadership transfer must have replied within this many
+     heartbeat intervals.  */
   TRANSFER_SILENCE_HEARTBEATS = 3,
 };
 
@@ -139,7 +140,7 @@
   return true;
 }
 
-/* Sending.  */
+/* Sending of append messages, on the leader.  */
 
 static uint32_t
 collect_entries (const pu_replica_t *r, uint64_t first, pu_log_entry *out)
@@ -272,7 +273,8 @@
   if (p->match < pu_r_last_index (r))
     return;
   pu_log_peer_copy (&peer, &to->peer);
-  /* Step down first: the lease ends before the target can be elected.  */
+  /* Step down before the target is asked to start an election, so that the
+     lease ends before the target can be elected.  */
   pu_r_become_follower (r, now, r->term, NULL);
   pu_r_send (r, &peer, &b);
   pu_log_peer_clear (&peer);
@@ -346,7 +348,7 @@
     pu_r_adjust_voters (r, now);
 }
 
-/* Commit.  */
+/* Computing the commit index, on the leader.  */
 
 static gint
 descending (gconstpointer a, gconstpointer b)
@@ -397,17 +399,18 @@
   if (commit <= r->commit)
     return;
   /* An entry of an earlier term may still be overwritten even if a quorum
-     holds it.  It is committed together with a later entry of this term.  */
+     holds it.  Such an entry is committed together with a later entry of the
+     current term.  */
   if (pu_r_term_at (r, commit, &known) == r->term
       || (r->o.breaks & PU_BREAK_COMMIT_OLD_TERM))
     pu_r_advance_commit (r, commit);
 }
 
-/* Append replies, on the leader.  */
+/* Handling of replies to append messages, on the leader.  */
 
 /* Returns whether reply A shows that the member's disk lost synced entries:
-   the synced log ends below the member's floor, or below an index that was
-   acknowledged before the message answered here was sent.  */
+   the synced log ends below the member's durable floor, or below an index
+   that the member acknowledged before the message that A answers was sent.  */
 static bool
 has_lost_entries (const pu_replica_t *r, const pu_progress_t *p,
                   const pu_log_append_reply *a)
@@ -443,10 +446,12 @@
 
   if (a->seq <= p->reject_seq)
     return;
-  p->reject_seq = p->seq; /* rejections of messages in flight add nothing */
+  p->reject_seq = p->seq; /* ignores rejections of all messages sent so far:
+                             they add nothing */
   next = MAX (next, p->match + 1);
-  /* Probe again at once if the next index moved back.  A member that needs a
-     snapshot gets only one such probe, which names its seeder.  */
+  /* Probe again immediately if the next index moved back.  A member that
+     needs a snapshot gets only one such probe, which names the member's
+     seeder.  */
   probe = next < p->next && (next > r->base || p->seeder == 0);
   p->next = next;
   p->probing = true;
@@ -499,7 +504,7 @@
     advance_transfer (r, now);
 }
 
-/* Append messages, on a follower.  */
+/* Handling of append messages, on a follower.  */
 
 void
 pu_r_reply_append (pu_replica_t *r, bool ok, uint64_t last)
@@ -526,9 +531,9 @@
   pu_r_send (r, &r->leader, &b);
 }
 
-/* Returns the last index at which this log may match that of a leader whose
-   entry at PREV is missing here or has another term.  All entries of the
-   conflicting term are skipped, down to the commit index.  */
+/* Returns the last index at which this log may match the log of a leader
+   whose entry at PREV is missing in this log or has another term.  All
+   entries of the conflicting term are skipped, down to the commit index.  */
 static uint64_t
 last_before_conflict (const pu_replica_t *r, uint64_t prev)
 {
@@ -556,9 +561,9 @@
   return true;
 }
 
-/* Appends the entries of A and truncates the log where the terms differ.
-   Returns false if that would overwrite a committed entry, which no correct
-   leader does.  */
+/* Appends the entries of A and truncates the log at the first entry whose
+   term differs.  Returns false if the truncation would remove a committed
+   entry, which no correct leader requests.  */
 static bool
 merge_entries (pu_replica_t *r, const pu_log_append *a)
 {
@@ -612,14 +617,15 @@
   if (a->prev_index > pu_r_last_index (r))
     return false;
   if (a->prev_index < r->base)
-    return true; /* compacted, so committed and the same */
+    return true; /* the entry was compacted, so it was committed and equals the
+                    leader's */
   return pu_r_term_at (r, a->prev_index, &known) == a->prev_term;
 }
 
-/* Records since when the leader's commit index has been ahead of this one.  A
-   follower with a full or slow disk acknowledges nothing, so the leader's
-   window for it fills and later entries are not sent; the commit index in
-   heartbeats still shows the lag.  */
+/* Records since when the leader's commit index has been ahead of this
+   voter's.  A follower with a full or slow disk acknowledges nothing, so the
+   leader's window of unanswered messages to it fills and later entries are
+   not sent; the commit index in heartbeats still shows the lag.  */
 static void
 update_commit_lag (pu_replica_t *r, uint64_t now, uint64_t leader_commit)
 {
@@ -634,8 +640,8 @@
     }
 }
 
-/* Appends A's entries, advances the commit index and replies; the reply is
-   deferred while the entries are not synced.  */
+/* Appends the entries of A, advances the commit index and replies; the reply
+   is deferred until the entries are synced.  */
 static void
 process_append (pu_replica_t *r, uint64_t now, const pu_log_append *a)
 {
--- a/libplantainusher/log/replica_disk.h
+++ b/libplantainusher/log/replica_disk.h
@@ -15,7 +15,7 @@
 struct Disk
 {
   pu_log_meta meta{};
-  std::vector<pu_record_t *> entries; // after the snapshot
+  std::vector<pu_record_t *> entries; // entries after the snapshot
   pu_snapshot_t snapshot{};
   uint64_t commit = 0;
   uint64_t
@@ -61,18 +61,20 @@
 {
   pu_replica_t *r = nullptr;
   Disk disk;
-  std::deque<pu_action_t> pending; // writes and snapshots not synced yet
+  std::deque<pu_action_t> pending; // written actions (writes and snapshots)
+                                   // that are not synced yet
   std::string name;
-  int rate_permille = 0; // clock rate error
+  int rate_permille = 0; // rate error of the node's clock
   uint64_t clock_offset_ms = 0;
   bool paused = false;
   bool stalled = false;
   uint64_t state_hash = 0; // the state machine: a hash of all data entries
   uint64_t applied = 0;
-  std::vector<uint64_t> voters; // in the configuration of its log
-  uint64_t config_index = 0;    // of that configuration
-  bool had_log = false;         // has been a member of a log
-  bool surplus = false;         // more voters than the target
+  std::vector<uint64_t> voters; // identities of the voters in the newest
+                                // configuration of its log
+  uint64_t config_index = 0;    // index of the newest configuration
+  bool had_log = false;         // the node has been a member of a log
+  bool surplus = false;         // more voters than the configuration's target
 };
 
 } // namespace sim
--- a/libplantainusher/log/replica_fetch.c
+++ b/libplantainusher/log/replica_fetch.c
@@ -4,19 +4,21 @@
 #include <xxhash.h>
 
 /*
- * Snapshot transfer.  To a member that needs compacted entries, the leader
- * names a seeder in its heartbeats: another member that has a recent enough
- * snapshot.  When the transfer stalls, the leader names the next one; the
- * leader itself comes last in that rotation.  The lagging member requests the
- * snapshot from the seeder chunk by chunk.
+ * Snapshot transfer.  When a member needs entries that the leader has
+ * compacted, the leader's heartbeats to it name a seeder: another member that
+ * has a recent enough snapshot.  When the transfer stalls, the leader names
+ * the next seeder; the leader itself comes last in that rotation.  The
+ * lagging member requests the snapshot from the seeder chunk by chunk.
  */
 
 enum
 {
-  /* Heartbeats without progress until the next seeder is named, and the
-     longest silence of a candidate.  */
+  /* The leader names the next seeder after this many heartbeat intervals
+     without progress of the transfer, and considers only members that have
+     replied within this many heartbeat intervals.  */
   STALL_HEARTBEATS = 8,
-  /* Heartbeats until an unanswered chunk request is repeated.  */
+  /* An unanswered chunk request is repeated after this many heartbeat
+     intervals.  */
   RETRY_HEARTBEATS = 2,
 };
 
@@ -30,8 +32,8 @@
                        + STALL_HEARTBEATS * (uint64_t)r->o.heartbeat_ms;
 }
 
-/* Returns the seeder at TURN in the rotation over all candidates, of which the
-   leader is the last.  */
+/* Returns the seeder at position TURN in the rotation over all possible
+   seeders.  The leader is the last of them.  */
 static uint64_t
 seeder_at (const pu_replica_t *r, const pu_progress_t *target, uint32_t turn,
            uint64_t now)
@@ -72,7 +74,7 @@
   p->seeder = seeder_at (r, p, p->seeder_turn, now);
 }
 
-/* The lagging member.  */
+/* Fetching of a snapshot, on the lagging member.  */
 
 void
 pu_r_fetch_stop (pu_replica_t *r)
@@ -176,7 +178,7 @@
     }
 }
 
-/* The seeder.  */
+/* Sending of snapshot chunks, on the seeder.  */
 
 static uint64_t
 snapshot_hash (pu_replica_t *r, const char *data, gsize total)
--- a/libplantainusher/log/replica_log.c
+++ b/libplantainusher/log/replica_log.c
@@ -56,8 +56,8 @@
   return pu_r_term_at (r, pu_r_last_index (r), &known);
 }
 
-/* Configurations.  The newest one in the log is in force, whether or not it is
-   committed.  */
+/* Configurations.  The newest configuration in the log is in force, whether
+   or not it is committed.  */
 
 static pu_config_entry_t *
 newest_config (const pu_replica_t *r)
@@ -175,7 +175,8 @@
   drop_configs_from (r, first);
 }
 
-/* Passes all entries not written yet to the journal as one write.  */
+/* Passes all entries that were not passed on yet to the journal as one
+   write.  */
 void
 pu_r_flush_writes (pu_replica_t *r)
 {
@@ -216,8 +217,8 @@
   r->commit = commit;
 }
 
-/* Snapshots.  Members take snapshots with the same period, staggered by their
-   position in the configuration.  */
+/* Snapshots.  All members take snapshots with the same period, at indexes
+   that are staggered by the member's position in the configuration.  */
 
 static uint32_t
 own_position (const pu_replica_t *r, const pu_log_config *c)
--- a/libplantainusher/log/replica_private.h
+++ b/libplantainusher/log/replica_private.h
@@ -30,28 +30,32 @@
 {
   uint64_t id;
   uint64_t next;  /* next index to send */
-  uint64_t match; /* match index: durable there and equal to this log */
+  uint64_t match; /* match index: the member's log is durable and equal to this
+                     log up to here */
   uint64_t floor; /* durable floor: highest committed index that the member
                      is known to have synced; 0: unknown */
-  uint64_t seq;   /* of the last message sent */
-  uint64_t match_check_from_seq; /* replies from this seq on must report at
-                         least match as synced */
-  uint64_t reject_seq; /* last seq sent when a rejection arrived; rejections of
-                          messages up to it are ignored as repeats */
+  uint64_t seq;   /* sequence number of the last message sent */
+  uint64_t
+      match_check_from_seq; /* replies to messages with this seq or a later one
+                               must report a synced index of at least match */
+  uint64_t
+      reject_seq; /* value of seq when the last rejection arrived; rejections
+                     of messages up to it are ignored as repeats */
   uint64_t acked_send_time; /* newest send time among the answered messages */
   uint64_t last_reply_at;   /* time of the last reply */
   uint64_t next_heartbeat_at; /* time of the next heartbeat */
-  bool probing;               /* next is not confirmed: send no entries */
-  bool lost_entries; /* its disk lost synced entries: it is not counted in a
-                        quorum and is told to rejoin */
-  GQueue in_flight_appends; /* in-flight messages with entries: the last index
-                    of each */
-  uint64_t snapshot;        /* index of its newest snapshot */
-  uint64_t fetched;         /* bytes of a snapshot it has fetched */
+  bool probing; /* next is not confirmed: send heartbeats without entries */
+  bool lost_entries; /* the member's disk lost synced entries: the member does
+                        not count in a quorum and is told to rejoin */
+  GQueue in_flight_appends; /* the last index of each unanswered message with
+                               entries */
+  uint64_t snapshot;        /* index of the member's newest snapshot */
+  uint64_t fetched; /* bytes of a snapshot that the member has fetched */
   uint64_t fetch_progress_at; /* time of the last change of fetched */
-  uint64_t seeder;            /* member it fetches a snapshot from; 0: it needs
-                                 none */
-  uint32_t seeder_turn;       /* turn in the rotation over all candidates */
+  uint64_t seeder; /* member from which this member fetches a snapshot; 0: it
+                      needs no snapshot */
+  /* position in the rotation over all possible seeders */
+  uint32_t seeder_turn;
 } pu_progress_t;
 
 /* A configuration and the index of its entry.  */
@@ -68,7 +72,8 @@
   uint64_t last_index;
 } pu_pending_write_t;
 
-/* A message that must not be sent before a write is durable.  */
+/* A message that must not be sent before the write with ticket AFTER_TICKET
+   is durable.  */
 typedef struct
 {
   uint64_t after_ticket;
@@ -81,8 +86,8 @@
 typedef struct
 {
   pu_log_peer peer;
-  uint64_t fresh_at; /* when it last reported that it may bootstrap the log;
-                        0: never */
+  uint64_t fresh_at; /* when the peer last reported that it may bootstrap the
+                        log; 0: never */
 } pu_seed_t;
 
 /* A snapshot being fetched from another member.  */
@@ -105,53 +110,60 @@
   GArray *seeds; /* of pu_seed_t, without self */
   GRand *rand;
   bool initial; /* may bootstrap the log */
-  bool stopped; /* takes no part: the disk failed or the identity is retired */
+  bool stopped; /* sends and handles no messages: the disk failed or the
+                   identity is retired */
   bool failed;
 
   uint64_t cluster;
   uint64_t term;
   uint64_t vote;
   pu_role_t role;
-  pu_log_peer leader;           /* id 0: not known */
+  pu_log_peer leader;           /* id 0: the leader is not known */
   uint64_t last_leader_contact; /* time of the last message from a leader, or
-                        of the start */
+                                   the start time if there was none */
   uint64_t election_deadline;
-  uint64_t vote_retry_at;    /* when a candidate repeats its vote requests */
-  bool transfer_campaign;    /* the leader requested this campaign */
-  uint64_t next_hello_at;    /* time of the next hello messages */
-  GHashTable *votes_granted; /* by identity, in this campaign */
-  GHashTable *floors; /* identity -> uint64_t *: highest committed index that
-                         it is known to have synced */
+  uint64_t vote_retry_at; /* when a candidate repeats its vote requests */
+  bool transfer_campaign; /* the old leader requested this campaign (leadership
+                             transfer) */
+  uint64_t next_hello_at; /* time of the next hello messages */
+  GHashTable *votes_granted; /* set of the identities that voted for this voter
+                                in the current campaign */
+  /* identity -> uint64_t *: highest committed index that the member with this
+     identity is known to have synced */
+  GHashTable *floors;
 
   GPtrArray *entries;            /* of pu_record_t, from index base + 1 */
   uint64_t base;                 /* index before the first entry in memory */
   uint64_t base_term;            /* term of the entry at base */
-  uint64_t bytes_since_snapshot; /* of the entries after it, approximately */
-  GArray *configs; /* of pu_config_entry_t, by index, at least one */
+  uint64_t bytes_since_snapshot; /* approximate size of the entries after the
+                                    snapshot */
+  GArray *configs; /* of pu_config_entry_t, sorted by index; never empty */
   pu_snapshot_t snapshot;
-  uint64_t hash_index; /* index of the snapshot that hash belongs to */
+  uint64_t hash_index; /* index of the snapshot of which `hash` is the hash */
   uint64_t hash;
-  pu_snapshot_t unsaved_snapshot; /* index 0: none */
-  bool snapshot_requested;        /* and not durable yet */
-  uint64_t no_snapshot_up_to; /* none was available up to this index: request
-                                 none until a later entry is applied */
+  /* snapshot that is being saved; index 0: none */
+  pu_snapshot_t unsaved_snapshot;
+  /* a snapshot was requested and is not durable yet */
+  bool snapshot_requested;
+  uint64_t no_snapshot_up_to; /* no snapshot was available up to this index:
+                                 request none until a later entry is applied */
   uint64_t installing;        /* index of the snapshot being installed, or 0 */
 
   uint64_t commit;            /* commit index */
   uint64_t max_leader_commit; /* highest commit index that a leader reported */
-  uint64_t commit_lag_since;  /* since when commit is lower than
-                             max_leader_commit; 0: it is not */
+  uint64_t commit_lag_since;  /* since when commit has been lower than
+                                 max_leader_commit; 0: it is not lower */
   uint64_t applied;           /* last index passed on in PU_ACTION_APPLY */
   uint64_t written;           /* last index passed on in PU_ACTION_WRITE */
   uint64_t durable;           /* last durable index */
   GQueue pending_writes;      /* of pu_pending_write_t * */
   uint64_t last_ticket;
-  uint64_t meta_ticket;   /* of the last write of metadata */
+  uint64_t meta_ticket;   /* ticket of the last write of metadata */
   uint64_t synced_ticket; /* writes up to this ticket are durable */
   GQueue actions;         /* of pu_action_t * */
   GQueue deferred_sends;  /* of pu_deferred_send_t * */
 
-  /* As a follower.  */
+  /* Used by a follower.  */
   uint64_t matched_leader_index; /* the log equals the leader's up to this
                         index, in this term */
   uint64_t
@@ -161,17 +173,19 @@
   bool reply_pending; /* reply as soon as more entries are durable */
   pu_snapshot_fetch_t fetching;
 
-  /* As the leader.  */
+  /* Used by the leader.  */
   GArray *progress; /* of pu_progress_t, for each member but self */
   uint64_t leader_since;
   uint64_t
       term_first_index; /* index of the first entry of this leader's term */
-  uint64_t uncommitted_bytes;      /* of the entries after commit */
+  uint64_t uncommitted_bytes;      /* size of the entries after commit */
   uint64_t committed_config_index; /* index of the newest configuration known
                                       to be committed */
-  uint64_t config_committed_at;    /* time when that was noticed */
+  uint64_t config_committed_at;    /* time when this leader noticed that this
+                                      configuration was committed */
   uint64_t transfer_deadline; /* deadline of a leadership transfer; 0: none */
-  uint64_t transfer_target;   /* identity that is to become leader */
+  uint64_t
+      transfer_target; /* identity of the voter that is to become leader */
 };
 
 /* replica.c */
@@ -205,8 +219,8 @@
 /* replica_vote.c */
 bool pu_r_may_campaign (const pu_replica_t *r);
 void pu_r_campaign (pu_replica_t *r, uint64_t now, bool pre, bool transfer);
-/* pu_r_repeat_vote_requests - repeats a candidate's vote requests when they
-   are due, as requests and replies may be lost.  */
+/* pu_r_repeat_vote_requests - repeats a candidate's vote requests when
+   vote_retry_at is reached, as requests and replies may be lost.  */
 void pu_r_repeat_vote_requests (pu_replica_t *r, uint64_t now);
 void pu_r_on_vote (pu_replica_t *r, uint64_t now, const pu_log_msg *m);
 void pu_r_on_vote_reply (pu_replica_t *r, uint64_t now, const pu_log_msg *m);
--- a/libplantainusher/log/replica_sim.h
+++ b/libplantainusher/log/replica_sim.h
@@ -30,7 +30,7 @@
   RESUME,
   ISOLATE,
   BLOCK,
-  ISOLATE_NEXT_LEADER, // isolate the next leader when it is elected
+  ISOLATE_NEXT_LEADER, // when a leader is elected next, isolate it
   HEAL,
   LOSSY,
   RELIABLE,
@@ -48,7 +48,7 @@
   unsigned a, b;
 };
 
-/* Rule that the simulator breaks: a wiped disk keeps its old identity.  */
+/* Flag for a fault in the simulator: a wiped disk keeps its old identity.  */
 constexpr unsigned REUSE_IDENTITY = 1U << 16;
 constexpr uint64_t STEP_MS = 10;
 
@@ -64,7 +64,7 @@
 public:
   std::string violation; // the first violation
   unsigned faults = 0;
-  uint64_t delivered = 0; // messages
+  uint64_t delivered = 0; // number of messages delivered
   uint64_t commits = 0;
 
   Sim (unsigned n, unsigned seed, unsigned breaks, unsigned spares = 0,
@@ -186,7 +186,8 @@
     run (ev.kind == RUN ? 50 + ev.b % 3000 : ev.b % 200);
   }
 
-  /* Ends all faults; true if the leader then commits a new proposal.  */
+  /* Ends all faults.  Returns true if the leader commits a new proposal after
+     that.  */
   bool
   recovers ()
   {
@@ -326,8 +327,8 @@
     d.commit = std::min (d.commit, d.last ());
     start (i);
   }
-  /* Whether the log of N lacks the newest committed configuration.  N can then
-     elect no leader.  */
+  /* Returns whether the log of N lacks the newest committed configuration.
+     If so, N cannot elect a leader.  */
   bool
   is_superseded (const Node &n) const
   {
@@ -339,8 +340,8 @@
            || (e != nullptr && it != committed_.end ()
                && e->term != it->second.first);
   }
-  /* Whether every configuration that can still elect a leader keeps a quorum
-     of intact disks without ID.  */
+  /* Returns whether every configuration that can still elect a leader has a
+     quorum of intact disks without that of identity ID.  */
   bool
   can_wipe (uint64_t id) const
   {
@@ -369,13 +370,17 @@
   std::vector<std::vector<bool> > blocked_;
   std::vector<Packet> packets_;
   std::set<uint64_t> lost_ids_;
-  std::map<uint64_t, std::pair<uint64_t, uint64_t> > committed_; // term, chain
-  std::map<uint64_t, uint64_t> commit_term_; // term it was committed in
+  // index -> term of the entry, hash of the state after it
+  std::map<uint64_t, std::pair<uint64_t, uint64_t> > committed_;
+  // index -> term in which the entry was committed
+  std::map<uint64_t, uint64_t> commit_term_;
   std::map<uint64_t, uint64_t> leader_by_term_;
-  std::map<std::pair<uint64_t, uint64_t>, uint64_t> votes_; // identity, term
+  // (identity, term) -> identity voted for
+  std::map<std::pair<uint64_t, uint64_t>, uint64_t> votes_;
   uint64_t now_ = 0;
   uint64_t proposed_ = 0;
-  uint64_t committed_config_ = 0; // index of the newest one
+  // index of the newest committed configuration
+  uint64_t committed_config_ = 0;
   bool lossy_ = false;
   bool isolate_next_leader_ = false;
 
@@ -414,7 +419,7 @@
     return state_hash;
   }
 
-  /* Disk.  */
+  /* The simulated disks.  */
   void
   sync_oldest (Node &n, bool notify)
   {
@@ -489,9 +494,9 @@
       }
   }
 
-  /* Picks the leader, if there is one, unless A is the number of a node:
-     faults of the leader matter most, so events choose it about half of the
-     time.  */
+  /* Returns the number of the node that an event affects: the leader, if
+     there is one, unless A is the number of a node.  Faults of the leader
+     matter most, so events choose it about half of the time.  */
   unsigned
   pick_node (unsigned a)
   {
@@ -537,7 +542,7 @@
         = lossy_ ? (rand_ () % 10 < 2 ? 0 : 1 + (rand_ () % 10 < 2)) : 1;
     if (to >= nodes_.size () || blocked_[i][to])
       return;
-    faults += copies != 1; // lost or duplicated
+    faults += copies != 1; // the message is lost or duplicated
     for (; copies > 0; copies--)
       {
         uint64_t delay_ms = lossy_ && rand_ () % 20 == 0 ? rand_ () % 4000 : 0;
@@ -583,8 +588,8 @@
     else if (it->second.second != state_hash)
       fail ("committed entry changed at " + std::to_string (i));
   }
-  /* Every log that could win an election, given what is on the disks now, must
-     hold the committed entry.  */
+  /* Checks that every log that could win an election, given what is on the
+     disks now, holds the entry committed at I with TERM.  */
   void
   check_electability (uint64_t i, uint64_t term)
   {
@@ -622,8 +627,8 @@
     for (auto &c : committed_)
       {
         const pu_record_t *e = pu_replica_entry (n.r, c.first);
-        /* A leader of an earlier term than the one in which the entry was
-           committed may lack it, but cannot commit anything.  */
+        /* A leader may lack an entry that was committed in a later term than
+           its own, but such a leader cannot commit anything.  */
         if (c.first >= pu_replica_first_index (n.r)
             && commit_term_[c.first] < term
             && (e == nullptr || e->term != c.second.first))
--- a/libplantainusher/log/replica_test.cc
+++ b/libplantainusher/log/replica_test.cc
@@ -61,7 +61,8 @@
     RC_FAIL (violation);
 }
 
-/* As above, with spares that become voters automatically.  */
+/* Like PreservesInvariants, with spare nodes that become voters
+   automatically.  */
 RC_GTEST_PROP (ReplicaFuzz, PreservesInvariantsWhileVotersAreAdded, ())
 {
   const auto seed = *rc::gen::arbitrary<unsigned> ();
@@ -73,14 +74,15 @@
     RC_FAIL (violation);
 }
 
-/* Number of voters in the leader's configuration.  */
+/* Returns the number of voters in the leader's configuration.  */
 static unsigned
 voters (Sim &s)
 {
   return pu_log_config_count_voters (pu_replica_config (s.leader ()->r));
 }
 
-/* With five voters, the loss of two disks must not stop the log.  */
+/* The leader must raise the number of voters when spares are available,
+   because with five voters the loss of two disks must not stop the log.  */
 TEST (Replica, SparesBecomeVotersUpToTheTarget)
 {
   for (auto [spares, wanted, expected] : { std::array<unsigned, 3>{ 2, 0, 3 },
@@ -116,8 +118,8 @@
   EXPECT_TRUE (s.recovers ()) << s.violation;
 }
 
-/* A voter whose disk lost acknowledged entries is refused, both by the leader
-   that saw the acknowledgement and by the next leader.  */
+/* A voter whose disk lost acknowledged entries must be refused, both by the
+   leader that received the acknowledgement and by the next leader.  */
 TEST (Replica, RolledBackDiskRejoinsWithANewIdentity)
 {
   for (bool leader_dies : { false, true })
@@ -141,8 +143,9 @@
     }
 }
 
-/* After a power failure connections come up one by one, after the first
-   election has started, so vote requests sent before that are lost.  */
+/* After a power failure, connections come up one by one, after the first
+   election has started, so vote requests sent before a connection is up are
+   lost.  */
 TEST (Replica, LostVoteRequestsAreRepeated)
 {
   const uint64_t election_ms = 1000;
--- a/libplantainusher/log/replica_vote.c
+++ b/libplantainusher/log/replica_vote.c
@@ -5,25 +5,28 @@
 /*
  * Elections and the leader's lease.
  *
- * A voter grants no vote within the minimum election timeout T, by its own
- * clock, after it heard from a leader, nor within T after its start, because
- * it does not store when it last heard from a leader.  A leader's lease starts
- * at the send time of the messages that a quorum has answered; it is shorter
- * than T by the drift of two clocks and the rounding to milliseconds.  Every
- * quorum that could elect another leader shares a voter with that quorum, so
- * no other leader is elected before the lease has expired.  Votes for a
- * leadership transfer are granted within T, as the old leader steps down
- * before it requests the election.
+ * A voter grants no vote for a minimum election timeout T, measured by its
+ * clock, after it received a message from a leader.  It also grants none for
+ * T after its start, because it does not store when it last received one.  A
+ * leader's lease starts at the send time of the messages that a quorum has
+ * answered; it is shorter than T by the drift of two clocks and the rounding
+ * to milliseconds.  Every quorum that could elect another leader shares a
+ * voter with the quorum that answered, so no other leader is elected before
+ * the lease has expired.  Votes for a leadership transfer are granted before
+ * T has passed, because the old leader steps down before it requests the
+ * election.
  */
 
 enum
 {
-  CLOCK_ROUNDING_MS = 2, /* two clock readings, rounded down to milliseconds */
+  CLOCK_ROUNDING_MS = 2, /* rounding error of two clock readings, each rounded
+                            down to milliseconds */
   PERMILLE = 1000,
-  /* Vote requests of a candidate within one minimum election timeout.  They
-     are repeated because after a power failure the first ones are lost, as
-     connections to peers that start later must be retried, and because a
-     voter grants no vote just after its start.  */
+  /* Number of times that a candidate sends its vote requests within one
+     minimum election timeout.  They are repeated because after a power
+     failure the first ones are lost, as connections to peers that start
+     later must be retried, and because a voter grants no vote just after
+     its start.  */
   VOTE_REQUESTS_PER_ELECTION = 6,
 };
 
@@ -171,7 +174,8 @@
 }
 
 /* Stores the known durable floors of the members in OUT and returns their
-   number.  A new leader adopts them from the votes it receives.  */
+   number.  A candidate adopts the floors in the votes that it receives, so
+   that a new leader knows them.  */
 static uint32_t
 collect_floors (const pu_replica_t *r, pu_log_floor *out)
 {
@@ -268,15 +272,15 @@
       pu_r_raise_floor (r, v->floors.floors_val[i].id,
                         v->floors.floors_val[i].index);
     }
-  /* The sender has lost entries that it had synced.  Its vote does not show
-     that the candidate's log has all committed entries.  */
+  /* The voter that sent this reply has lost entries that it had synced.  Its
+     vote does not show that the candidate's log has all committed entries.  */
   if (v->last_index < pu_r_floor (r, m->from.id))
     return;
   add_vote (r, from->peer.id);
   pu_r_count_votes (r, now);
 }
 
-/* Lease.  */
+/* The leader's lease.  */
 
 static gint
 descending (gconstpointer a, gconstpointer b)
--- a/libplantainusher/log/replica_voters.c
+++ b/libplantainusher/log/replica_voters.c
@@ -3,29 +3,32 @@
 #include <string.h>
 
 /*
- * Membership.
+ * Membership changes.
  *
  * The configuration holds the target number of voters and the role of each
- * member.  The leader moves the voters towards the target by one configuration
- * entry at a time, each committed before the next.  A responsive voter is
- * removed after its caught-up replacement was added, an unresponsive one
- * before.  A voter counts towards the quorum until it is removed, even if its
- * disk is lost.
+ * member.  The leader moves the number of voters towards the target by one
+ * configuration entry at a time, each committed before the next is appended.
+ * A responsive voter is removed after its caught-up replacement was added, an
+ * unresponsive one before.  A voter counts towards the quorum until it is
+ * removed, even if its disk is lost.
  */
 
 enum
 {
-  /* Election timeouts for which a seed's report of an empty log is valid.  */
+  /* For this many election timeouts, a seed's report that it never held a log
+     is valid.  */
   EMPTY_REPORT_ELECTIONS = 5,
-  /* Election timeouts without a leader until other members are asked.  */
+  /* After this many election timeouts without messages from a leader, a
+     member sends hello messages to the other members and the seeds.  */
   DISCOVERY_ELECTIONS = 3,
-  /* Election timeouts without a reply until a voter may be removed in favour
-     of a learner that has its name or that an operator chose.  */
+  /* After this many election timeouts without a reply, a voter may be
+     removed in favour of a learner that has the same name or that an
+     operator chose.  */
   UNRESPONSIVE_ELECTIONS = 2,
-  /* A member is live if it has answered a message that was sent within this
-     many heartbeats.  */
+  /* A member is confirmed if it has answered a message that was sent within
+     this many heartbeat intervals.  */
   CONFIRM_HEARTBEATS = 2,
-  /* Entries by which a caught-up member may lag.  */
+  /* A learner is caught up if its log lags by at most this many entries.  */
   CAUGHT_UP_LAG_ENTRIES = 128,
 };
 
@@ -35,7 +38,7 @@
   return pu_r_config (r)->members.members_len == 0;
 }
 
-/* Hello messages, which look for a leader.  */
+/* Hello messages, with which a voter looks for a leader.  */
 
 static void
 send_hello (pu_replica_t *r, const pu_log_peer *to)
@@ -71,8 +74,8 @@
     }
 }
 
-/* Returns whether FROM is the seed S, which is identified by its name, or by
-   its address until its name is known.  */
+/* Returns whether FROM is the seed S.  The seed is identified by its name, or
+   by its address until its name is known.  */
 static bool
 matches_seed (const pu_seed_t *s, const pu_log_peer *from)
 {
@@ -101,7 +104,7 @@
   pu_seed_t s = { 0 };
 
   /* An initial voter bootstraps the log with exactly its configured seeds, so
-     none is added to them.  */
+     no seed is added.  */
   if (r->initial || is_known_address (r, address))
     return;
   pu_log_peer_copy (&s.peer, &peer);
@@ -123,8 +126,8 @@
     }
 }
 
-/* Bootstrap: the initial voter with the lowest name starts the log, once, when
-   every other initial voter has reported that it never held a log either.  */
+/* Bootstrap: the initial voter with the lowest name starts the log, once,
+   when every other initial voter has reported that it never held a log.  */
 
 static bool
 may_bootstrap (const pu_replica_t *r, uint64_t now)
@@ -191,7 +194,7 @@
   append_config (r, &c);
 }
 
-/* Configuration changes.  */
+/* Automatic configuration changes, on the leader.  */
 
 static bool
 may_change_config (const pu_replica_t *r)
@@ -201,8 +204,9 @@
          && r->commit >= r->term_first_index;
 }
 
-/* Returns whether M has lost synced entries or has been silent so long that a
-   learner of the same name, or one that an operator chose, may replace it.  */
+/* Returns whether M has lost synced entries or has not replied for
+   UNRESPONSIVE_ELECTIONS election timeouts, so that a learner of the same
+   name, or one that an operator chose, may replace it.  */
 static bool
 is_unresponsive (const pu_replica_t *r, const pu_log_member *m, uint64_t now)
 {
@@ -215,8 +219,8 @@
                                 * (uint64_t)r->o.election_ms);
 }
 
-/* Returns whether M has lost synced entries or has been silent for
-   replace_after_ms, so that any learner may replace it.  */
+/* Returns whether M has lost synced entries or has not replied for
+   replace_after_ms milliseconds, so that any learner may replace it.  */
 static bool
 is_lost (const pu_replica_t *r, const pu_log_member *m, uint64_t now)
 {
@@ -255,8 +259,9 @@
          && p->match >= r->term_first_index;
 }
 
-/* Returns whether the confirmed voters are a quorum after ADDED confirmed ones
-   joined and REMOVED ones, of which REMOVED_CONFIRMED are confirmed, left.  */
+/* Returns whether the confirmed voters would be a quorum after ADDED
+   confirmed voters join and REMOVED voters leave.  REMOVED_CONFIRMED of the
+   leaving voters are confirmed.  */
 static bool
 has_quorum_after (const pu_replica_t *r, uint64_t now, int added, int removed,
                   int removed_confirmed)
@@ -300,7 +305,8 @@
   pu_r_reconcile_progress (r, now);
 }
 
-/* Appends a copy of the configuration with a target of STEP more voters.  */
+/* Appends a copy of the configuration with the target number of voters raised
+   by STEP.  */
 static void
 raise_target (pu_replica_t *r, uint64_t now, int step)
 {
@@ -313,7 +319,8 @@
   pu_r_reconcile_progress (r, now);
 }
 
-/* Returns whether a voter newer than member I has the same name.  */
+/* Returns whether a voter that was added later than member I has the same
+   name.  */
 static bool
 has_successor (const pu_log_config *c, guint i)
 {
@@ -333,7 +340,8 @@
   NO_MEMBER = -1
 };
 
-/* Returns the priority of removing member I; 0 means that it stays.  */
+/* Returns the priority of removing member I; the highest is removed first,
+   and 0 means that the member stays.  */
 static int
 removal_rank (const pu_replica_t *r, const pu_log_config *c, guint i,
               uint64_t now)
@@ -349,8 +357,9 @@
   return is_lost (r, m, now) ? 1 : 0;
 }
 
-/* Returns the member to remove first, among those whose removal leaves a
-   confirmed quorum, or NO_MEMBER.  */
+/* Returns the position of the member to remove first, or NO_MEMBER.  Only
+   members whose removal leaves a quorum of confirmed voters are
+   considered.  */
 static int
 removal_candidate (const pu_replica_t *r, const pu_log_config *c, uint64_t now)
 {
@@ -388,8 +397,9 @@
   return true;
 }
 
-/* Returns whether a caught-up learner may replace voter I: one that an
-   operator chose, one of the same name or, if ANY, any.  */
+/* Returns whether a caught-up learner may replace voter I.  The learner must
+   have been chosen by an operator or have the name of the voter, unless ANY
+   is true.  */
 static bool
 has_replacement (const pu_replica_t *r, const pu_log_config *c, guint i,
                  bool any, uint64_t now)
@@ -408,9 +418,9 @@
   return false;
 }
 
-/* Removes an unresponsive voter that has a ready replacement, before the
+/* Removes an unresponsive voter for which a replacement is ready, before the
    replacement is added.  In this order the live voters never need a larger
-   quorum than before, and losing the replacement meanwhile does no harm.  */
+   quorum than before, and losing the replacement in between does no harm.  */
 static bool
 remove_unresponsive_voter (pu_replica_t *r, uint64_t now)
 {
@@ -443,8 +453,8 @@
   return false;
 }
 
-/* Returns the priority of promoting learner I to a voter; 0 means that it
-   stays a learner.  */
+/* Returns the priority of promoting member I to a voter; the highest is
+   promoted first, and 0 means that the member stays as it is.  */
 static int
 promotion_rank (const pu_replica_t *r, const pu_log_config *c, guint i,
                 uint64_t now)
@@ -557,7 +567,7 @@
   remove_lost_learner (r, now);
 }
 
-/* Joining.  */
+/* Adding of learners, on the leader, and hello messages.  */
 
 static void
 remove_learners_named (pu_log_config *c, const char *name)
@@ -623,7 +633,8 @@
     }
   else if (m->term > r->term)
     {
-      /* Step down, to be elected again above that term.  */
+      /* Step down and adopt the sender's higher term, to be elected again in
+         a term above it.  */
       pu_r_become_follower (r, now, m->term, NULL);
     }
   else
