--- a/libplantainusher/log/group.c
+++ b/libplantainusher/log/group.c
@@ -35,8 +35,9 @@
   GQueue proposals; /* pu_proposal_t *, in order of index */
   /* last index applied by the state machine; never decreases */
   uint64_t applied;
-  bool rejoin_pending; /* retire this identity once the journal is idle */
-  bool had_log;        /* the folder held an earlier identity */
+  bool rejoin_pending; /* replace this voter's identity once the journal is
+                          idle */
+  bool had_log;        /* the folder holds files of an earlier identity */
   uv_timer_t timer;
   uv_idle_t idle; /* active while actions may be pending */
   bool closing;
@@ -69,7 +70,7 @@
   return g->o.now != NULL ? g->o.now (g->o.data) : boot_time_ms ();
 }
 
-/* Proposals.  */
+/* Completion of proposals.  */
 
 static void
 complete_proposal (pu_proposal_t *p, pu_error_kind_t kind)
--- a/libplantainusher/log/group.h
+++ b/libplantainusher/log/group.h
@@ -72,7 +72,7 @@
   pu_group_take_snapshot_fn *take_snapshot;
   pu_group_restore_fn *restore;
   pu_group_role_fn *role; /* may be NULL */
-  pu_group_now_fn *now;   /* NULL: milliseconds of CLOCK_BOOTTIME */
+  pu_group_now_fn *now;   /* NULL: CLOCK_BOOTTIME in milliseconds */
   bool sync_each_entry;   /* one sync per entry; used as the baseline of a
                              benchmark */
   /* NULL: the operating system's file system calls */
@@ -125,12 +125,12 @@
 bool pu_group_is_leader (const pu_group_t *g);
 uint64_t pu_group_term (const pu_group_t *g);
 
-/* pu_group_leader - returns the known leader, or NULL.  Valid until the next
-   call into the group.  */
+/* pu_group_leader - returns the known leader, or NULL.  The pointer is valid
+   until the next call of a function of the group.  */
 const pu_log_peer *pu_group_leader (const pu_group_t *g);
 
-/* pu_group_config - returns the configuration in force.  Valid until the next
-   call into the group.  */
+/* pu_group_config - returns the configuration in force.  The pointer is valid
+   until the next call of a function of the group.  */
 const pu_log_config *pu_group_config (const pu_group_t *g);
 
 /* pu_group_config_index - returns the index of the configuration in force.  */
--- a/libplantainusher/log/journal.c
+++ b/libplantainusher/log/journal.c
@@ -28,7 +28,7 @@
   uint64_t ticket;
   uint64_t bytes;
   uint32_t entries;
-  uint64_t last_index; /* 0: the batch has no entries */
+  uint64_t last_index; /* last entry's index; 0: the batch has no entries */
   uint64_t elapsed_us;
   uint32_t syncs;
   const char *operation; /* the current operation, for the error message */
--- a/libplantainusher/log/journal.h
+++ b/libplantainusher/log/journal.h
@@ -100,8 +100,8 @@
 bool pu_journal_create (pu_journal_t *j, uint64_t id, pu_error_t *e);
 
 /* pu_journal_set_aside - renames all files of the folder to lost-NAME,
-   replacing earlier ones, so that the folder opens as empty.  The renames are
-   durable on return.  */
+   replacing files that were set aside earlier, so that the folder opens as
+   empty.  The renames are durable on return.  */
 bool pu_journal_set_aside (const char *folder, const pu_journal_fs_t *fs,
                            pu_error_t *e);
 
--- a/libplantainusher/log/journal_private.h
+++ b/libplantainusher/log/journal_private.h
@@ -96,8 +96,8 @@
   bool meta_pending;
   uint64_t pending_ticket;        /* highest ticket queued */
   GQueue snapshot_queue;          /* of pu_journal_job_t * */
-  pu_journal_job_t *batch_job;    /* in flight, or NULL */
-  pu_journal_job_t *snapshot_job; /* in flight, or NULL */
+  pu_journal_job_t *batch_job;    /* batch job in flight, or NULL */
+  pu_journal_job_t *snapshot_job; /* snapshot job in flight, or NULL */
   pu_journal_stats_t stats;
   uint64_t sync_us_total;
 };
@@ -170,8 +170,8 @@
 
 /* journal_load.c */
 
-/* pu_journal_load - reads the folder into J and IMAGE.  Errors as for
-   pu_journal_open.  */
+/* pu_journal_load - reads the folder into J and IMAGE.  Fails with the same
+   errors as pu_journal_open.  */
 bool pu_journal_load (pu_journal_t *j, pu_disk_image_t *image, pu_error_t *e);
 
 G_END_DECLS
--- a/libplantainusher/log/log_msg.x
+++ b/libplantainusher/log/log_msg.x
@@ -138,7 +138,7 @@
   unsigned hyper match;
   /* if not ok: the highest index at which the follower's log may match */
   unsigned hyper last;
-  unsigned hyper synced;  /* last durable index */
+  unsigned hyper synced;  /* index of the last durable entry */
   unsigned hyper snapshot; /* index of the newest snapshot */
   unsigned hyper fetched; /* bytes of a snapshot fetched so far */
 };
--- a/libplantainusher/log/replica_private.h
+++ b/libplantainusher/log/replica_private.h
@@ -35,12 +35,12 @@
   uint64_t floor; /* durable floor: highest committed index that the member
                      is known to have synced; 0: unknown */
   uint64_t seq;   /* sequence number of the last message sent */
-  uint64_t
-      match_check_from_seq; /* replies to messages with this seq or a later one
-                               must report a synced index of at least match */
-  uint64_t
-      reject_seq; /* value of seq when the last rejection arrived; rejections
-                     of messages up to it are ignored as repeats */
+  /* Replies to messages with this seq or a later one must report a synced
+     index of at least match.  */
+  uint64_t match_check_from_seq;
+  /* Value of seq when the last rejection arrived; rejections of messages up to
+     it are ignored as repeats.  */
+  uint64_t reject_seq;
   uint64_t acked_send_time; /* newest send time among the answered messages */
   uint64_t last_reply_at;   /* time of the last reply */
   uint64_t next_heartbeat_at; /* time of the next heartbeat */
@@ -96,7 +96,7 @@
   pu_log_peer from; /* id 0: no fetch in progress */
   uint64_t index;
   uint64_t term;
-  uint64_t total; /* bytes */
+  uint64_t total; /* size of the snapshot in bytes */
   uint64_t hash;
   uint64_t requested_at; /* time of the last request */
   GByteArray *data;
@@ -155,7 +155,7 @@
                                  max_leader_commit; 0: it is not lower */
   uint64_t applied;           /* last index passed on in PU_ACTION_APPLY */
   uint64_t written;           /* last index passed on in PU_ACTION_WRITE */
-  uint64_t durable;           /* last durable index */
+  uint64_t durable;           /* index of the last durable entry */
   GQueue pending_writes;      /* of pu_pending_write_t * */
   uint64_t last_ticket;
   uint64_t meta_ticket;   /* ticket of the last write of metadata */
@@ -184,8 +184,7 @@
   uint64_t config_committed_at;    /* time when this leader noticed that this
                                       configuration was committed */
   uint64_t transfer_deadline; /* deadline of a leadership transfer; 0: none */
-  uint64_t
-      transfer_target; /* identity of the voter that is to become leader */
+  uint64_t transfer_target;   /* identity that is to become the leader */
 };
 
 /* replica.c */
