--- a/libplantainusher/placement/due.c
+++ b/libplantainusher/placement/due.c
@@ -1,7 +1,7 @@
 #include "placement/due.h"
 
-/* Returns the dispatcher's record of ITEM on ENGINE, in any phase; NULL:
-   none.  */
+/* Returns the dispatcher's record of ITEM on ENGINE, whatever its phase, or
+   NULL when there is none.  */
 static const pu_dispatcher_item_t *
 find_item (const pu_dispatcher_t *d, guint32 engine, guint32 item)
 {
@@ -16,8 +16,8 @@
   return NULL;
 }
 
-/* Remaining milliseconds of the load of X, which takes LOAD_MS in all; one
-   that is not accepted yet counts in full.  */
+/* Returns the remaining milliseconds of the load of X, which takes LOAD_MS in
+   all.  A load that the engine has not accepted yet still takes LOAD_MS.  */
 static guint32
 remaining_ms (const pu_dispatcher_item_t *x, guint32 load_ms, guint64 now)
 {
--- a/libplantainusher/placement/due_test.cc
+++ b/libplantainusher/placement/due_test.cc
@@ -47,7 +47,7 @@
     pu_dispatcher_handle_report (d, engine, &r, now, now);
   }
 
-  /* Orders a load of the model on ENGINE, which accepts it.  */
+  /* Orders a load of kModel on ENGINE, which accepts the order.  */
   void
   StartLoad (guint32 engine)
   {
--- a/libplantainusher/placement/forecast.c
+++ b/libplantainusher/placement/forecast.c
@@ -8,19 +8,23 @@
 #define DEFAULT_PEAK_DECAY_S 200.0
 #define DEFAULT_HORIZON_S 10.0
 #define DEFAULT_BURST_SIGMAS 4.0
-/* Limit of the extrapolated trend, as a multiple of the fast average.  */
+/* Limit of the forecast in a burst, which follows the extrapolated trend, as a
+   multiple of the fast average.  */
 #define MAX_TREND_GROWTH 1.5
 #define MS_PER_S 1000.0
-/* Requests at which a model's own estimate has half the weight: among a
-   dozen answers, the shortest has probably run without contention.  */
+/* Number of requests of a model at which the part of its estimate above the
+   cap of CAP_MEANS counts half.  With more requests that part counts more:
+   among a dozen answers, the shortest has probably run without contention.  */
 #define TRUST_HALF_REQUESTS 16.0
-/* Multiple of the mean of all models up to which an estimate always counts in
-   full.  The cap keeps a model that gets two requests a second, estimated at
-   four to ten seconds each, from taking a load from the store.  On five days
-   with faults and high load it raised the share of requests served from 0.729
-   to 0.747 and from 0.887 to 0.896 on two deployments of 21 engines.  */
+/* Multiple of the mean stream time of all models up to which an estimate
+   always counts in full.  The cap prevents a model with two requests a second,
+   estimated at four to ten seconds each, from using one of the loads that the
+   weights store serves.  On five days with faults and high load, the cap
+   raised the share of requests served from 0.729 to 0.747 and from 0.887 to
+   0.896 on two deployments of 21 engines.  */
 #define CAP_MEANS 2.0
-/* Number of requests over which the mean of all models is averaged.  */
+/* Number of requests over which the mean stream time of all models is
+   averaged.  */
 #define COMMON_MEAN_REQUESTS 100.0
 
 void
@@ -35,8 +39,8 @@
 }
 
 /* Returns STREAM_MS, the estimate for REQUESTS, with the part above CAP_MEANS
-   times the mean of all models reduced; the more requests the model has had,
-   the less.  */
+   times the mean of all models reduced.  The more requests the model has had,
+   the smaller the reduction.  */
 static double
 cap_estimate_ms (const pu_forecast_t *f, const pu_forecast_request_stats_t *c,
                  guint32 requests, double stream_ms)
@@ -107,8 +111,8 @@
   f->peak = sample;
 }
 
-/* Standard deviation of the fast average for Poisson arrivals at the rate
-   of the slow average.  */
+/* Returns the standard deviation that the fast average has when requests
+   arrive as a Poisson process at the rate of the slow average.  */
 static double
 fast_deviation (const pu_forecast_t *f, const pu_forecast_options_t *o)
 {
--- a/libplantainusher/placement/planner.c
+++ b/libplantainusher/placement/planner.c
@@ -3,7 +3,8 @@
 #define MS_PER_S 1000
 #define DEFERRED_LOAD_TIMEOUT_MS 60000
 #define NO_ROOM_BACKOFF_MS 2000
-/* Limit on the rounds of a plan up to a stable placement.  */
+/* Limit on the rounds (passes over the phases of a step) of a plan up to a
+   stable placement.  */
 #define STABLE_ROUNDS_MAX 100
 
 static void
@@ -39,7 +40,8 @@
   pu_planner_spread_item_demand (r->p, c->c.item);
 }
 
-/* Adds C to ENGINE's copies and redistributes the demand of its item.  */
+/* Adds C to ENGINE's copies and distributes the demand for the item of C over
+   its copies again.  */
 static void
 add_copy (pu_round_t *r, guint32 engine, const pu_planned_copy_t *c)
 {
@@ -170,14 +172,17 @@
   return true;
 }
 
-/* Copies of an item by version and phase.  */
+/* Numbers of copies of an item.  `new` stands for the version that the item
+   should have, `old` for any other version.  `any` includes copies that are
+   not ready, but not those being unloaded.  */
 typedef struct
 {
   guint old_ready;
   guint old_any;
   guint new_ready;
   guint new_any;
-  pu_copy_location_t old_place; /* of a ready copy of another version */
+  pu_copy_location_t old_place; /* location of a ready copy of an old
+                                   version */
 } pu_versions_t;
 
 static pu_versions_t
@@ -209,8 +214,9 @@
   return n;
 }
 
-/* Loads copies on other engines of the adapters whose last copies prevent the
-   base at PLACE from being unloaded.  */
+/* The base model at PLACE cannot be unloaded while an adapter of it has its
+   last copy on the same engine.  Loads copies of such adapters on other
+   engines.  */
 static void
 load_adapters_elsewhere (pu_round_t *r, pu_copy_location_t place)
 {
@@ -230,8 +236,9 @@
     }
 }
 
-/* Unloads the copy at PLACE with its adapters there.  Returns false, and
-   unloads nothing, when one of them must not be unloaded.  */
+/* Unloads the copy at PLACE and its adapters on the same engine.  Returns
+   false, and unloads nothing, when one of these copies must not be
+   unloaded.  */
 static bool
 unload_bundle (pu_round_t *r, pu_copy_location_t place,
                pu_plan_reason_t reason)
@@ -299,7 +306,8 @@
   unload_old_version (r, t, &n, reason);
 }
 
-/* Phase 3.  */
+/* Phase 3 of a step: replaces copies whose version is not the one that their
+   item should have.  */
 static void
 change_versions (pu_round_t *r)
 {
@@ -312,7 +320,8 @@
     }
 }
 
-/* Phase 4: copies of undeclared items, and copies above the maximum.  */
+/* Phase 4 of a step: unloads copies of undeclared items, and copies above the
+   maximum of their item.  */
 static void
 unload_unneeded (pu_round_t *r)
 {
@@ -403,8 +412,8 @@
   run_round (&r);
 }
 
-/* Completes all ordered moves: loads become ready, unloaded copies are
-   removed.  */
+/* Completes all ordered moves in the tables of P: loads become ready, unloaded
+   copies are removed.  */
 static void
 complete_moves (pu_planner_t *p)
 {
@@ -436,7 +445,8 @@
     }
 }
 
-/* Appends moves to MOVES until a round adds none.  */
+/* Runs rounds, which append moves to MOVES, until a round adds no move or
+   STABLE_ROUNDS_MAX rounds have run.  */
 static void
 run_until_stable (pu_planner_t *p, guint64 now, GArray *moves)
 {
--- a/libplantainusher/placement/planner_choose.c
+++ b/libplantainusher/placement/planner_choose.c
@@ -2,22 +2,28 @@
 
 #include <string.h>
 
-/* Terms of the score by which engines are ranked, in units of utilization.  */
+/* Terms that are added to the score of an engine, in units of utilization; the
+   engine with the lowest score is preferred.  SAME_ZONE_SCORE is added when
+   the zone has a copy of the item, FULL_MEMORY_SCORE in proportion to the
+   memory that is committed.  */
 #define SAME_ZONE_SCORE 0.5
 #define FULL_MEMORY_SCORE 0.2
-/* Subtracted for an engine with cached weights: the load takes one second
-   instead of six and does not use the store.  */
+/* Subtracted from the score of an engine on which the item's weights are
+   cached: the load takes one second instead of six and does not use the
+   store.  */
 #define CACHED_SCORE 0.6
-/* Engines on which eviction is tried, in order of score.  */
+/* Number of engines on which eviction is tried, those with the lowest score
+   first.  */
 #define EVICTION_TRIES 8
-/* Utilization above which an eviction on another engine may be better than
-   free memory on this one.  */
+/* Utilization above which an engine is crowded: eviction on another engine may
+   then be better than the use of free memory on the crowded one.  */
 #define CROWDED_UTILIZATION 0.5
-/* Utilization of its ready copies above which an item needs its pending loads.
- */
+/* Ratio of an item's expected demand to the streams of the engines that hold
+   its ready copies.  Above it, the item needs its pending loads.  */
 #define PENDING_NEEDED_UTILIZATION 0.3
-/* Loss, in late streams, for each stream of a copy that is evicted for an item
-   without a ready copy: the streams must drain before the memory is free.  */
+/* Loss, in late streams, that is counted for each stream of a copy that is
+   evicted for an item without a ready copy: the streams of the evicted copy
+   must drain before the memory is free.  */
 #define DRAIN_LOSS 2.0
 #define MS_PER_S 1000
 
@@ -96,7 +102,8 @@
   return false;
 }
 
-/* Does the same as pu_planner_can_hold, for T, which needs NEED MB.  */
+/* Does the same as pu_planner_can_hold for ITEM, whose record is T and which
+   needs NEED MB.  */
 static inline bool
 can_hold (const pu_planner_t *p, guint32 engine, guint32 item,
           const pu_planned_item_t *t, guint32 need)
@@ -122,9 +129,10 @@
   return can_hold (p, engine, item, t, pu_planned_need_mb (p, t));
 }
 
-/* Whether T needs its pending loads beside its ready copies.  If it does, a
-   ready copy is not evicted, as memory would have to be freed elsewhere to
-   replace it.  Loads for demand that has since gone protect no copy.  */
+/* Whether T needs its pending loads in addition to its ready copies.  If it
+   does, none of its ready copies is evicted, as memory would have to be freed
+   on another engine to replace it.  Pending loads for demand that no longer
+   exists do not prevent the eviction of ready copies.  */
 static bool
 needs_pending_loads (const pu_planner_t *p, const pu_planned_item_t *t)
 {
@@ -142,7 +150,9 @@
          || t->forecast.expected > PENDING_NEEDED_UTILIZATION * capacity;
 }
 
-/* Whether the copy in SLOT may be unloaded for ITEM, its adapters aside.  */
+/* Whether the copy in SLOT of E may be unloaded to free memory for ITEM; the
+   adapters of the copy are not considered.  ITEM is PU_PLAN_NONE when the
+   memory is for no particular item.  */
 static bool
 may_remove (const pu_planner_t *p, const pu_planned_engine_t *e, guint slot,
             guint32 item, pu_eviction_t evict)
@@ -169,7 +179,7 @@
   return t->ready > keep;
 }
 
-/* Whether C is below its minimum stay.  */
+/* Whether C has been in its phase for less than the minimum stay.  */
 static bool
 is_below_min_stay (const pu_planner_t *p, const pu_planned_copy_t *c,
                    guint64 now)
@@ -213,9 +223,9 @@
   return false;
 }
 
-/* Adds the copies in SLOTS to V; returns the memory that they free, in MB.
-   Their items' counts of ready copies are lowered, so that later victims take
-   them into account.  */
+/* Adds the copies in SLOTS to V and returns the memory that they free, in MB.
+   Lowers the number of ready copies of their items, so that the choice of the
+   next victims takes these evictions into account.  */
 static guint32
 add_victims (const pu_planner_t *p, const pu_planned_engine_t *e,
              const GArray *slots, guint64 now, pu_victims_t *v)
@@ -238,7 +248,7 @@
 }
 
 /* Returns the loss of evicting the copies in SLOTS, in late streams; sets MB
-   to their memory.  */
+   to the memory that they take, in MB.  */
 static double
 slots_loss (pu_planner_t *p, guint32 engine, const GArray *slots,
             pu_eviction_t evict, double *mb)
@@ -264,8 +274,9 @@
   return loss;
 }
 
-/* Sets BEST to the bundle with the least loss per MB that is not in V yet.
-   Returns its loss, or -1 when there is none.  */
+/* Sets BEST to the bundle (a copy and its adapters on ENGINE) with the least
+   loss per MB whose copy is not in V yet.  Returns the loss of that bundle in
+   late streams, or -1 when there is none.  */
 static double
 find_cheapest_bundle (pu_planner_t *p, guint32 engine, guint32 item,
                       pu_eviction_t evict, const pu_victims_t *v, GArray *best)
@@ -343,8 +354,9 @@
   return s + FULL_MEMORY_SCORE * e->committed_mb / MAX (1, e->memory_mb);
 }
 
-/* Inserts ENGINE with its score VALUE into the sorted arrays, which keep the
-   MAX lowest scores.  */
+/* Inserts ENGINE with its score VALUE into the arrays ENGINES and SCORES.  The
+   arrays are sorted by score, have N entries, and keep the MAX lowest
+   scores.  */
 static void
 insert_ranked (guint32 *engines, double *scores, guint *n, guint max,
                guint32 engine, double value)
@@ -364,7 +376,7 @@
 }
 
 /* Whether ENGINE is so utilized that an eviction on another engine may be
-   better than its free memory.  */
+   better than the use of free memory on ENGINE.  */
 static bool
 is_crowded (const pu_planner_t *p, guint32 engine)
 {
@@ -373,7 +385,8 @@
   return e->load > CROWDED_UTILIZATION * e->streams;
 }
 
-/* Engines that can hold an item after an eviction, the lowest score first.  */
+/* Engines that can hold an item only after an eviction, sorted by score, the
+   lowest first.  */
 typedef struct
 {
   guint32 *engines;
@@ -382,20 +395,20 @@
   guint max;
 } ranked_t;
 
-/* Whether a load ordered on E now would wait for another one to end.  When
-   four or five models are lost with an engine and their loads queue at one
-   other engine, the model with the most demand waits for up to eleven seconds
-   behind models without demand.  */
+/* Whether a load ordered on E now would wait for another load on E to end.
+   When four or five models are lost with an engine and their loads queue at
+   one other engine, the model with the most demand waits for up to eleven
+   seconds behind models without demand.  */
 static bool
 is_busy_loading (const pu_planner_t *p, const pu_planned_engine_t *e)
 {
   return p->o.serial_loads && e->models_loading > 0;
 }
 
-/* Returns the engine with the lowest score that has NEED MB free, or
-   PU_PLAN_NONE, and sets BEST_SCORE to its score.  Engines without the memory
-   go to FULL.  Sets p->only_loading_engines_fit when one has the memory but is
-   loading.  */
+/* Returns the engine with the lowest score of those that have NEED MB free, or
+   PU_PLAN_NONE, and sets BEST_SCORE to the score.  Adds to FULL the engines
+   that can hold ITEM only after an eviction.  Sets p->only_loading_engines_fit
+   when an engine has NEED MB free but is loading.  */
 static guint32
 find_free (pu_planner_t *p, guint32 item, guint32 need, double *best_score,
            ranked_t *full)
@@ -411,7 +424,8 @@
 
       if (!free && full->max == 0)
         continue;
-      /* The score excludes most engines and is cheaper than can_hold.  */
+      /* The scores are compared first, because they exclude most engines and
+         are cheaper to compute than can_hold.  */
       s = score (p, e, item);
       if (free ? best != PU_PLAN_NONE && s >= *best_score
                : full->n == full->max && s >= full->scores[full->max - 1])
@@ -438,9 +452,10 @@
 }
 
 /* Whether ITEM waits for one of the engines that are loading, as only these
-   have the memory free.  An item in demand does not wait and evicts another
-   item's second copy: otherwise, when two empty engines join, nothing is
-   loaded on the other engines while those two load, six seconds each time.  */
+   have the memory free.  An item in demand does not wait; another item's
+   second copy is evicted for it.  Otherwise, when two empty engines join,
+   nothing is loaded on the other engines while those two load, which takes six
+   seconds each time.  */
 static bool
 waits_for_loading_engine (const pu_planner_t *p, guint32 item)
 {
@@ -452,7 +467,8 @@
 pu_planner_choose (pu_planner_t *p, guint32 item, guint32 version,
                    pu_eviction_t evict, guint64 now, pu_victims_t *v)
 {
-  /* For a first copy all engines are tried, as nothing else would load it. */
+  /* For the first copy of an item, eviction is tried on all engines, as the
+     item cannot be loaded otherwise.  */
   guint tries = evict == PU_EVICT_TO_LAST ? p->engines->len : EVICTION_TRIES;
   guint32 engines[tries + 1];
   double scores[tries + 1];
--- a/libplantainusher/placement/planner_grow.c
+++ b/libplantainusher/placement/planner_grow.c
@@ -4,22 +4,24 @@
 
 #define SPARE_RETRY_MS 10000
 #define MAX_HOT_ENGINES 4
-/* Copies for demand per step, and per round of a plan up to a stable
-   placement.  */
+/* Limits on the copies planned for demand in a step, and in a round of a plan
+   up to a stable placement.  */
 #define DEMAND_MOVES 4
 #define DEMAND_MOVES_UNTIL_STABLE 64
-/* Items per step for which a spare copy is tried.  */
+/* Limit on the items for which a spare copy is tried in a step.  */
 #define SPARE_TRIES 4
 /* At a moves_weight of 1, the price of a move is higher by this multiple of
    the option move_price.  */
 #define WEIGHT_PRICE_FACTOR 9.0
-/* Extra moves charged for evicting a copy before its minimum stay is over.  */
+/* Number of moves whose price is added for each evicted copy whose minimum
+   stay is not over.  */
 #define BELOW_MIN_STAY_EXTRA_MOVES 2.0
-/* Copies beyond two that an item may have in spare memory, for each engine
-   that its peak demand would fill, at a moves_weight of 0.  */
+/* Spare memory is used until an item has two copies, plus this number for each
+   engine that its peak demand would fill, at a moves_weight of 0.  */
 #define SPARE_COPIES_PER_ENGINE 3.0
-/* Ratio of demand to capacity at which the pressure is one half.  Under
-   contention, demand is overestimated by up to this factor.  */
+/* Ratio of an item's demand to the capacity of its copies at which
+   demand_pressure returns one half.  Under contention, demand is overestimated
+   by up to this factor.  */
 #define PRESSURE_HALF_RATIO 3.0
 
 static guint
@@ -66,17 +68,20 @@
   return n;
 }
 
-/* One more copy of an item, on the engine that suits it best.  */
+/* A possible load of one more copy of an item, on the engine chosen for
+   it.  */
 typedef struct
 {
   guint32 item;
   guint32 engine;
   double gain;
   double price;
-  double rank; /* the highest is taken of those whose gain exceeds the price */
+  double rank; /* the scale-up with the highest rank is taken of those whose
+                  gain exceeds the price */
 } pu_scale_up_t;
 
-/* Capacity of the copies of T in streams, copies not ready yet included.  */
+/* Returns the capacity of the copies of T in streams.  Copies that are not
+   ready yet are included.  */
 static double
 capacity_streams (const pu_planner_t *p, const pu_planned_item_t *t)
 {
@@ -93,10 +98,10 @@
   return sum;
 }
 
-/* How far the demand for T exceeds the capacity of its copies, 0 to 1.  The
-   gain alone rates one more copy of any overloaded item the same.  But demand
-   may be overestimated, and then only the item whose demand exceeds its
-   capacity most is worth a copy.  */
+/* Returns how far the demand for T exceeds the capacity of its copies, from 0
+   to 1.  The gain alone rates one more copy of any overloaded item the same.
+   But demand may be overestimated, and then only the item whose demand exceeds
+   its capacity most is worth a copy.  */
 static double
 demand_pressure (const pu_planner_t *p, const pu_planned_item_t *t)
 {
@@ -106,8 +111,8 @@
          / (demand + PRESSURE_HALF_RATIO * capacity_streams (p, t) + 1e-9);
 }
 
-/* Evaluates one more copy of ITEM; its engine is PU_PLAN_NONE when no engine
-   can take one.  */
+/* Computes the engine, gain, price and rank of one more copy of ITEM.  The
+   engine is PU_PLAN_NONE when no engine can take a copy.  */
 static pu_scale_up_t
 evaluate_scale_up (pu_round_t *r, guint32 item)
 {
@@ -144,15 +149,15 @@
   return n > 0 ? sum / n : 1;
 }
 
-/* Streams that one copy serves before requests are late, on an engine of its
-   own.  */
+/* Returns the streams that one copy serves before requests are late, if its
+   engine holds no other copy and has the mean number of streams.  */
 static double
 streams_per_copy (const pu_planner_t *p)
 {
   return p->o.hot_utilization * mean_engine_streams (p);
 }
 
-/* Whether T, which has a ready copy, may get one more now.  */
+/* Whether T has a ready copy and may get one more copy now.  */
 static bool
 may_add_copy (const pu_round_t *r, const pu_planned_item_t *t)
 {
@@ -161,8 +166,9 @@
          && pu_round_base_is_ready (r, t);
 }
 
-/* Whether T may get one more copy, and its demand needs more than those that
-   are ready or under way, where each serves EACH streams.  */
+/* Whether T may get one more copy and its expected demand needs one: the ready
+   copies and the pending loads are too few if each copy serves EACH
+   streams.  */
 static bool
 needs_copy (const pu_round_t *r, const pu_planned_item_t *t, double each)
 {
@@ -170,8 +176,8 @@
          && count_copies (t) < ceil (t->forecast.expected / each);
 }
 
-/* Whether ITEM was evaluated for an engine hotter than the one at INDEX; the
-   result would be the same.  */
+/* Whether ITEM was evaluated already, for one of the first INDEX engines of
+   HOT.  A second evaluation would give the same result.  */
 static bool
 already_evaluated (const pu_planner_t *p, const guint32 *hot, guint index,
                    guint32 item)
@@ -191,7 +197,8 @@
   return false;
 }
 
-/* The best scale-up of the items on hot engines.  */
+/* Returns the scale-up with the highest rank of the items on hot engines.  Its
+   engine is PU_PLAN_NONE when no gain exceeds its price.  */
 static pu_scale_up_t
 best_scale_up (pu_round_t *r)
 {
@@ -230,10 +237,10 @@
   return find_hot_engines (r->p, hot) > 0;
 }
 
-/* Whether the store may run a load for demand.  While unreachable items
-   without demand wait for the store, they and loads for demand alternate: an
-   item with ten times the demand that its copies can serve can't wait for all
-   of them.  */
+/* Whether the weights store may run a load for demand.  While unreachable
+   items without demand wait for the store, their loads and the loads for
+   demand alternate: an item with ten times the demand that its copies can
+   serve can't wait for the loads of all unreachable items.  */
 static bool
 may_load_for_demand (const pu_round_t *r)
 {
@@ -242,7 +249,7 @@
   return !r->p->last_slot_for_demand && pu_round_may_start_urgent_load (r);
 }
 
-/* Phase 5.  */
+/* Phase 5 of a step: plans copies for demand.  */
 void
 pu_round_scale_up (pu_round_t *r)
 {
@@ -259,7 +266,7 @@
       if (o.engine == PU_PLAN_NONE)
         break;
       /* Computes the victims of the best scale-up again, as later evaluations
-         overwrote them.  */
+         overwrote r->victims.  */
       o.engine = pu_planner_choose (
           r->p, o.item, pu_planned_version (pu_planned_item (r->p, o.item)),
           PU_EVICT_ABOVE_MINIMUM, r->now, &r->victims);
@@ -270,7 +277,8 @@
   r->p->cached_only = false;
 }
 
-/* The number of copies up to which T may use spare memory.  */
+/* Returns the number of copies up to which T may get copies in spare memory.
+   STREAMS is the mean number of streams of an engine.  */
 static guint
 spare_copy_limit (const pu_planner_t *p, const pu_planned_item_t *t,
                   double streams)
@@ -281,7 +289,8 @@
   return MIN (t->i.max_copies, 2 + (guint)ceil (more));
 }
 
-/* The largest free memory of an engine that takes loads now.  */
+/* Returns the largest free memory, in MB, of an engine that takes loads
+   now.  */
 static guint32
 max_free_mb (const pu_planner_t *p)
 {
@@ -301,11 +310,12 @@
 typedef struct
 {
   guint32 item;
-  double exposure; /* peak demand, plus 1, times importance, divided by the
-                      square of the number of copies */
+  double exposure; /* (peak demand + 1) times importance, divided by the square
+                      of the number of copies */
 } pu_spare_candidate_t;
 
-/* The items that may get a spare copy and fit in FREE_MB.  */
+/* Returns the items that may get a spare copy and fit in FREE_MB.  STREAMS is
+   the mean number of streams of an engine.  */
 static GArray *
 find_spare_candidates (const pu_round_t *r, double streams, guint32 free_mb)
 {
@@ -328,8 +338,8 @@
   return candidates;
 }
 
-/* Removes and returns the item with the highest exposure; of equals, the one
-   with the lowest handle.  */
+/* Removes the item with the highest exposure from CANDIDATES and returns it;
+   of items with equal exposure, the one with the lowest handle.  */
 static guint32
 take_most_exposed (GArray *candidates)
 {
@@ -350,8 +360,9 @@
   return item;
 }
 
-/* Phase 6.  The list of candidates is made only once: spare copies evict
-   nothing, so that a load changes only its own item.  */
+/* Phase 6 of a step: plans copies in spare memory.  The list of candidates is
+   made only once: spare copies evict nothing, so that a load changes no other
+   candidate.  */
 void
 pu_round_fill_spare_memory (pu_round_t *r)
 {
@@ -368,8 +379,8 @@
       guint32 item = take_most_exposed (candidates);
       guint32 engine;
 
-      /* While an engine is hot, the store serves only the items on hot
-         engines.  */
+      /* While an engine is hot, the weights store serves only loads for
+         demand; spare copies are then loaded from cached weights only.  */
       r->p->cached_only = any_hot || !pu_round_may_start_load (r);
       engine = pu_planner_choose (
           r->p, item, pu_planned_version (pu_planned_item (r->p, item)),
--- a/libplantainusher/placement/planner_internal.h
+++ b/libplantainusher/placement/planner_internal.h
@@ -15,24 +15,26 @@
  *   planner_room.c    moves last copies to other engines to free memory for an
  *                     item without a ready copy
  *   planner_grow.c    copies for demand and in spare memory
- *   planner_explain.c messages
+ *   planner_explain.c texts that explain placements and moves
  *
- * Times are in milliseconds of the caller's clock.
+ * The terms, such as item, stream and deferred, are explained in planner.h.
+ * Times are in milliseconds of the calling code's clock.
  */
 
 typedef struct
 {
   pu_plan_copy_t c;
   pu_plan_reason_t reason;
-  guint64 since;    /* when it entered its phase */
+  guint64 since;    /* when the copy entered its phase */
   guint32 for_item; /* PU_REASON_MAKE_ROOM: the item that needs the memory */
-  double gain;      /* of the move that loaded it, late stream-seconds */
-  double price;     /* of that move, late stream-seconds */
-  double share;     /* streams of its item's demand assigned to it */
-  bool deferred;    /* not ordered yet: waits for memory or the store */
+  double gain;      /* gain of the load, in late stream-seconds */
+  double price;     /* price of the load, in late stream-seconds */
+  double share;     /* streams of the item's demand assigned to this copy */
+  bool deferred;    /* the load is not ordered yet: it waits for memory or the
+                       store */
 } pu_planned_copy_t;
 
-/* Excludes loads of ITEM on an engine before UNTIL.  */
+/* No load of ITEM is planned on the engine before UNTIL.  */
 typedef struct
 {
   guint32 item;
@@ -48,16 +50,19 @@
   guint32 accelerators;
   guint32 memory_mb;
   guint32 committed_mb;
-  guint32 for_adapters_mb; /* free, but reserved for adapters of bases on it */
+  guint32 for_adapters_mb; /* free memory reserved for adapters of the engine's
+                              base models */
   double streams;
   GArray *copies;       /* of pu_planned_copy_t */
-  GArray *blocks;       /* of pu_load_block_t; expired ones are dropped */
+  GArray *blocks;       /* of pu_load_block_t; a step removes expired ones */
   GHashTable *cached;   /* set of items whose weights are cached locally; NULL:
                           none */
-  guint models_loading; /* loads of models in flight; adapters not counted */
-  double load;          /* expected demand, streams */
-  double weighted_load; /* expected demand times importance, streams */
-  bool deferred; /* a load is deferred until memory or the store is free */
+  guint models_loading; /* loads of models in flight; loads of adapters do not
+                           count */
+  double load;          /* expected demand on the engine, in streams */
+  double weighted_load; /* sum of each item's expected demand times its
+                           importance, in streams */
+  bool deferred; /* deferred_load is valid: it waits for memory or the store */
   pu_planned_copy_t deferred_load;
   guint64 deferred_until;
 } pu_planned_engine_t;
@@ -65,38 +70,42 @@
 typedef struct
 {
   guint32 engine;
-  guint slot; /* in the engine's copies */
+  guint slot; /* index in the engine's copies */
 } pu_copy_location_t;
 
 typedef struct
 {
   bool declared;
-  pu_plan_item_t i; /* its name is owned */
+  pu_plan_item_t i; /* i.name is owned by this struct */
   bool rolled_back;
   /* Failed loads since the last success or change of version.  */
   guint failures;
-  guint64 new_ready_since;   /* when the new version became ready beside an
-                                older one; 0: not yet */
-  guint64 unreachable_since; /* when it was found without a ready copy; 0: has
-                                one */
-  guint64 not_before; /* no load earlier: backoff after a failure, or after
-                         no engine had memory */
-  guint64 spare_not_before; /* no spare copy earlier: backoff after no engine
-                          was found for one */
-  /* Engine whose last copies are moved to others to free memory for it.  */
+  guint64 new_ready_since;   /* when the new version became ready while an
+                                older one has copies; 0: not yet */
+  guint64 unreachable_since; /* when the item was found without a ready copy;
+                                0: the item has one */
+  guint64 not_before; /* no load of the item is planned earlier: backoff after
+                         a failure, or after no engine had memory */
+  guint64 spare_not_before; /* no spare copy is planned earlier: backoff after
+                               no engine was found for one */
+  /* Engine from which last copies are moved to other engines, to free memory
+     for this item.  */
   guint32 evacuated_engine;
-  guint64 evacuated_until; /* deadline of the move; 0: none in progress */
-  bool no_room;            /* the last attempt found no engine */
+  guint64 evacuated_until; /* deadline for moving these copies; 0: no move in
+                              progress */
+  bool no_room;            /* the last attempt to place a copy found no
+                              engine */
   pu_forecast_t forecast;
   GArray *locations;   /* of pu_copy_location_t: copies on usable engines */
-  GArray *adapters;    /* of guint32: the items whose base it is */
-  guint ready;         /* copies */
-  guint pending_loads; /* ordered, loading or deferred */
-  /* Pending loads deferred for at least STALLED_LOAD_MS, with the memory still
-     not free; counted while ready is 0.  */
+  GArray *adapters;    /* of guint32: handles of the adapters of this base
+                          model */
+  guint ready;         /* number of ready copies */
+  guint pending_loads; /* number of loads ordered, in progress or deferred */
+  /* Deferred loads that have waited for memory for at least STALLED_LOAD_MS
+     and still do; counted only while the item has no ready copy.  */
   guint stalled_loads;
-  guint copies_before_change; /* ready when a version change began, at least 1;
-                          0: no change in progress */
+  guint copies_before_change; /* number of ready copies when a version change
+                                 began, at least 1; 0: no change in progress */
 } pu_planned_item_t;
 
 struct pu_planner
@@ -106,28 +115,34 @@
   GArray *items;   /* of pu_planned_item_t */
   guint64 last_forecast_ms;
   pu_forecast_request_stats_t request_stats;
-  guint store_loads; /* loads from the store in flight, all items */
-  guint load_slots;  /* loads from the store that may still be ordered */
-  /* The last load slot went to a copy for demand, not to an unreachable item
-     without demand.  */
+  guint store_loads; /* loads from the weights store in flight, of all items */
+  guint load_slots;  /* loads from the weights store that may still be
+                        ordered */
+  /* The last load slot was used for a copy for demand, not for an unreachable
+     item without demand.  */
   bool last_slot_for_demand;
   bool any_cached; /* an engine has or had cached weights */
-  /* The store accepts no load: only engines with cached weights are chosen. */
+  /* No load may use the weights store now: only engines on which the item's
+     weights are cached are chosen.  */
   bool cached_only;
-  /* The last pu_planner_choose found free memory only on engines that are
-     loading.  */
+  /* The last pu_planner_choose found enough free memory only on engines that
+     are loading.  */
   bool only_loading_engines_fit;
-  guint deferred_loads; /* deferred loads, all items */
-  bool ignore_adapters; /* pu_planned_need_mb leaves out the adapters of a base
-                           model */
-  guint32 *holder_stamp; /* by engine: equals item_stamp if the engine holds
-                            the marked item */
-  double *scratch_load;  /* scratch by copy: engine load without the item */
-  double *scratch_share; /* scratch by copy: the item's share */
+  guint deferred_loads; /* number of deferred loads, of all items */
+  bool ignore_adapters; /* pu_planned_need_mb leaves out the memory for the
+                           adapters of a base model */
+  /* By engine handle; equals item_stamp if the engine holds the item and
+     version of the last pu_planner_mark_item.  */
+  guint32 *holder_stamp;
+  double *scratch_load;  /* scratch array by copy of an item: load of the
+                            copy's engine without this item, in streams */
+  double *scratch_share; /* scratch array by copy of an item: demand assigned
+                            to the copy, in streams */
   guint n_holder_stamp;
-  guint n_scratch; /* length of the scratch arrays by copy */
+  guint n_scratch; /* length of scratch_load and of scratch_share */
   guint32 item_stamp;
-  guint *zone_copies; /* scratch by zone: copies of the marked item */
+  guint *zone_copies; /* scratch array by zone: number of copies of the item of
+                         the last pu_planner_mark_item */
   guint n_zones;
 };
 
@@ -162,11 +177,12 @@
          && g_hash_table_contains (e->cached, GUINT_TO_POINTER (item));
 }
 
-/* Expected demand above which an item counts as in demand, in streams; it is
+/* Expected demand, in streams, above which an item counts as in demand; it is
    less than one request in several seconds.  */
 #define PU_DEMAND_MIN_STREAMS 0.01
 
-/* Whether there is demand for T.  */
+/* Whether T is in demand: its expected demand is above
+   PU_DEMAND_MIN_STREAMS.  */
 static inline bool
 pu_planned_in_demand (const pu_planned_item_t *t)
 {
@@ -177,88 +193,95 @@
    one after a roll-back.  */
 guint32 pu_planned_version (const pu_planned_item_t *t);
 
-/* pu_planner_rebuild_index - rebuilds the locations and counts of copies and
-   drops expired blocks.  */
+/* pu_planner_rebuild_index - finds the copies of each item on the usable
+   engines, counts them by phase, and removes expired load blocks.  */
 void pu_planner_rebuild_index (pu_planner_t *p, guint64 now);
 
 /* pu_planner_reserve_for_adapters - reserves memory on ENGINE, which has or
-   will have the base ITEM, for adapters of ITEM that have no copy.  */
+   will have a copy of the base model ITEM, for those adapters of ITEM that
+   have no copy.  */
 void pu_planner_reserve_for_adapters (pu_planner_t *p, guint32 engine,
                                       guint32 item);
 
 /* pu_planner_spread_demand - distributes the expected demand of each item over
-   its copies, so that the utilization of their engines is level.  */
+   its copies, so that the engines that hold them have the same utilization as
+   far as possible.  */
 void pu_planner_spread_demand (pu_planner_t *p);
 
-/* pu_planner_spread_item_demand - does the same for ITEM alone.  */
+/* pu_planner_spread_item_demand - distributes the expected demand of ITEM
+   alone over its copies, as pu_planner_spread_demand does.  */
 void pu_planner_spread_item_demand (pu_planner_t *p, guint32 item);
 
 /* pu_planner_gain - returns the late streams that one more copy of ITEM on
-   ENGINE would save.  The demand of an adapter that has as many copies as its
-   base counts too, as it can spread to the new copy.  */
+   ENGINE would save.  The demand for an adapter of ITEM that has as many
+   copies as ITEM counts too, as it can spread to the new copy.  */
 double pu_planner_gain (pu_planner_t *p, guint32 item, guint32 engine);
 
 /* pu_planner_eviction_loss - returns the late streams that the removal of the
-   copy of ITEM at PLACE, with its adapters there, would cost at the forecast's
-   peak demand.  WITH_BASE: ITEM is an adapter that is removed along with its
-   base, whose loss already includes its demand.  */
+   copy of ITEM at PLACE, and of its adapters on the same engine, would cost at
+   the forecast's peak demand.  WITH_BASE: ITEM is an adapter that is removed
+   along with its base, whose loss already includes the demand for ITEM.  */
 double pu_planner_eviction_loss (pu_planner_t *p, guint32 item,
                                  pu_copy_location_t place, bool with_base);
 
-/* Copies on one engine to evict.  A late stream is defined in planner.h.  */
+/* The copies to evict on one engine, the victims.  A late stream is defined in
+   planner.h.  */
 typedef struct
 {
-  GArray *slots;          /* of guint */
-  double loss;            /* late streams */
-  guint n_below_min_stay; /* victims below their minimum stay */
+  GArray *slots;          /* of guint: indices in the engine's copies */
+  double loss;            /* late streams that the evictions cost */
+  guint n_below_min_stay; /* number of victims that have been ready for less
+                             than min_stay_s */
 } pu_victims_t;
 
 /* Which copies a load may evict.  */
 typedef enum
 {
   PU_EVICT_NONE,          /* none: only free memory is used */
-  PU_EVICT_ABOVE_MINIMUM, /* copies above their item's minimum */
-  PU_EVICT_TO_LAST        /* all but the last ready copy of an item */
+  PU_EVICT_ABOVE_MINIMUM, /* copies that their item has above its minimum */
+  PU_EVICT_TO_LAST        /* all copies but the last ready one of an item */
 } pu_eviction_t;
 
 /* pu_planner_choose - returns the engine for a copy of VERSION of ITEM, or
-   PU_PLAN_NONE.  Sets V to the copies to evict there, empty when it fits in
-   free memory.  */
+   PU_PLAN_NONE.  Sets V to the copies to evict on that engine; V is empty when
+   the new copy fits in free memory.  */
 guint32 pu_planner_choose (pu_planner_t *p, guint32 item, guint32 version,
                            pu_eviction_t evict, guint64 now, pu_victims_t *v);
 
 /* pu_planner_victims - fills V with the copies on ENGINE to evict for ITEM,
-   chosen in order of loss per MB.  Returns false when they do not free enough
-   memory.  */
+   those with the least loss per MB first.  Returns false when these evictions
+   do not free enough memory.  */
 bool pu_planner_victims (pu_planner_t *p, guint32 engine, guint32 item,
                          pu_eviction_t evict, guint64 now, pu_victims_t *v);
 
-/* pu_planner_mark_item - marks the engines that hold VERSION of ITEM, and
-   counts the copies of ITEM by zone.  */
+/* pu_planner_mark_item - marks the engines that hold VERSION of ITEM in
+   holder_stamp, and counts the copies of ITEM by zone in zone_copies.  */
 void pu_planner_mark_item (pu_planner_t *p, guint32 item, guint32 version);
 
 /* pu_planner_can_hold - returns whether ENGINE can take a copy of ITEM once
-   memory is free there.  Call pu_planner_mark_item for the item and version
-   first.  */
+   enough of its memory is free.  Call pu_planner_mark_item for the item and
+   version first.  */
 bool pu_planner_can_hold (const pu_planner_t *p, guint32 engine, guint32 item);
 
-/* pu_planner_bundle - fills SLOTS with the copies to unload along with the
-   copy in SLOT of ENGINE: its adapters there, then the copy.  Returns false
-   when one of them must not be unloaded for ITEM; PU_PLAN_NONE: for no
-   particular item.  */
+/* pu_planner_bundle - fills SLOTS with the copies that are unloaded together
+   with the copy in SLOT of ENGINE: first its adapters on ENGINE, then the copy
+   itself.  ITEM is the item that needs the memory, or PU_PLAN_NONE.  Returns
+   false when one of the copies must not be unloaded.  */
 bool pu_planner_bundle (const pu_planner_t *p, guint32 engine, guint slot,
                         guint32 item, pu_eviction_t evict, GArray *slots);
 
 /* Returns the free memory that a copy of T needs, in MB.  For a base model,
-   memory for its adapters is included unless ignore_adapters is set, as it is
-   for an item that has no room otherwise.  */
+   memory for its adapters is included unless ignore_adapters is set; it is set
+   when no engine has enough memory with the adapters included.  */
 guint32 pu_planned_need_mb (const pu_planner_t *p, const pu_planned_item_t *t);
 
-/* Returns the free memory of E, in MB.  */
+/* Returns the memory of E that is not committed, in MB on each
+   accelerator.  */
 guint32 pu_planned_free_mb (const pu_planned_engine_t *e);
 
 /* Returns the free memory of E that a new copy of T may use, in MB.  Memory
-   reserved for adapters counts only for an adapter without a ready copy.  */
+   reserved for adapters is included only if T is an adapter without a ready
+   copy.  */
 guint32 pu_planned_usable_mb (const pu_planned_engine_t *e,
                               const pu_planned_item_t *t);
 
--- a/libplantainusher/placement/planner_load.c
+++ b/libplantainusher/placement/planner_load.c
@@ -2,11 +2,13 @@
 
 #include <string.h>
 
-/* Utilization of an engine above which requests are late or rejected.  */
+/* Utilization of an engine above which some of its requests are late or
+   rejected.  */
 #define LATE_UTILIZATION 0.7
 #define MEAN_IMPORTANCE 5.0
-/* Loss, in addition to that for the demand, of leaving an item with one ready
-   copy at most, in late streams for mean importance.  */
+/* Loss, in late streams, that is added when an eviction leaves an item with
+   one ready copy at most.  It is the loss at mean importance and without peak
+   demand.  */
 #define LAST_COPY_LOSS 0.05
 
 guint32
@@ -55,8 +57,8 @@
     }
 }
 
-/* Lists the copy of E's deferred load, if there is one, as its last copy, so
-   that demand is distributed to it too.  */
+/* Makes the copy of E's deferred load, if E has one, the last of E's copies,
+   so that demand is distributed to this copy too.  */
 static void
 list_deferred (pu_planned_engine_t *e)
 {
@@ -150,10 +152,11 @@
   reserve_for_all_adapters (p);
 }
 
-/* Distributes DEMAND over N copies, whose engines have the load
-   p->scratch_load from other items and the streams CAPACITY.  Sets
-   p->scratch_share to the shares: those above zero give their engines the same
-   utilization; engines already above it get zero.  */
+/* Distributes DEMAND over N copies of an item.  The engines of the copies have
+   CAPACITY streams each and the load p->scratch_load from other items.  Sets
+   p->scratch_share to the demand that each copy gets, in streams.  Copies that
+   get demand give their engines the same utilization; a copy whose engine is
+   above that utilization already gets none.  */
 static void
 level_utilization (pu_planner_t *p, guint n, const double *capacity,
                    double demand)
@@ -246,10 +249,10 @@
     pu_planner_spread_item_demand (p, i);
 }
 
-/* Returns the late streams on an engine with LOAD of CAPACITY, weighted by
-   importance.  An overloaded engine still serves the same number of streams on
-   time, as it rejects the rest, so that one more copy is a gain even where ten
-   are needed.  */
+/* Returns the late streams, weighted by importance, on an engine of CAPACITY
+   streams with a load of LOAD streams.  An overloaded engine still serves the
+   same number of streams on time, as it rejects the rest, so that one more
+   copy is a gain even where ten are needed.  */
 static double
 late_streams (double load, double weighted_load, double capacity)
 {
@@ -260,17 +263,17 @@
   return weighted_load / MEAN_IMPORTANCE * (1 - on_target / load);
 }
 
-/* Whether the adapter T has as many copies as its base, so that it needs
-   another copy of the base to gain one.  */
+/* Whether the adapter T has as many copies as its base model, so that one more
+   copy of T needs one more copy of the base.  */
 static bool
 covers_base (const pu_planner_t *p, const pu_planned_item_t *t)
 {
   return t->locations->len >= pu_planned_item (p, t->i.base)->locations->len;
 }
 
-/* Returns the demand on E for ITEM and its adapters, in streams.
-   ALL_ADAPTERS: all of them count, else those with as many copies as the base.
- */
+/* Returns the demand on E for ITEM and its adapters, in streams.  If
+   ALL_ADAPTERS, all adapters of ITEM on E count, else only those that have as
+   many copies as ITEM.  */
 static double
 bundle_share (const pu_planner_t *p, const pu_planned_engine_t *e,
               guint32 item, bool all_adapters)
@@ -289,8 +292,8 @@
   return sum;
 }
 
-/* Whether one of the first N copies of T is on ENGINE, which may hold two
-   versions.  */
+/* Whether one of the first N copies of T is on ENGINE.  An engine may hold
+   copies of two versions of T.  */
 static bool
 is_on_engine (const pu_planned_item_t *t, guint n, guint32 engine)
 {
@@ -302,8 +305,8 @@
   return false;
 }
 
-/* Whether copy I of T, which is on E, takes no demand.  The index after the
-   last copy stands for a copy to be added.  */
+/* Whether copy I of T, which is on E, takes no demand.  If I is the number of
+   copies, it stands for a copy to be added, which takes demand.  */
 static bool
 takes_no_demand (const pu_planned_item_t *t, guint i,
                  const pu_planned_engine_t *e)
@@ -312,9 +315,10 @@
          && !takes_demand (pu_planned_copy (e, pu_item_location (t, i).slot));
 }
 
-/* Returns the increase in late streams when the demand for ITEM is distributed
-   anew over its engines without SKIP and with EXTRA, either of which may be
-   PU_PLAN_NONE.  The demand is multiplied by SCALE.  */
+/* Returns the increase in late streams when the demand for ITEM, multiplied by
+   SCALE, is distributed again over the engines that hold it, without the
+   engine SKIP and with the engine EXTRA.  SKIP and EXTRA may be
+   PU_PLAN_NONE.  */
 static double
 late_streams_delta (pu_planner_t *p, guint32 item, guint32 skip, guint32 extra,
                     double scale)
--- a/libplantainusher/placement/planner_repair.c
+++ b/libplantainusher/placement/planner_repair.c
@@ -1,18 +1,19 @@
 #include "placement/planner_round.h"
 
-/* An item unreachable for longer than this no longer defers loads that are not
-   urgent.  */
+/* Time after which an unreachable item, which is one without a ready copy, no
+   longer delays loads that are not urgent.  */
 #define GROWTH_DEFERRAL_MS 60000
-/* A deferred load of an unreachable item that has waited this long for memory
-   is stalled: the item may get a second one, on another engine.  */
+/* Time after which a deferred load of an unreachable item that still waits for
+   memory is stalled: the item may then get a second deferred load, on another
+   engine.  */
 #define STALLED_LOAD_MS 3000
 #define MAX_DEFERRED_PER_ITEM 2
-/* Deferred loads allowed for each load that the store runs at once: memory is
-   freed while the store is busy.  */
+/* Limit on deferred loads, as a multiple of max_concurrent_loads: memory for
+   them is freed while the store is busy.  */
 #define DEFERRED_PER_STORE_LOAD 2
 
-/* Returns the slot of E's deferred copy: index_engine lists it last, but a
-   load ordered since may follow it.  */
+/* Returns the slot of the copy of E's deferred load.  index_engine makes it
+   the last of E's copies, but a load ordered after that may follow it.  */
 static guint
 deferred_slot (const pu_planned_engine_t *e)
 {
@@ -48,7 +49,8 @@
     }
 }
 
-/* Orders the deferred load of ENGINE, whose memory is free now.  */
+/* Orders the deferred load of ENGINE, for which memory is free now.  If loads
+   of the same item have stalled, its other deferred loads are cancelled.  */
 static void
 start_deferred (pu_round_t *r, guint32 engine)
 {
@@ -77,13 +79,15 @@
 {
   guint32 item;
   guint32 engine; /* PU_PLAN_NONE: no deferred load */
-  /* Needs a first copy; for a deferred load: the item has no ready copy.  */
+  /* The item needs a first copy; for a deferred load: the item has no ready
+     copy.  */
   bool unreachable;
   pu_planned_item_t *t;
 } pu_repair_t;
 
-/* Sorts unreachable items first, then by importance, then by expected demand;
-   items without demand by size, as the largest are the hardest to place.  */
+/* Sorts unreachable items first, then by importance, then items in demand by
+   expected demand, then items without demand by size, as the largest are the
+   hardest to place.  */
 static gint
 compare_repairs (gconstpointer a, gconstpointer b)
 {
@@ -144,14 +148,16 @@
     {
       guint32 engine = g_array_index (startable, pu_repair_t, i).engine;
 
-      /* A load of the same item, started before, may have cancelled it.  */
+      /* An earlier start_deferred in this loop, for the same item, may have
+         cancelled this deferred load.  */
       if (pu_planned_engine (r->p, engine)->deferred)
         start_deferred (r, engine);
     }
   g_array_unref (startable);
 }
 
-/* Whether a load of T is ordered or loading; a deferred one doesn't count.  */
+/* Whether a load of T is ordered or in progress; a deferred load doesn't
+   count.  */
 static bool
 has_ordered_load (const pu_planner_t *p, const pu_planned_item_t *t)
 {
@@ -167,8 +173,8 @@
   return false;
 }
 
-/* Records since when T has had no ready copy, and sets the flags of R by which
-   other loads wait for its repair.  */
+/* Records since when T has had no ready copy, and sets the flags of R that
+   make other loads wait until T has a copy.  */
 static void
 note_unreachable (pu_round_t *r, pu_planned_item_t *t)
 {
@@ -219,8 +225,8 @@
   return repairs;
 }
 
-/* Whether an unreachable item may get a deferred load: memory is freed for it
-   while the store is still busy.  */
+/* Whether a load may be planned for an unreachable item.  While the store is
+   busy the load is deferred, and memory is freed for it in the meantime.  */
 static bool
 may_add_deferred (const pu_round_t *r)
 {
@@ -263,7 +269,8 @@
     }
 }
 
-/* Repairs the items in demand (IN_DEMAND), or those that are not.  */
+/* Plans loads for the items in demand (IN_DEMAND) or for the other items that
+   have no ready copy or fewer copies than their minimum.  */
 static void
 repair_items (pu_round_t *r, bool in_demand)
 {
@@ -293,8 +300,8 @@
 void
 pu_round_repair_idle (pu_round_t *r)
 {
-  /* Copies for demand get the next load slot, even if none of the idle items
-     found an engine.  */
+  /* Gives copies for demand the next load slot, even if no engine is found for
+     any of the idle items.  */
   if (pu_round_may_start_urgent_load (r))
     r->p->last_slot_for_demand = false;
   pu_round_start_deferred (r, true);
--- a/libplantainusher/placement/planner_room.c
+++ b/libplantainusher/placement/planner_room.c
@@ -1,19 +1,20 @@
 #include "placement/planner_round.h"
 
-/* Makes room for an unreachable item on an engine that holds only last copies:
-   some of these, with their adapters, are loaded on another engine first and
-   can be unloaded then.  */
+/* Frees memory for an unreachable item on an engine that holds only last
+   copies of other items: some of these items, with their adapters, are loaded
+   on another engine first, after which their copies on this engine can be
+   unloaded.  */
 
 /* Time for which copies are moved away from the engine chosen for an item;
-   after it, an engine is chosen again.  */
+   after this time, an engine is chosen again.  */
 #define RELOCATION_MS 60000
 #define RELOCATION_RETRY_MS 1000
-/* Engines that are tried for an item, those that lack the least memory for it
-   first.  */
+/* Limit on the engines that are tried for an item, those that lack the least
+   memory for the item first.  */
 #define RELOCATION_TRIES 16
 
-/* Memory by handle: what an engine lacks for an item, or what a copy takes
-   together with its adapters.  */
+/* An engine and the memory that it lacks for an item, or an item and the
+   memory that its copy takes together with the copy's adapters, in MB.  */
 typedef struct
 {
   guint32 id;
@@ -37,8 +38,9 @@
   return c->c.item == root || pu_planned_item (p, c->c.item)->i.base == root;
 }
 
-/* Memory of the copy of ROOT on E with its adapters; 0 when one of them is
-   not ready, or not declared, so that the bundle cannot be relocated.  */
+/* Returns the memory, in MB, of the copy of ROOT on E and its adapters on E.
+   Returns 0 when one of these copies is not ready, or its item not declared,
+   so that the bundle cannot be relocated.  */
 static guint32
 bundle_mb (const pu_planner_t *p, const pu_planned_engine_t *e, guint32 root)
 {
@@ -58,7 +60,8 @@
   return memory_mb;
 }
 
-/* MB that ENGINE lacks for ITEM after everything evictable is evicted.  */
+/* Returns the memory, in MB, that ENGINE still lacks for ITEM after all copies
+   that may be evicted are evicted.  */
 static guint32
 compute_missing_mb (pu_round_t *r, guint32 engine, guint32 item)
 {
@@ -75,10 +78,10 @@
   return need - MIN (need, have);
 }
 
-/* The bundles (a copy and its adapters) on ENGINE that can be evicted for ITEM
-   only once they have another copy.  The smallest that frees MISSING MB comes
-   first, then the larger ones in ascending order, then the smaller ones in
-   descending order.  */
+/* Returns the bundles (a copy and its adapters) on ENGINE that can be evicted
+   for ITEM only once their items have another copy.  The smallest bundle that
+   frees MISSING_MB comes first, then the larger ones in ascending order, then
+   the smaller ones in descending order.  */
 static GArray *
 find_relocatable (pu_round_t *r, guint32 engine, guint32 item,
                   guint32 missing_mb)
@@ -115,8 +118,8 @@
   return bundles;
 }
 
-/* Loads ITEM on another engine to make room for FOR_ITEM; false when no engine
-   has room.  */
+/* Loads ITEM on another engine, to free memory for FOR_ITEM later.  Returns
+   false when no engine has memory for ITEM.  */
 static bool
 load_elsewhere (pu_round_t *r, guint32 item, guint32 for_item)
 {
@@ -132,8 +135,7 @@
   return true;
 }
 
-/* Whether another copy of an item whose only ready copy is on E is under way.
- */
+/* Whether a load is pending for an item whose only ready copy is on E.  */
 static bool
 is_relocating (const pu_planner_t *p, const pu_planned_engine_t *e)
 {
@@ -148,10 +150,10 @@
   return false;
 }
 
-/* Starts loads on other engines so that the copy of ROOT on ENGINE and its
-   adapters there can be unloaded for ITEM.  While the copy of ROOT is the only
-   one that is ready, ROOT is loaded; after that, each of these adapters that
-   has no other ready copy.  False when no load could be started.  */
+/* Starts loads on other engines so that the copy of ROOT on ENGINE, and its
+   adapters on ENGINE, can be unloaded for ITEM.  While ROOT has no other ready
+   copy, ROOT is loaded; after that, each of these adapters that has no other
+   ready copy.  Returns false when no load could be started.  */
 static bool
 relocate_bundle (pu_round_t *r, guint32 engine, guint32 root, guint32 item)
 {
@@ -171,8 +173,9 @@
   return started;
 }
 
-/* Takes the next step of making room for ITEM on ENGINE, or waits for the one
-   under way; false when there is none.  */
+/* Starts the next loads on other engines that free memory for ITEM on ENGINE,
+   unless such a load is under way.  Returns false when no load is under way
+   and none was started.  */
 static bool
 continue_relocation (pu_round_t *r, guint32 engine, guint32 item)
 {
@@ -195,8 +198,9 @@
   return started;
 }
 
-/* Picks the engine on which to make room for ITEM and takes the first step;
-   false when there is none.  */
+/* Chooses the engine on which memory is freed for ITEM and starts the first
+   loads on other engines.  Returns false when no load could be started for any
+   engine.  */
 static bool
 begin_relocation (pu_round_t *r, guint32 item)
 {
--- a/libplantainusher/placement/planner_tables.c
+++ b/libplantainusher/placement/planner_tables.c
@@ -12,7 +12,8 @@
 #define DEFAULT_FORECAST_PERIOD_MS 1000
 #define DEFAULT_HOT_UTILIZATION 0.7
 #define MS_PER_S 1000
-/* Lower limit for the streams of an engine, by which loads are divided.  */
+/* Lower limit for the streams of an engine.  The load of an engine is divided
+   by this number, which must not be 0.  */
 #define MIN_STREAMS 0.001
 #define FAILURE_BACKOFF_MS 5000
 #define FAILURE_BACKOFF_DOUBLINGS_MAX 8
@@ -190,8 +191,9 @@
   return NULL;
 }
 
-/* Returns the copies of FROM, with the state of E for those that it already
-   has.  */
+/* Returns the copies that FROM lists.  A copy that E already has keeps its
+   reason, gain and price, and the time since when it is in its phase unless
+   the phase changed.  */
 static GArray *
 merge_copies (const pu_planned_engine_t *e, const pu_plan_engine_t *from,
               guint64 now)
@@ -217,8 +219,8 @@
   return copies;
 }
 
-/* Resets the count of failed loads of items whose version, as given by
-   pu_planned_version, has been ready on E for watch_s.  */
+/* Resets the number of failed loads of each item that has had a ready copy on
+   E for watch_s, in the version given by pu_planned_version.  */
 static void
 reset_failures (const pu_planner_t *p, const pu_planned_engine_t *e,
                 guint64 now)
@@ -236,8 +238,8 @@
     }
 }
 
-/* Clears the deferred load of E when its copy is reported, or E is not usable.
- */
+/* Clears the deferred load of E when E reports the copy, or when E is not
+   usable.  */
 static void
 clear_obsolete_deferred (pu_planned_engine_t *e)
 {
@@ -296,8 +298,8 @@
     }
 }
 
-/* Returns the version to roll back to when T is declared anew as I: the one
-   that I names, else the version that T had before.  */
+/* Returns the version to roll back to when T is declared again as I: the
+   previous version that I names, else the version that T had before.  */
 static guint32
 previous_version (const pu_planned_item_t *t, const pu_plan_item_t *i)
 {
@@ -460,8 +462,8 @@
       || t->i.previous_version == PU_PLAN_NONE
       || t->i.previous_version == t->i.version)
     return;
-  /* When the previous version fails as well, the declared one is tried again.
-   */
+  /* If the previous version was in use already and failed as well, the
+     declared one is tried again.  */
   t->rolled_back = !t->rolled_back;
   t->failures = 0;
 }
@@ -485,8 +487,8 @@
   return n;
 }
 
-/* Whether the only pending load of ITEM is deferred although its memory is
-   free, so that it waits for the store alone.  */
+/* Whether ITEM waits for the weights store alone: its only pending load is
+   deferred although the memory for the load is free.  */
 static bool
 waits_for_store (const pu_planner_t *p, guint32 item)
 {
--- a/libplantainusher/placement/planner_test.cc
+++ b/libplantainusher/placement/planner_test.cc
@@ -18,7 +18,8 @@
   pu_planner_options_t o;
   pu_planner_t *p = nullptr;
   GArray *moves = g_array_new (FALSE, FALSE, sizeof (pu_move_t));
-  std::vector<std::vector<pu_plan_copy_t> > copies; /* by engine */
+  /* The copies on each engine, by engine handle.  */
+  std::vector<std::vector<pu_plan_copy_t> > copies;
   guint64 now = 1000;
 
   Planner ()
@@ -79,7 +80,8 @@
   }
 
   /* Runs one step and returns its moves as text, such as "load 2.1@0 " (item
-     2, version 1, engine 0); applies them at once when APPLY_MOVES.  */
+     2, version 1, engine 0).  Applies the moves before it returns if
+     APPLY_MOVES.  */
   std::string
   Step (bool apply_moves = true)
   {
@@ -129,7 +131,7 @@
 
 /* Guards against loading an idle model first when a crash has left many models
    without a copy.  The store takes only a load or two a second, so the model
-   that most callers wait for goes first.  */
+   that most callers wait for must be loaded first.  */
 TEST_F (Planner, LoadsTheUnreachableItemWithMostDemandFirst)
 {
   o.max_concurrent_loads = 1;
@@ -143,8 +145,8 @@
 }
 
 /* Three models have no copy, and the only engine loads one at a time.  Guards
-   against queueing loads on it, which would put a model that gets requests
-   meanwhile behind one that gets none.  */
+   against queueing several loads on this engine: a model that gets requests in
+   the meantime would then wait behind a model that gets none.  */
 TEST_F (Planner, QueuesNoLoadOnAnEngineThatIsLoading)
 {
   o.serial_loads = true;
@@ -164,8 +166,8 @@
 }
 
 /* An empty engine joins and loads for seconds.  A model without a copy that
-   gets requests meanwhile must not wait for it, but replaces a second copy of
-   another model elsewhere.  */
+   gets requests during these seconds must not wait for that engine, but
+   replaces a second copy of another model on another engine.  */
 TEST_F (Planner, ItemWithDemandDoesNotWaitForALoadingEngine)
 {
   o.serial_loads = true;
@@ -184,8 +186,9 @@
   EXPECT_EQ ("load 2.1@0 ", Step ());
 }
 
-/* The only room for a second copy is on an engine that is loading.  The copy
-   is tried again as soon as that load has ended, without the retry delay.  */
+/* A second copy of a model fits only on an engine that is loading.  The
+   planner must order that copy as soon as the load on the engine has ended,
+   without the retry delay.  */
 TEST_F (Planner, SpareCopyIsTriedAgainWhenTheLoadBeforeItEnds)
 {
   o.serial_loads = true;
@@ -260,8 +263,8 @@
   EXPECT_NE ("", Step (false));
 }
 
-/* Once the load that an unreachable item needs is under way, growth of other
-   items does not wait for its end.  */
+/* Once the load of an unreachable item is under way, copies for the demand of
+   other items do not wait until that load ends.  */
 TEST_F (Planner, GrowsForDemandWhileARepairIsUnderWay)
 {
   AddEngines (4);
@@ -276,7 +279,8 @@
 }
 
 /* Three models without demand have no copy, and one with high demand needs
-   more copies.  Neither may starve the other: their loads alternate.  */
+   more copies.  Neither kind of load may starve the other, so the loads
+   alternate.  */
 TEST_F (Planner, GrowthAndIdleRepairsAlternateAtTheStore)
 {
   std::string order;
@@ -310,8 +314,8 @@
   EXPECT_EQ ("load 1.1@0 ", Step ());
 }
 
-/* The number of loads that PL wants to reserve memory for after a step that
-   plans.  */
+/* Runs a step of PL that plans, and returns the number of loads for which PL
+   then reserves memory.  */
 unsigned
 CountReservations (pu_placement_t *pl, guint64 now)
 {
@@ -414,8 +418,8 @@
   g_string_free (why, TRUE);
 }
 
-/* A model with ten times the demand that its copies can serve.  One more copy
-   doesn't end the overload, but is a gain nevertheless.  */
+/* The demand for a model is ten times what its copies can serve.  One more
+   copy doesn't end the overload, but is a gain nevertheless.  */
 TEST_F (Planner, DemandFarBeyondCapacityStillAddsCopies)
 {
   AddEngines (6);
@@ -433,8 +437,8 @@
 }
 
 /* Two models are overloaded: the demand for one is 1.5 times what its four
-   copies can serve, that for the other forty times.  The second gets the copy,
-   although that needs an eviction.  */
+   copies can serve, that for the other forty times.  The second model gets the
+   next copy, although that needs an eviction.  */
 TEST_F (Planner, MostOverloadedItemGrowsFirst)
 {
   AddEngines (7);
@@ -457,9 +461,9 @@
   EXPECT_EQ ("load 1.1@5 ", Step ());
 }
 
-/* Guards against counting the load of a busy engine as the demand of a copy
-   that is being unloaded there.  Item 0 has hardly any demand, so one more
-   copy of it relieves no engine.  */
+/* Guards against counting the load of a busy engine as the demand for a copy
+   that is being unloaded on that engine.  Item 0 has hardly any demand, so one
+   more copy of item 0 relieves no engine.  */
 TEST_F (Planner, LoadBesideAnUnloadingCopyDoesNotGrowItsItem)
 {
   AddEngines (3);
@@ -480,7 +484,8 @@
 
 /* The few answers of a model with one request a second ran under contention,
    so its requests are estimated at a minute each.  This estimate alone adds no
-   copy to the two that the model has; the same for many requests does.  */
+   copy to the two that the model has; the same estimate for many requests a
+   second does.  */
 TEST_F (Planner, LongEstimatesOfFewRequestsAddNoCopy)
 {
   for (guint32 per_second : { 1U, 20U })
@@ -517,8 +522,9 @@
     }
 }
 
-/* Demand shifts to a model with one copy.  It gets at once as many copies as
-   the demand needs beyond those that are ready or loading, and no more.  */
+/* Demand shifts to a model with one copy.  In a single step the model gets as
+   many copies as the demand needs beyond those that are ready or loading, and
+   no more.  */
 TEST_F (Planner, GrowsByTheCopiesMissingForTheDemand)
 {
   struct
@@ -526,7 +532,8 @@
     guint32 streams;
     const char *moves;
   } const rows[] = {
-    { 6, "load 0.1@1 " }, /* a spare copy: one copy serves seven streams */
+    { 6, "load 0.1@1 " }, /* one copy serves seven streams, so the load is a
+                             spare copy */
     { 13, "load 0.1@1 " },
     { 20, "load 0.1@1 load 0.1@2 " },
     { 34, "load 0.1@1 load 0.1@2 load 0.1@3 load 0.1@4 " },
@@ -557,7 +564,8 @@
 }
 
 /* A model with little demand shares an overloaded engine.  The model that
-   causes the overload gets copies, the other needs none.  */
+   causes the overload gets copies; the model with little demand needs
+   none.  */
 TEST_F (Planner, ModelWithLittleDemandBesideABusyOneGetsNoCopy)
 {
   AddEngines (6);
@@ -644,7 +652,8 @@
   EXPECT_EQ ("", Step ());
 }
 
-/* ---- Orders ---- */
+/* Tests of pu_orders_t, which sends the planned loads and unloads to the
+   engines as orders.  */
 
 struct Orders : ::testing::Test
 {
