--- a/libplantainusher/placement/planner.h
+++ b/libplantainusher/placement/planner.h
@@ -29,9 +29,10 @@
  *                importance of its item
  *   gain, price  what a move saves and costs, in late stream-seconds
  *   backoff      time during which no load of an item is planned, on one
- * engine or on all engines deferred     (load) planned, but ordered only
- * later: a load that needs memory of other copies is deferred until their
- * unloads, which are ordered first, have freed it; a load may also be deferred
+ *                engine or on all engines
+ *   deferred     (load) planned, but ordered only later: a load that needs
+ *                memory of other copies is deferred until their unloads, which
+ *                are ordered first, have freed it; a load may also be deferred
  *                until the store accepts it
  *   store        the weights store, from which engines load weights
  *
@@ -135,7 +136,8 @@
   guint32 version;
   guint32 memory_mb;
   pu_plan_reason_t reason;
-  guint32 for_item; /* PU_REASON_MAKE_ROOM: the item that needs the memory */
+  guint32 for_item; /* with PU_REASON_MAKE_ROOM: the item that needs the
+                       memory */
   double gain;      /* late stream-seconds that the load saves within
                        payback_s */
   double price;     /* late stream-seconds that the load costs */
--- a/libplantainusher/placement/planner_grow.c
+++ b/libplantainusher/placement/planner_grow.c
@@ -10,8 +10,8 @@
 #define DEMAND_MOVES_UNTIL_STABLE 64
 /* Limit on the items for which a spare copy is tried in a step.  */
 #define SPARE_TRIES 4
-/* At a moves_weight of 1, the price of a move is higher by this multiple of
-   the option move_price.  */
+/* The price of a move is the option move_price times 1 plus this factor, at a
+   moves_weight of 1.  */
 #define WEIGHT_PRICE_FACTOR 9.0
 /* Number of moves whose price is added for each evicted copy whose minimum
    stay is not over.  */
@@ -237,10 +237,10 @@
   return find_hot_engines (r->p, hot) > 0;
 }
 
-/* Whether the weights store may run a load for demand.  While unreachable
-   items without demand wait for the store, their loads and the loads for
-   demand alternate: an item with ten times the demand that its copies can
-   serve can't wait for the loads of all unreachable items.  */
+/* Whether the weights store may run a load for demand.  While items with
+   neither a ready copy nor demand wait for the store, their loads and the
+   loads for demand alternate: an item with ten times the demand that its
+   copies can serve can't wait for all of these loads.  */
 static bool
 may_load_for_demand (const pu_round_t *r)
 {
@@ -379,8 +379,9 @@
       guint32 item = take_most_exposed (candidates);
       guint32 engine;
 
-      /* While an engine is hot, the weights store serves only loads for
-         demand; spare copies are then loaded from cached weights only.  */
+      /* While an engine is hot, no spare copy is loaded from the weights
+         store, only from cached weights: the store is left to the items on hot
+         engines.  */
       r->p->cached_only = any_hot || !pu_round_may_start_load (r);
       engine = pu_planner_choose (
           r->p, item, pu_planned_version (pu_planned_item (r->p, item)),
--- a/libplantainusher/placement/planner_internal.h
+++ b/libplantainusher/placement/planner_internal.h
@@ -26,7 +26,8 @@
   pu_plan_copy_t c;
   pu_plan_reason_t reason;
   guint64 since;    /* when the copy entered its phase */
-  guint32 for_item; /* PU_REASON_MAKE_ROOM: the item that needs the memory */
+  guint32 for_item; /* with PU_REASON_MAKE_ROOM: the item that needs the
+                       memory */
   double gain;      /* gain of the load, in late stream-seconds */
   double price;     /* price of the load, in late stream-seconds */
   double share;     /* streams of the item's demand assigned to this copy */
@@ -55,8 +56,8 @@
   double streams;
   GArray *copies;       /* of pu_planned_copy_t */
   GArray *blocks;       /* of pu_load_block_t; a step removes expired ones */
-  GHashTable *cached;   /* set of items whose weights are cached locally; NULL:
-                          none */
+  GHashTable *cached;   /* set of items whose weights are cached on the
+                           engine's disk or in its host's memory; NULL: none */
   guint models_loading; /* loads of models in flight; loads of adapters do not
                            count */
   double load;          /* expected demand on the engine, in streams */
@@ -118,8 +119,8 @@
   guint store_loads; /* loads from the weights store in flight, of all items */
   guint load_slots;  /* loads from the weights store that may still be
                         ordered */
-  /* The last load slot was used for a copy for demand, not for an unreachable
-     item without demand.  */
+  /* The last load from the weights store was ordered for a copy for demand,
+     not for an item with neither a ready copy nor demand.  */
   bool last_slot_for_demand;
   bool any_cached; /* an engine has or had cached weights */
   /* No load may use the weights store now: only engines on which the item's
--- a/libplantainusher/placement/planner_repair.c
+++ b/libplantainusher/placement/planner_repair.c
@@ -3,9 +3,9 @@
 /* Time after which an unreachable item, which is one without a ready copy, no
    longer delays loads that are not urgent.  */
 #define GROWTH_DEFERRAL_MS 60000
-/* Time after which a deferred load of an unreachable item that still waits for
-   memory is stalled: the item may then get a second deferred load, on another
-   engine.  */
+/* Time after which a deferred load of an item without a ready copy that still
+   waits for memory is stalled: the item may then get a second deferred load,
+   on another engine.  */
 #define STALLED_LOAD_MS 3000
 #define MAX_DEFERRED_PER_ITEM 2
 /* Limit on deferred loads, as a multiple of max_concurrent_loads: memory for
@@ -36,7 +36,7 @@
   pu_planner_spread_item_demand (r->p, c->c.item);
 }
 
-/* Cancels all deferred loads of the unreachable ITEM.  */
+/* Cancels all deferred loads of ITEM, which has no ready copy.  */
 static void
 cancel_item_deferred (pu_round_t *r, guint32 item)
 {
@@ -74,7 +74,7 @@
          && r->now < e->deferred_until;
 }
 
-/* An item that needs a load, or the deferred load on ENGINE.  */
+/* An item that needs a load, or an item with a deferred load on ENGINE.  */
 typedef struct
 {
   guint32 item;
@@ -85,9 +85,9 @@
   pu_planned_item_t *t;
 } pu_repair_t;
 
-/* Sorts unreachable items first, then by importance, then items in demand by
-   expected demand, then items without demand by size, as the largest are the
-   hardest to place.  */
+/* Sorts items without a ready copy first, then by importance, then items in
+   demand by expected demand, then items without demand by size, as the largest
+   are the hardest to place.  */
 static gint
 compare_repairs (gconstpointer a, gconstpointer b)
 {
@@ -225,8 +225,9 @@
   return repairs;
 }
 
-/* Whether a load may be planned for an unreachable item.  While the store is
-   busy the load is deferred, and memory is freed for it in the meantime.  */
+/* Whether a load may be planned for an item without a ready copy.  While the
+   store is busy the load is deferred, and memory is freed for it in the
+   meantime.  */
 static bool
 may_add_deferred (const pu_round_t *r)
 {
--- a/libplantainusher/placement/planner_room.c
+++ b/libplantainusher/placement/planner_room.c
@@ -1,9 +1,9 @@
 #include "placement/planner_round.h"
 
-/* Frees memory for an unreachable item on an engine that holds only last
-   copies of other items: some of these items, with their adapters, are loaded
-   on another engine first, after which their copies on this engine can be
-   unloaded.  */
+/* Frees memory for an item without a ready copy on an engine that holds only
+   last copies of other items: some of these items, with their adapters, are
+   loaded on another engine first, after which their copies on this engine can
+   be unloaded.  */
 
 /* Time for which copies are moved away from the engine chosen for an item;
    after this time, an engine is chosen again.  */
--- a/libplantainusher/placement/planner_round.h
+++ b/libplantainusher/placement/planner_round.h
@@ -18,7 +18,8 @@
   pu_victims_t victims;
   guint32 for_item; /* item for which the loads planned now free memory;
                        PU_PLAN_NONE: none */
-  /* Plans up to a stable placement: the store's limits do not apply.  */
+  /* The plan goes up to a stable placement, for which a round plans no move:
+     the store's limits do not apply.  */
   bool until_stable;
   /* An item has had no ready copy for less than GROWTH_DEFERRAL_MS, and no
      load of it failed: no spare copies are planned in this round.  */
@@ -28,7 +29,8 @@
      flight: no copies for demand are planned in this round.  */
   bool in_demand_not_loading;
   /* An item for which any_unreachable is set, in demand or not, has no load in
-     flight: copies for demand may use only every other load slot.  */
+     flight: only every other load from the weights store may be for a copy for
+     demand.  */
   bool any_not_loading;
 } pu_round_t;
 
--- a/libplantainusher/placement/planner_test.cc
+++ b/libplantainusher/placement/planner_test.cc
@@ -263,8 +263,8 @@
   EXPECT_NE ("", Step (false));
 }
 
-/* Once the load of an unreachable item is under way, copies for the demand of
-   other items do not wait until that load ends.  */
+/* Once the load of an item without a ready copy is under way, copies for the
+   demand of other items do not wait until that load ends.  */
 TEST_F (Planner, GrowsForDemandWhileARepairIsUnderWay)
 {
   AddEngines (4);
