--- a/libplantainusher/placement/adapters.c
+++ b/libplantainusher/placement/adapters.c
@@ -1,36 +1,38 @@
 #include "placement/adapters.h"
 
-/* An adapter that was requested within this time may be in use or have a
-   request on the way to it, and is not evicted: the unload would wait for that
-   request, or make it fail.  */
+/* An adapter is evicted only when it has not been requested for this time.  An
+   adapter requested more recently may be in use or have a request in transit;
+   its unload would wait for that request, or make it fail.  */
 #define EVICTION_MIN_IDLE_MS 2500
 
-/* An adapter that was requested within this time is likely to be requested
-   again soon.  */
+/* An adapter that was requested within this time is active: it is likely to be
+   requested again soon.  Only active adapters are replicated, and no active
+   adapter is evicted for a replica.  */
 #define ACTIVE_WINDOW_MS 8000
 
-/* An engine gets a copy of an adapter only if it has this many requests fewer
-   than every engine that holds the adapter: about the requests for one adapter
-   that arrive and finish in one second.  */
+/* An engine gets an additional copy of an adapter only if it has at least this
+   many requests fewer than every engine that holds the adapter.  This is about
+   the number of requests for one adapter that arrive and finish in one
+   second.  */
 #define REPLICATE_MIN_GAP 8
-/* Requests that a new copy is assumed to add to its engine, until the engine's
-   next report.  */
+/* Number of requests that a new copy of an adapter is assumed to add to its
+   engine until the engine's next report gives their number.  */
 #define REPLICATE_LOAD_ESTIMATE 2
-/* Copies ordered in one call.  Limited because each order of the leader takes
-   a round trip.  */
+/* Maximum number of copies that one call of pu_adapters_replicate orders.  It
+   is limited because each order of the leader takes a round trip.  */
 #define REPLICATE_MAX 6
 
 typedef struct
 {
   bool is_adapter;
   guint32 base;
-  guint64 last_used; /* last request, ms; 0: never */
+  guint64 last_used; /* time of the last request, ms; 0: never */
 } adapter_t;
 
 typedef struct
 {
-  guint slots; /* for adapters; 0: no limit */
-  guint load;  /* requests */
+  guint slots; /* number of adapter slots; 0: no limit */
+  guint load;  /* number of requests */
   bool usable;
 } engine_t;
 
@@ -137,17 +139,18 @@
   return active;
 }
 
-/* An engine that can take an adapter, and what it would evict.  */
+/* An engine that can take an adapter, and the adapter that it would evict.  */
 typedef struct
 {
   guint32 engine;
   guint slots_used;
   guint32 victim;     /* adapter to evict; PU_ADAPTERS_NONE: a slot is free */
-  guint64 idle_since; /* last request for the victim, ms */
+  guint64 idle_since; /* time of the last request for the victim, ms */
 } candidate_t;
 
-/* Fills O with ENGINE and its least recently used adapter.  Returns false when
-   it has neither a free slot nor an adapter that may be evicted.  */
+/* Fills O with ENGINE and the adapter that it would evict: the least recently
+   used one, or none when a slot is free.  Returns false when ENGINE has
+   neither a free slot nor an adapter that may be evicted.  */
 static bool
 find_candidate (const pu_adapters_t *a, guint32 engine, guint64 now,
                 candidate_t *o)
@@ -179,13 +182,14 @@
       o->victim = PU_ADAPTERS_NONE;
       return true;
     }
-  /* While an adapter is being unloaded, no other one is evicted: the slot that
-     is being freed is for the load that caused that unload.  */
+  /* While the engine unloads an adapter, no other adapter is evicted: the slot
+     that becomes free is for the load that caused the unload.  */
   return o->victim != PU_ADAPTERS_NONE && leaving == 0;
 }
 
-/* Whether X is preferred to Y: a free slot first, then the victim idle for the
-   longest time, then fewer slots in use, then the lower load.  */
+/* Whether the candidate X is preferred to Y.  The criteria are, in this order:
+   a free slot, the longer idle time of the adapter to evict, fewer slots in
+   use, fewer requests.  */
 static bool
 is_better (const pu_adapters_t *a, const candidate_t *x, const candidate_t *y)
 {
@@ -213,8 +217,8 @@
   return pu_dispatcher_enqueue (a->dispatcher, o->engine, &load, now);
 }
 
-/* Whether ENGINE can serve ITEM once it is loaded: the engine is usable and
-   the base model is ready there.  */
+/* Whether ENGINE can serve the adapter ITEM once ITEM is loaded: ENGINE is
+   usable, and the base model is ready on it.  */
 static bool
 can_serve (const pu_adapters_t *a, guint32 engine, guint32 item)
 {
@@ -226,7 +230,8 @@
                 == PU_DISPATCHER_READY;
 }
 
-/* The least loaded of the engines that hold or are loading ITEM.  */
+/* The engine with the fewest requests of those that can serve ITEM and hold
+   it, are loading it or have its load queued; PU_ADAPTERS_NONE: none.  */
 static guint32
 find_holder (const pu_adapters_t *a, guint32 item)
 {
@@ -274,10 +279,10 @@
   return best.engine;
 }
 
-/* --- replication --- */
+/* --- additional copies of active adapters --- */
 
-/* Whether ENGINE can take a copy of ITEM without evicting an active adapter;
-   fills O.  */
+/* Whether ENGINE, which does not hold ITEM, can take a copy of it without
+   evicting an active adapter.  Fills O as find_candidate does.  */
 static bool
 can_take_copy (const pu_adapters_t *a, guint32 engine, guint32 item,
                guint64 now, candidate_t *o)
--- a/libplantainusher/placement/adapters.h
+++ b/libplantainusher/placement/adapters.h
@@ -8,11 +8,12 @@
 /*
  * adapters - chooses the engine on which a requested adapter is loaded.
  *
- * Pure: no I/O, no clock.  `now` is monotonic milliseconds.
+ * The functions do no I/O and read no clock.  `now` is monotonic milliseconds.
  *
- * Adapters are small and numerous, and an engine has few slots for them.  An
- * adapter is loaded on demand, on an engine where its base model is ready.
- * When that engine has no free slot, the least recently used adapter there is
+ * An adapter is a small set of weights that an engine adds to a base model.
+ * Adapters are numerous, and an engine has few slots for them.  An adapter is
+ * loaded on demand, on an engine where its base model is ready.  When that
+ * engine has no free slot, the least recently used adapter of that engine is
  * evicted.  The design is for a workload in which each adapter of a model is
  * requested every few seconds, and the engines that hold the model have about
  * as many slots in total as the model has adapters.
@@ -32,9 +33,9 @@
 /* pu_adapters_base - the base model of ITEM, which must be an adapter.  */
 guint32 pu_adapters_base (const pu_adapters_t *a, guint32 item);
 
-/* pu_adapters_set_engine - replaces the state of ENGINE: it has SLOTS
-   adapter slots (0: no limit); LOAD is the number of its requests; USABLE: it
-   accepts orders and new requests.  */
+/* pu_adapters_set_engine - replaces the state of ENGINE: it has SLOTS adapter
+   slots (0: no limit); LOAD is the number of requests on the engine; USABLE:
+   the engine accepts orders and new requests.  */
 void pu_adapters_set_engine (pu_adapters_t *a, guint32 engine, guint slots,
                              guint load, bool usable);
 
@@ -46,18 +47,19 @@
 guint pu_adapters_count_active (const pu_adapters_t *a, guint32 base,
                                 guint64 now);
 
-/* pu_adapters_replicate - queues loads of additional copies of adapters in
-   use, on engines that have far fewer requests than every engine that holds
-   the adapter.  Loading a copy takes a few milliseconds; a request that queues
-   behind fifty others takes a second.  */
+/* pu_adapters_replicate - queues loads of additional copies of the adapters
+   that were requested within the last 8 s.  A copy is loaded on an engine that
+   has far fewer requests than every engine that holds the adapter.  Loading a
+   copy takes a few milliseconds; a request that queues behind fifty others
+   takes a second.  */
 void pu_adapters_replicate (pu_adapters_t *a, guint64 now);
 
 #define PU_ADAPTERS_NONE G_MAXUINT32
 
 /* pu_adapters_ensure_loaded - records that ITEM was requested, and returns the
-   engine that holds or is loading it.  When there is none, queues its load at
-   the dispatcher and returns that engine.  Returns PU_ADAPTERS_NONE when ITEM
-   is no adapter or no engine can take it.  */
+   engine that holds or is loading it.  When there is none, chooses an engine,
+   queues the load of ITEM for it at the dispatcher and returns it.  Returns
+   PU_ADAPTERS_NONE when ITEM is no adapter or no engine can take it.  */
 guint32 pu_adapters_ensure_loaded (pu_adapters_t *a, guint32 item,
                                    guint64 now);
 
--- a/libplantainusher/placement/dispatcher.c
+++ b/libplantainusher/placement/dispatcher.c
@@ -5,17 +5,20 @@
 #define CONFLICT_TIMEOUT_MS 4000
 #define RETRY_BACKOFF_MS 200
 #define POLL_INTERVAL_MS 1000
-/* Limits polling to 500 reports per second; at 100 us per report that is 5 %
-   of a core.  Engines that are executing an order are polled every
-   BUSY_POLL_INTERVAL_MS regardless of this limit.  */
+/* The interval between two reports of an engine is at least this times the
+   number of engines.  This limits polling to 500 reports per second; at 100 us
+   per report that is 5 % of a core.  Engines that are executing an order are
+   polled every BUSY_POLL_INTERVAL_MS regardless of this limit.  */
 #define POLL_PER_ENGINE_MS 2
 #define BUSY_POLL_INTERVAL_MS 200
-/* How soon the next order is tried after an unload was accepted.  The unload
-   of an unused model completes at once, but a report shows that only half a
-   second later; the engine refuses the order while it is still unloading.  */
+/* Interval at which the next order is sent to an engine that has accepted an
+   unload.  The unload of an unused model completes immediately, but a report
+   shows this only half a second later.  While the engine is still unloading,
+   it refuses the order.  */
 #define UNLOAD_PROBE_MS 60
-/* Adapters of 12 MB and 66 MB load from the weights store in 5 ms and
-   14 ms.  */
+/* An adapter is taken as ready this long after the engine accepted its load.
+   Adapters of 12 MB and 66 MB load from the weights store in 5 ms and 14
+   ms.  */
 #define ADAPTER_LOAD_MS 18
 
 void
@@ -80,7 +83,7 @@
   return e->present ? e : NULL;
 }
 
-/* --- items --- */
+/* --- items of an engine --- */
 
 static pu_dispatcher_item_t *
 item_find (const pu_dispatcher_engine_t *e, guint32 item)
@@ -124,7 +127,7 @@
     }
 }
 
-/* --- the queue --- */
+/* --- an engine's queue of orders --- */
 
 static pu_dispatcher_queued_t *
 queue_head (const pu_dispatcher_engine_t *e)
@@ -145,7 +148,7 @@
   return NULL;
 }
 
-/* --- completion of orders --- */
+/* --- results of the order at the head of the queue --- */
 
 static void
 finished_append (pu_dispatcher_t *d, guint32 engine,
@@ -174,7 +177,7 @@
 }
 
 /* Restores the phase of the item of an order that will not be executed.  A
-   phase that a report has set since the order was queued is kept.  */
+   phase that a report has set since the order was queued is not changed.  */
 static void
 order_roll_back (pu_dispatcher_engine_t *e, const pu_dispatcher_order_t *o)
 {
@@ -195,10 +198,11 @@
   order_finish (d, engine, PU_DISPATCHER_ACTION_FAILED);
 }
 
-/* The engine has accepted the load of a model, so the model unloads that it
-   accepted earlier are complete; removes those models.  An adapter's unload
-   waits for running requests concurrently with other orders, so only a report
-   shows that its slot is free.  */
+/* Called when the engine has accepted the load of a model.  All unloads of
+   models that it accepted earlier are then complete, so their models are
+   removed from the items of E.  An adapter's unload waits for running requests
+   while the engine executes other orders, so only a report shows that the
+   adapter's slot is free.  */
 static void
 model_unloads_end (pu_dispatcher_engine_t *e)
 {
@@ -214,8 +218,9 @@
     }
 }
 
-/* The engine is executing the order at the head of the queue.  CERTAIN: the
-   engine answered so; otherwise it is inferred from a report.  */
+/* Records that the engine is executing the order at the head of its queue.
+   CERTAIN: the engine answered that it accepted the order; otherwise the
+   acceptance is inferred from a report.  */
 static void
 order_accepted (pu_dispatcher_t *d, guint32 engine, bool certain, guint64 now)
 {
@@ -226,8 +231,8 @@
   if (o.op == PU_DISPATCHER_LOAD)
     item_set_phase (e, o.item, PU_DISPATCHER_LOADING)->load_accepted_at = now;
   /* An unload waits for the requests that use the model or adapter.  The
-     unload of an unused adapter does not come here: the engine completes it
-     before it answers (see order_completed).  */
+     unload of an unused adapter is handled in order_completed instead: the
+     engine completes it before it answers.  */
   e->busy = e->busy || !o.adapter || o.op == PU_DISPATCHER_UNLOAD;
   if (o.op == PU_DISPATCHER_UNLOAD)
     {
@@ -242,16 +247,16 @@
   order_finish (d, engine, PU_DISPATCHER_ACTION_ACCEPTED);
 }
 
-/* The engine is already in the state that the order at the head of the queue
-   asks for, or reached it immediately.  */
+/* Records that the engine is in the state that the order at the head of its
+   queue asks for: it was already, or it reached the state immediately.  */
 static void
 order_completed (pu_dispatcher_t *d, guint32 engine, guint64 now)
 {
   pu_dispatcher_engine_t *e = pu_dispatcher_engine_at (d, engine);
   pu_dispatcher_order_t o = queue_head (e)->order;
 
-  /* The engine unloads an unused adapter immediately and counts that order
-     as accepted.  It does not count an order that changes nothing.  */
+  /* The engine unloads an unused adapter immediately and counts that unload as
+     an accepted order.  It does not count an order that changes nothing.  */
   if (o.op == PU_DISPATCHER_UNLOAD && o.adapter)
     {
       e->accepted++;
@@ -268,7 +273,7 @@
   order_finish (d, engine, PU_DISPATCHER_ACTION_ACCEPTED);
 }
 
-/* --- engines --- */
+/* --- adding and removing engines, queueing orders, answers --- */
 
 void
 pu_dispatcher_add_engine (pu_dispatcher_t *d, guint32 engine, guint64 now)
@@ -299,10 +304,11 @@
   d->n_present--;
 }
 
-/* The position at which an adapter's order is inserted: after the order that
-   may have been sent and the adapter orders that follow it, ahead of orders
-   for models, because an adapter loads quickly and a request is waiting for
-   it.  NULL: the end of the queue.  */
+/* The queued order before which a new order for an adapter is inserted; NULL:
+   the end of the queue.  The new order comes after the head if that may have
+   been sent, and after the adapter orders that follow, but ahead of orders for
+   models, because an adapter loads quickly and a request is waiting for
+   it.  */
 static GList *
 adapter_queue_end (const pu_dispatcher_engine_t *e)
 {
@@ -361,8 +367,8 @@
   g_free (o);
 }
 
-/* The engine is executing another order, or its count of accepted orders
-   differs from the expected count.  */
+/* Handles the answer that the engine is executing another order, or that its
+   count of accepted orders differs from the expected count.  */
 static void
 order_conflict (pu_dispatcher_t *d, guint32 engine, guint64 now)
 {
@@ -370,8 +376,9 @@
 
   if (e->busy)
     {
-      /* The earlier unload still waits for running requests.  That is not a
-         failure of this order, so its conflict time-out starts again.  */
+      /* An unload that was accepted earlier still waits for running requests.
+         The order at the head of the queue has not failed, so its conflict
+         time-out starts again.  */
       e->probe_at = now + d->options.unload_probe_ms;
       e->first_sent_order = NULL;
       e->head_sent = e->outcome_unknown;
@@ -427,7 +434,7 @@
     }
 }
 
-/* --- reports --- */
+/* --- reports of engines --- */
 
 static bool
 list_contains (const guint32 *list, guint n, guint32 item)
@@ -458,8 +465,8 @@
   return report_lists (r, o->item) || (r->busy && !o->adapter);
 }
 
-/* Removes the items that R does not list, except those with a queued order
-   and those whose load may be what the engine is executing.  */
+/* Removes the items that R does not list, except items with a queued order and
+   items whose load the engine may be executing.  */
 static void
 unlisted_items_remove (pu_dispatcher_engine_t *e,
                        const pu_dispatcher_report_t *r)
@@ -499,8 +506,9 @@
     }
 }
 
-/* The engine has accepted more orders than this dispatcher has counted: its
-   own, whose answer was lost, or another leader's.  */
+/* Handles a report R in which the engine has accepted more orders than this
+   dispatcher has counted: an order of this dispatcher whose answer was lost,
+   or orders of another leader.  */
 static void
 accepted_count_apply (pu_dispatcher_t *d, guint32 engine,
                       const pu_dispatcher_report_t *r, guint64 now)
@@ -517,8 +525,9 @@
     }
   else
     {
-      /* The engine can no longer accept the order with the count that it was
-         sent with; it is sent again with the new count.  */
+      /* The engine can no longer accept the order at the head of the queue
+         with the count that it was sent with.  The order is sent again with
+         the new count.  */
       e->head_sent = false;
       e->outcome_unknown = false;
     }
@@ -583,7 +592,7 @@
   e->fetch_at = MIN (e->fetch_at, now + d->options.report_lag_ms);
 }
 
-/* --- steps --- */
+/* --- the actions that are due --- */
 
 static void
 head_send (pu_dispatcher_t *d, guint32 engine, pu_dispatcher_admit_fn *admit,
@@ -640,8 +649,8 @@
   g_array_append_val (actions, a);
 }
 
-/* Marks adapters as ready once the usual load time has passed since the
-   engine accepted them.  */
+/* Marks an adapter as ready once the usual load time has passed since the
+   engine accepted the adapter's load.  */
 static void
 adapters_mark_ready (const pu_dispatcher_t *d, pu_dispatcher_engine_t *e,
                      guint64 now)
@@ -695,7 +704,7 @@
   finished_flush (d, actions);
 }
 
-/* --- queries --- */
+/* --- queries of the known state --- */
 
 const pu_dispatcher_item_t *
 pu_dispatcher_items (const pu_dispatcher_t *d, guint32 engine, guint *n)
--- a/libplantainusher/placement/dispatcher.h
+++ b/libplantainusher/placement/dispatcher.h
@@ -9,8 +9,8 @@
 /*
  * dispatcher - sends load and unload orders to engines by compare-and-set.
  *
- * Each engine counts the orders it accepts and refuses an order that expects
- * another count.
+ * Each engine counts the orders that it accepts, and refuses an order that was
+ * sent with another count.
  *
  * The dispatcher does no I/O and reads no clock.  `now` is monotonic
  * milliseconds.
@@ -18,11 +18,10 @@
  * An engine's report lists the items it holds and the number of orders it had
  * accepted by then.  An order that expects this number is executed only if no
  * other order was accepted since.  A sender that knows one report therefore
- * cannot order more than fits, even if earlier orders, its own or another
- * sender's, were lost, duplicated or delayed; no order has to be kept in the
- * log.  An order without an answer is sent again with the same number, so at
- * most one of the two is executed.  Orders to one engine are sent one at a
- * time.
+ * cannot order more than fits, even if earlier orders of any sender were lost,
+ * duplicated or delayed.  No order has to be written to the replicated log.  An
+ * order without an answer is sent again with the same number, so the engine
+ * executes it at most once.  Orders to one engine are sent one at a time.
  *
  * Items are models and adapters.  Items and engines are identified by small
  * integer handles that the caller assigns.  An engine handle identifies one
@@ -35,21 +34,24 @@
 {
   guint64 report_lag_ms;         /* a report requested within this time of a
                                     change may not show the change */
-  guint64 answer_timeout_ms;     /* an order without an answer is sent again */
-  guint64 conflict_timeout_ms;   /* an order that gets a conflict this long
-                                    after it was first sent fails */
-  guint64 retry_backoff_ms;      /* after a conflict or a lost answer, before
-                                    the next send */
+  guint64 answer_timeout_ms;     /* an order without an answer for this time is
+                                    sent again */
+  guint64 conflict_timeout_ms;   /* an order fails when the engine answers it
+                                    with a conflict this time or more after it
+                                    was first sent */
+  guint64 retry_backoff_ms;      /* time from a conflict or a lost answer until
+                                    the order may be sent again */
   guint64 poll_interval_ms;      /* interval between reports of an engine */
-  guint64 poll_per_engine_ms;    /* the interval is at least this times the
-                                    number of engines, as one leader polls all
-                                    of them */
-  guint64 busy_poll_interval_ms; /* interval while an order is executed, and
-                                    after a failed fetch */
+  guint64 poll_per_engine_ms;    /* poll_interval_ms is raised to at least this
+                                    times the number of engines, as one leader
+                                    polls all of them */
+  guint64 busy_poll_interval_ms; /* interval between reports of an engine while
+                                    it executes an order, and after a failed
+                                    fetch */
   guint64 adapter_load_ms;       /* time from the acceptance of an adapter's
                                     load until it is ready */
-  guint64 unload_probe_ms;       /* after an unload was accepted, interval of
-                                    the attempts to send the next order */
+  guint64 unload_probe_ms;       /* interval of the attempts to send the next
+                                    order after an unload was accepted */
 } pu_dispatcher_options_t;
 
 void pu_dispatcher_options_init (pu_dispatcher_options_t *o);
@@ -72,35 +74,36 @@
 } pu_dispatcher_order_t;
 
 /* pu_dispatcher_add_engine - adds ENGINE, which takes no orders until its
-   first report.  No effect when it was added already.  */
+   first report.  No effect when ENGINE was added already.  */
 void pu_dispatcher_add_engine (pu_dispatcher_t *d, guint32 engine,
                                guint64 now);
 
 /* pu_dispatcher_remove_engine - removes ENGINE; its orders fail.  */
 void pu_dispatcher_remove_engine (pu_dispatcher_t *d, guint32 engine);
 
-/* pu_dispatcher_set_item_memory - the model ITEM takes MEMORY_MB of an
-   engine's memory; 0: unknown or not counted.  */
+/* pu_dispatcher_set_item_memory - records that the model ITEM takes MEMORY_MB
+   of an engine's memory; 0: unknown or not counted.  */
 void pu_dispatcher_set_item_memory (pu_dispatcher_t *d, guint32 item,
                                     guint32 memory_mb);
 
-/* pu_dispatcher_set_adapter - ITEM is an adapter: it takes one of an engine's
-   adapter slots, whose memory is reserved, and no other memory.  */
+/* pu_dispatcher_set_adapter - records that ITEM is an adapter: it takes one of
+   an engine's adapter slots, whose memory is reserved, and no other
+   memory.  */
 void pu_dispatcher_set_adapter (pu_dispatcher_t *d, guint32 item);
 
-/* pu_dispatcher_set_capacity - ENGINE has CAPACITY_MB of memory for models; 0:
-   no limit.  */
+/* pu_dispatcher_set_capacity - records that ENGINE has CAPACITY_MB of memory
+   for models; 0: no limit.  */
 void pu_dispatcher_set_capacity (pu_dispatcher_t *d, guint32 engine,
                                  guint32 capacity_mb);
 
-/* pu_dispatcher_set_adapter_slots - ENGINE has SLOTS adapter slots; 0: no
-   limit.  */
+/* pu_dispatcher_set_adapter_slots - records that ENGINE has SLOTS adapter
+   slots; 0: no limit.  */
 void pu_dispatcher_set_adapter_slots (pu_dispatcher_t *d, guint32 engine,
                                       guint slots);
 
 /* pu_dispatcher_enqueue - queues O for ENGINE.  False when an order for the
-   same item is queued or sent, when a load's item is at the engine already or
-   an unload's is not, or when ENGINE takes no orders
+   same item is queued or sent, when O loads an item that ENGINE holds already
+   or unloads one that it does not hold, or when ENGINE takes no orders
    (pu_dispatcher_accepts_orders).  */
 bool pu_dispatcher_enqueue (pu_dispatcher_t *d, guint32 engine,
                             const pu_dispatcher_order_t *o, guint64 now);
@@ -112,7 +115,8 @@
 typedef enum
 {
   PU_DISPATCHER_ACCEPTED,    /* the engine is executing the order */
-  PU_DISPATCHER_COMPLETED,   /* the engine is in the requested state */
+  PU_DISPATCHER_COMPLETED,   /* the engine is in the state that the order asks
+                                for */
   PU_DISPATCHER_CONFLICT,    /* the engine's count differs, or it is executing
                                 another order */
   PU_DISPATCHER_FENCED,      /* a later leader has sent orders to the engine */
@@ -121,37 +125,38 @@
   PU_DISPATCHER_NO_ANSWER    /* no answer: the outcome is unknown */
 } pu_dispatcher_answer_t;
 
-/* pu_dispatcher_handle_answer - A is the answer of ENGINE to the order that
-   was sent to it last.  */
+/* pu_dispatcher_handle_answer - handles A, the answer of ENGINE to the order
+   that was sent to ENGINE last.  */
 void pu_dispatcher_handle_answer (pu_dispatcher_t *d, guint32 engine,
                                   pu_dispatcher_answer_t a, guint64 now);
 
-/* An engine's report; the lists are borrowed.  */
+/* An engine's report; the lists belong to the caller.  */
 typedef struct
 {
   guint64 accepted;      /* number of orders accepted so far */
   bool busy;             /* an order is being executed */
-  const guint32 *loaded; /* models and adapters */
+  const guint32 *loaded; /* models and adapters that the engine holds */
   guint n_loaded;
   const guint32 *loading; /* adapters being loaded */
   guint n_loading;
 } pu_dispatcher_report_t;
 
-/* pu_dispatcher_handle_report - R is the report that ENGINE sent in response
-   to a fetch requested at REQUESTED_AT; NULL: the fetch failed.  */
+/* pu_dispatcher_handle_report - handles R, the report that ENGINE sent in
+   response to a fetch requested at REQUESTED_AT.  R is NULL when the fetch
+   failed.  */
 void pu_dispatcher_handle_report (pu_dispatcher_t *d, guint32 engine,
                                   const pu_dispatcher_report_t *r,
                                   guint64 requested_at, guint64 now);
 
-/* pu_dispatcher_mark_loaded - ENGINE holds ITEM according to a source other
-   than a fetched report; ends the load of ITEM.  */
+/* pu_dispatcher_mark_loaded - records that ENGINE holds ITEM, as known from
+   another source than a fetched report, and ends the load of ITEM.  */
 void pu_dispatcher_mark_loaded (pu_dispatcher_t *d, guint32 engine,
                                 guint32 item, guint64 now);
 
 typedef enum
 {
-  PU_DISPATCHER_ACTION_SEND,     /* send the order to the engine and pass
-                                    its answer to pu_dispatcher_handle_answer */
+  PU_DISPATCHER_ACTION_SEND,     /* send the order to the engine; the answer
+                                    goes to pu_dispatcher_handle_answer */
   PU_DISPATCHER_ACTION_FETCH,    /* fetch the engine's report and pass it
                                     to pu_dispatcher_handle_report */
   PU_DISPATCHER_ACTION_ACCEPTED, /* the engine is executing the order or
@@ -186,9 +191,10 @@
 void pu_dispatcher_step (pu_dispatcher_t *d, pu_dispatcher_admit_fn *admit,
                          void *data, guint64 now, GArray *actions);
 
-/* pu_dispatcher_step_engine - as pu_dispatcher_step for ENGINE alone, after a
-   report or an answer from it: with thousands of engines, scanning all of them
-   for each report would be most of the leader's work.  */
+/* pu_dispatcher_step_engine - does the same as pu_dispatcher_step for ENGINE
+   alone.  Called after a report or an answer from ENGINE: with thousands of
+   engines, scanning all of them for each report would be most of the leader's
+   work.  */
 void pu_dispatcher_step_engine (pu_dispatcher_t *d, guint32 engine,
                                 pu_dispatcher_admit_fn *admit, void *data,
                                 guint64 now, GArray *actions);
@@ -212,19 +218,19 @@
                                dispatcher; 0: never */
 } pu_dispatcher_item_t;
 
-/* pu_dispatcher_items - the items that ENGINE holds or may come to hold, with
-   their number in N; borrowed until the next call that changes D.  */
+/* pu_dispatcher_items - returns the items that ENGINE holds or may come to
+   hold, with their number in N; valid until the next call that changes D.  */
 const pu_dispatcher_item_t *pu_dispatcher_items (const pu_dispatcher_t *d,
                                                  guint32 engine, guint *n);
 
-/* pu_dispatcher_phase - the phase of ITEM at ENGINE; PU_DISPATCHER_ABSENT when
-   either is unknown.  */
+/* pu_dispatcher_phase - returns the phase of ITEM at ENGINE;
+   PU_DISPATCHER_ABSENT when either is unknown.  */
 pu_dispatcher_phase_t pu_dispatcher_phase (const pu_dispatcher_t *d,
                                            guint32 engine, guint32 item);
 
 /* pu_dispatcher_accepts_orders - whether ENGINE takes orders of this
-   dispatcher: a report has arrived and no later leader has fenced the engine.
- */
+   dispatcher: a report of it has arrived, and no later leader has sent it an
+   order.  */
 bool pu_dispatcher_accepts_orders (const pu_dispatcher_t *d, guint32 engine);
 
 /* pu_dispatcher_is_busy - whether ENGINE is executing an order for a model or
@@ -232,7 +238,7 @@
 bool pu_dispatcher_is_busy (const pu_dispatcher_t *d, guint32 engine);
 
 /* pu_dispatcher_has_unknown_order - whether ENGINE is executing an order that
-   this dispatcher does not know, so that any item may appear there.  */
+   this dispatcher does not know, so that any item may appear on ENGINE.  */
 bool pu_dispatcher_has_unknown_order (const pu_dispatcher_t *d,
                                       guint32 engine);
 
--- a/libplantainusher/placement/dispatcher_capacity.c
+++ b/libplantainusher/placement/dispatcher_capacity.c
@@ -1,6 +1,7 @@
 #include "placement/dispatcher_private.h"
 
-/* Memory and adapter slots of engines: whether a load fits.  */
+/* Records the memory and the adapter slots of engines, and checks whether a
+   load fits an engine.  */
 
 static pu_dispatcher_item_info_t *
 item_info (pu_dispatcher_t *d, guint32 item)
@@ -57,9 +58,9 @@
       const pu_dispatcher_item_t *t
           = &g_array_index (e->items, pu_dispatcher_item_t, i);
 
-      /* The engine refuses an order while an accepted unload still waits for
-         running requests, so by the time it accepts this load that model's
-         memory is free.  */
+      /* The engine refuses orders while an accepted unload still waits for
+         running requests.  The memory of the model that is being unloaded is
+         therefore free when the engine accepts the load of ITEM.  */
       bool unloaded = e->busy_unloading && t->phase == PU_DISPATCHER_UNLOADING
                       && pu_dispatcher_find_order (e, t->item) == NULL;
 
@@ -70,9 +71,9 @@
                                    : PU_DISPATCHER_FIT_NONE;
 }
 
-/* Whether E has a free slot for the adapter ITEM.  The load waits only for a
-   slot that an accepted unload will free; otherwise it would block all orders
-   queued behind it.  */
+/* Whether E has a free slot for the adapter ITEM.  Without one, the load waits
+   only if an accepted unload will free a slot.  A load that waited for longer
+   would block all orders queued behind it.  */
 static pu_dispatcher_fit_t
 slot_fit (pu_dispatcher_t *d, const pu_dispatcher_engine_t *e, guint32 item)
 {
--- a/libplantainusher/placement/dispatcher_test.cc
+++ b/libplantainusher/placement/dispatcher_test.cc
@@ -277,8 +277,10 @@
   pu_dispatcher_free (d);
 }
 
-/* The engine is executing a load of the previous leader that this dispatcher
-   does not know; the item first appears in a report when it has loaded.  */
+/* The engine is executing a load that the previous leader ordered and this
+   dispatcher does not know.  The loaded item first appears in a report when
+   its load is complete; the load that this dispatcher queued then no longer
+   fits.  */
 TEST (Dispatcher, FailsALoadThatNoLongerFits)
 {
   Dispatcher k (2);
@@ -317,8 +319,9 @@
   Dispatcher k;
 };
 
-/* The first send gets a conflict because the previous leader had sent an
-   order after the report was made; that order filled the slot.  */
+/* The first send of the load gets a conflict because the previous leader sent
+   an order after the engine made its report; that order filled the last free
+   slot.  */
 TEST_F (AdapterSlots, LoadFailsWhenItsSlotIsTakenAfterAConflict)
 {
   k.DeliverReport ({ 4, false, { 1 } }, 0, 10);
@@ -351,7 +354,8 @@
 }
 
 /* While an adapter's unload waits for running requests, the engine may accept
-   an order for a model; that does not mean that the slot is free.  */
+   an order for a model.  This acceptance does not mean that the adapter's slot
+   is free.  */
 TEST_F (AdapterSlots, ModelLoadDoesNotFreeTheSlotOfAnUnloadingAdapter)
 {
   k.DeliverReport ({ 4, false, { 1, 2 } }, 0, 10);
@@ -378,8 +382,8 @@
   EXPECT_TRUE (sent);
 }
 
-/* A load that waited for a slot that nothing frees would block all orders
-   behind it.  */
+/* A load fails when no slot is free and no accepted unload will free one.  If
+   it waited instead, it would block all orders queued behind it.  */
 TEST_F (AdapterSlots, LoadWithoutASlotDoesNotBlockTheQueue)
 {
   k.DeliverReport ({ 4, true, { 1 } }, 0, 10);
@@ -394,9 +398,9 @@
   EXPECT_EQ (a[0].order.op, PU_DISPATCHER_UNLOAD);
 }
 
-/* Another leader loaded the item that this dispatcher has queued, and the
-   engine is full with it.  The failure of the queued load must not remove the
-   item that the report shows.  */
+/* Another leader loaded the item whose load this dispatcher has queued, and
+   the engine's memory is now full.  The failure of the queued load must not
+   remove the item that the report shows.  */
 TEST (Dispatcher, FailedLoadKeepsAReportedItem)
 {
   Dispatcher k (2);
@@ -451,7 +455,7 @@
   EXPECT_FALSE (k.Enqueue (PU_DISPATCHER_LOAD, 2, 40));
 }
 
-/* Simulates one engine and a succession of leaders, of which two at a time may
+/* Simulates one engine and a succession of leaders.  Two of them at a time may
    believe that they lead.  Orders are lost, delayed or duplicated; answers and
    reports are lost or delayed.  */
 struct Simulation
@@ -629,13 +633,14 @@
       }
   }
 
-  /* Without faults, the dispatcher of the last leader converges to the state
-     of the engine.  The result is empty or says what went wrong.  */
+  /* Runs without faults and checks that the dispatcher of the last leader
+     converges to the state of the engine.  Returns an empty string, or the
+     description of the failure.  */
   std::string
   Settle ()
   {
     faults = false;
-    /* Drops the duplicates in transit.  */
+    /* Drops the duplicate orders that are in transit.  */
     sent.erase (
         std::remove_if (sent.begin (), sent.end (),
                         [] (const Sent &s) { return !s.wants_answer; }),
@@ -706,15 +711,16 @@
   return ops;
 }
 
-/* Seeds at which a failed load removed an item that a report had shown.  */
+/* Regression test: with these seeds, a failed load removed an item that a
+   report had shown.  */
 TEST (DispatcherFuzz, FailedLoadKeepsAReportedItem)
 {
   EXPECT_EQ (FindFault (77963, RandomOps (77963, 33)), "");
   EXPECT_EQ (FindFault (76237, RandomOps (76237, 47)), "");
 }
 
-/* Seeds at which another leader's load was taken for the dispatcher's own
-   unload, whose answer was lost.  */
+/* Regression test: with these seeds, another leader's load was taken for an
+   unload that this dispatcher had sent and whose answer was lost.  */
 TEST (DispatcherFuzz, AnotherLeadersLoadIsNotTakenForAnUnload)
 {
   EXPECT_EQ (FindFault (32472, RandomOps (32472, 22)), "");
--- a/libplantainusher/placement/fuzz_test.cc
+++ b/libplantainusher/placement/fuzz_test.cc
@@ -35,8 +35,8 @@
   RC_ASSERT (Run (seed, ops, Breaks ()) == "");
 }
 
-/* The first violation found with the injected faults B, over a fixed range of
-   seeds.  */
+/* The first violation found with the injected faults B, over the seeds 1 to
+   200; empty when there is none.  */
 std::string
 FirstViolation (const Breaks &b)
 {
--- a/libplantainusher/placement/ledger.c
+++ b/libplantainusher/placement/ledger.c
@@ -92,8 +92,8 @@
 }
 
 /* Whether O loads a copy that is reported as loading.  Until the copy is
-   ready it may report less memory than it will take, so the order counts until
-   then.  */
+   ready, less memory may be reported for it than it will take, so O counts
+   until the copy is ready.  */
 static bool
 is_loading (const backend_t *n, const pu_ledger_order_t *o)
 {
@@ -103,8 +103,8 @@
          && h->phase == PU_LEDGER_LOADING;
 }
 
-/* Whether the backend server refuses the order O from now on, and its report
-   includes every effect that O had.  */
+/* Whether the backend server N refuses the order O from now on and its last
+   report includes every effect that O had.  */
 static bool
 is_fenced_off (const pu_ledger_t *l, const backend_t *n,
                const pu_ledger_order_t *o)
@@ -115,7 +115,8 @@
   return (n->fenced || own) && later && !is_loading (n, o);
 }
 
-/* Whether the memory of O is counted.  */
+/* Whether the memory of the order O is counted: O is a load that has not been
+   fenced off.  */
 static bool
 is_counted (const pu_ledger_t *l, const backend_t *n,
             const pu_ledger_order_t *o)
@@ -123,8 +124,8 @@
   return o->kind == PU_LEDGER_LOAD && !is_fenced_off (l, n, o);
 }
 
-/* The memory counted for COPY: the largest of its report and its load orders.
- */
+/* The MB counted for COPY on each accelerator: the largest of the memory
+   reported for it and the memory of its load orders that count.  */
 static guint32
 copy_committed_mb (const pu_ledger_t *l, const backend_t *n, guint32 copy)
 {
@@ -142,8 +143,8 @@
   return largest_mb;
 }
 
-/* Whether the load order at INDEX is the first one that counts for a copy that
-   is not reported, so that each copy is counted once.  */
+/* Whether the order at INDEX is the first counted load of its copy, and the
+   copy is not reported.  With this, committed_mb counts each copy once.  */
 static bool
 is_first_load_of_new_copy (const pu_ledger_t *l, const backend_t *n,
                            guint index)
@@ -232,8 +233,9 @@
     g_array_append_vals (n->copies, r->held, r->n_held);
 }
 
-/* Takes only the additions of the report.  A copy that the report omits stays
-   counted, but not as ready; a copy that was loading stays loading.  */
+/* Adds the copies and the memory of the report R to those known for N, and
+   removes none.  A copy that R omits stays counted, but not as ready.  A copy
+   that was loading stays loading.  */
 static void
 merge_copies (backend_t *n, const pu_ledger_report_t *r)
 {
@@ -319,7 +321,8 @@
   return g_hash_table_remove (l->backends, GUINT_TO_POINTER (backend));
 }
 
-/* The memory that would be counted for N with a load of COPY.  */
+/* The MB that would be counted on each accelerator of N with a load of COPY
+   that takes MEMORY_MB.  */
 static guint64
 committed_with_load_mb (const pu_ledger_t *l, const backend_t *n, guint32 copy,
                         guint32 memory_mb)
--- a/libplantainusher/placement/ledger.h
+++ b/libplantainusher/placement/ledger.h
@@ -33,8 +33,9 @@
  *                   refusal is answered with PU_OUTCOME_CONFLICT.
  *   RELEASE         pu_ledger_release.  When it returns false the record is
  *                   kept and the answer is PU_OUTCOME_REFUSED.
- *   image -> state  pu_ledger_restore_backend for each backend record, then
- *                   pu_ledger_restore_order for each order record.
+ *   image loaded    pu_ledger_restore_backend for each backend record of the
+ *                   image of the state, then pu_ledger_restore_order for each
+ *                   order record.
  *
  * Handles are small integers assigned by the state machine: one for each name
  * of a backend server, one for each pair of model and version.
@@ -54,16 +55,18 @@
  * that checks tokens has not fenced the order off, because an order that has
  * reached a process may wait there for any time.  For a backend server that
  * ignores tokens, the end of the lifetime is the only proof.
- * In both cases a load counts while its copy is reported as loading, because
- * such a copy may report less memory than it will take.
- * An answer, a lost answer, a time-out, a lost lease or a restart is no proof.
+ * Neither a later token nor a RELEASE ends the counting of a load while its
+ * copy is reported as loading, because less memory may be reported for such a
+ * copy than it will take.
+ * An answer, a lost answer, a time-out, a lost lease or a restart is no proof
+ * that an order can no longer take effect.
  * Orders and reports for the same copy are not added up: a backend server
  * holds a copy at most once, so the largest of them counts.
  */
 
 typedef struct pu_ledger pu_ledger_t;
 
-/* The same numbers as pu_copy_phase.  */
+/* The phase of a copy; the same numbers as pu_copy_phase.  */
 typedef enum
 {
   PU_LEDGER_LOADING = 0,
@@ -72,7 +75,7 @@
   PU_LEDGER_UNLOADING = 3
 } pu_ledger_phase_t;
 
-/* The same numbers as pu_order_kind.  */
+/* The kind of an order; the same numbers as pu_order_kind.  */
 typedef enum
 {
   PU_LEDGER_LOAD = 0,
@@ -87,20 +90,22 @@
   pu_ledger_phase_t phase;
 } pu_ledger_copy_t;
 
-/* A report of a backend server; it always lists all copies.  */
+/* A report of a backend server; it always lists all copies in the server's
+   memory.  */
 typedef struct
 {
   guint32 backend;
   guint64 incarnation;
-  guint64 seq;   /* number of the report within the incarnation; a report
-                    whose number is not higher than the last one is stale;
-                    0: not numbered, the sender keeps the order */
+  guint64 seq;   /* number of the report within the incarnation; a report whose
+                    number is not higher than the last one is stale; 0: not
+                    numbered, the sender sends its reports in order */
   guint64 token; /* highest order token that the process has seen */
-  guint32 accelerators; /* their number */
+  guint32 accelerators; /* number of accelerators */
   guint32 memory_mb;    /* memory of each accelerator */
-  bool fenced;          /* checks tokens: refuses an order with an old one */
+  bool fenced;          /* the server checks tokens: it refuses an order with
+                           an earlier token than it has seen */
   bool leaving;
-  const pu_ledger_copy_t *held; /* copies in its memory */
+  const pu_ledger_copy_t *held; /* copies in the server's memory */
   guint n_held;
 } pu_ledger_report_t;
 
@@ -120,9 +125,10 @@
 {
   PU_LEDGER_ACCEPTED, /* the report replaced the known state */
   PU_LEDGER_MERGED,   /* the report has a lower token than an earlier one:
-                         copies and memory that it adds are
-                         applied, omitted copies stay counted */
-  PU_LEDGER_STALE     /* an old incarnation or an old report; ignored */
+                         copies and memory that it adds are applied, the copies
+                         that it omits stay counted */
+  PU_LEDGER_STALE     /* the report is of an old incarnation or has an old
+                         number; it was ignored */
 } pu_ledger_report_result_t;
 
 /* Faults that tests inject to show that their checks can fail.  */
@@ -130,7 +136,7 @@
 {
   PU_LEDGER_BREAK_NONE = 0,
   PU_LEDGER_BREAK_NO_MEMORY_CHECK
-  = 1, /* reserve without a check of the memory */
+  = 1, /* orders are reserved without a check of the memory */
   PU_LEDGER_BREAK_OWN_TOKEN_FENCES
   = 2, /* an order's own token fences it off */
   PU_LEDGER_BREAK_DOWN_CLOSES_ORDERS
@@ -142,7 +148,7 @@
   guint test_breaks; /* pu_ledger_break_t; 0 outside tests */
 } pu_ledger_options_t;
 
-/* pu_ledger_new - an empty ledger; O may be NULL.  */
+/* pu_ledger_new - creates an empty ledger; O may be NULL.  */
 pu_ledger_t *pu_ledger_new (const pu_ledger_options_t *o);
 void pu_ledger_free (pu_ledger_t *l);
 
@@ -153,34 +159,37 @@
                                                 const pu_ledger_report_t *r,
                                                 GArray *closed);
 
-/* pu_ledger_backend_down - the lease of BACKEND has expired.  Reservations for
-   it are refused until its next report; its memory and open orders stay
-   counted.  False when BACKEND is unknown or known by another incarnation.  */
+/* pu_ledger_backend_down - records that the lease of BACKEND has expired.
+   Reservations for it are refused until its next report; its memory and open
+   orders stay counted.  False when BACKEND is unknown or known by another
+   incarnation.  */
 bool pu_ledger_backend_down (pu_ledger_t *l, guint32 backend,
                              guint64 incarnation);
 
-/* pu_ledger_backend_leaving - load orders for BACKEND are refused from now on.
-   False as for pu_ledger_backend_down.  */
+/* pu_ledger_backend_leaving - records that BACKEND is leaving: load orders for
+   it are refused from now on.  False when BACKEND is unknown or known by
+   another incarnation.  */
 bool pu_ledger_backend_leaving (pu_ledger_t *l, guint32 backend,
                                 guint64 incarnation);
 
 /* pu_ledger_remove_backend - removes BACKEND, whose name will not be used
-   again. False when it is unknown, not down or has open orders.  */
+   again.  False when BACKEND is unknown, is not down or has open orders.  */
 bool pu_ledger_remove_backend (pu_ledger_t *l, guint32 backend);
 
 /* pu_ledger_reserve - opens the order O and counts its memory.  No effect when
-   an order with its token is open.  Errors: PU_ERROR_NOT_FOUND (the backend
-   server is unknown or down), PU_ERROR_CONFLICT (another incarnation, leaving,
-   or not enough memory; the message then gives the sum), PU_ERROR_INVALID
-   (token 0).  */
+   an order with the same token is open.  Errors: PU_ERROR_NOT_FOUND (the
+   backend server is unknown or down), PU_ERROR_CONFLICT (another incarnation,
+   leaving, or not enough memory; the message then gives the sum),
+   PU_ERROR_INVALID (token 0).  */
 bool pu_ledger_reserve (pu_ledger_t *l, const pu_ledger_order_t *o,
                         pu_error_t *e);
 
 /* pu_ledger_release - closes the order TOKEN, whose lifetime has ended; the
-   caller guarantees that (see the head of this file).
-   False when no such order is open, or when it must stay open: its copy is
-   loading, or a backend server that checks tokens has not fenced it off.  The
-   caller then keeps the record and releases the order again later.  */
+   caller guarantees that the lifetime has ended (see the head of this file).
+   False when no such order is open, or when the order must stay open because
+   its copy is loading or a backend server that checks tokens has not fenced it
+   off.  The caller then keeps the record and tries to release the order again
+   later.  */
 bool pu_ledger_release (pu_ledger_t *l, guint64 token);
 
 /* pu_ledger_restore_backend, pu_ledger_restore_order - rebuild a ledger from
@@ -196,26 +205,26 @@
 bool pu_ledger_get_backend (const pu_ledger_t *l, guint32 backend,
                             pu_ledger_report_t *r, bool *down);
 
-/* pu_ledger_committed_mb - MB counted on each accelerator of BACKEND; 0 when
-   it is unknown.  */
+/* pu_ledger_committed_mb - returns the MB counted on each accelerator of
+   BACKEND; 0 when BACKEND is unknown.  */
 guint64 pu_ledger_committed_mb (const pu_ledger_t *l, guint32 backend);
 
-/* pu_ledger_free_mb - MB that a new copy may take on each accelerator; 0 when
-   BACKEND is unknown, down, leaving or overcommitted.  */
+/* pu_ledger_free_mb - returns the MB that a new copy may take on each
+   accelerator; 0 when BACKEND is unknown, down, leaving or overcommitted.  */
 guint64 pu_ledger_free_mb (const pu_ledger_t *l, guint32 backend);
 
 /* pu_ledger_fits - whether BACKEND is up, not leaving and has memory for a
-   load of COPY with MEMORY_MB; memory already counted for COPY is not counted
-   twice.  */
+   load of COPY with MEMORY_MB; memory that is already counted for COPY is not
+   counted twice.  */
 bool pu_ledger_fits (const pu_ledger_t *l, guint32 backend, guint32 copy,
                      guint32 memory_mb);
 
-/* pu_ledger_get_order - the open order TOKEN, or NULL.  */
+/* pu_ledger_get_order - returns the open order TOKEN, or NULL.  */
 const pu_ledger_order_t *pu_ledger_get_order (const pu_ledger_t *l,
                                               guint64 token);
 
-/* pu_ledger_orders - the open orders by ascending token, as a new array of
-   pu_ledger_order_t that the caller frees with g_array_unref.  */
+/* pu_ledger_orders - returns the open orders by ascending token, as a new
+   array of pu_ledger_order_t that the caller frees with g_array_unref.  */
 GArray *pu_ledger_orders (const pu_ledger_t *l);
 
 G_END_DECLS
--- a/libplantainusher/placement/orders.c
+++ b/libplantainusher/placement/orders.c
@@ -16,8 +16,9 @@
 #define DEFAULT_MAX_STORE_LOADS 3
 #define RELEASE_RETRY_MS 1000
 #define BACKOFF_DOUBLINGS 8
-/* Retry intervals that an order to a token-checking engine waits for the
-   acknowledgement of an earlier one.  */
+/* Number of retry intervals (retry_ms), counted from the proposal of an order,
+   for which later orders to the same token-checking engine wait for the
+   acknowledgement of that order.  */
 #define ACK_WAIT_RETRIES 2
 
 typedef struct
@@ -42,8 +43,10 @@
   GHashTable *backoffs; /* backend and copy -> backoff_t */
   GHashTable *servers;  /* backend -> server_t */
   guint32 last_id;
-  guint64 inherited_until; /* expiry of orders of the previous leader, ms */
-  double load_credit;      /* token bucket of loads_per_s; a load takes 1 */
+  guint64 inherited_until; /* when the orders of the previous leader expire,
+                              ms */
+  double load_credit;      /* token bucket filled at loads_per_s; proposing a
+                              load takes 1 */
   guint64 load_credit_at;  /* when load_credit was last refilled, ms */
 };
 
@@ -194,7 +197,7 @@
   r->state_since = now;
 }
 
-/* Whether the order is past the queue and neither done nor failed.  */
+/* Whether the order R has been proposed and is neither done nor failed.  */
 static bool
 in_flight (const pu_orders_order_t *r)
 {
@@ -271,7 +274,8 @@
 }
 
 /* Whether the existing order R forbids a new order W.  On an engine that
-   ignores tokens, an unload that arrives late could undo a later load.  */
+   ignores tokens, a delivery of an earlier unload that arrives late could undo
+   a later load.  */
 static bool
 conflicts (const pu_orders_order_t *r, const pu_orders_spec_t *w)
 {
@@ -359,7 +363,8 @@
   return NULL;
 }
 
-/* Advances the order R by a report of the same incarnation.  */
+/* Advances the state of the order R by a report of the engine process that R
+   is for.  */
 static void
 apply_report (pu_orders_t *o, pu_orders_order_t *r,
               const pu_ledger_report_t *report, guint64 now)
@@ -399,8 +404,9 @@
   return v;
 }
 
-/* Fails R, whose engine process is gone or unreachable, so that it is not sent
-   any more.  A proposed order waits for the result of its reservation.  */
+/* Fails the order R, whose engine process is gone or unreachable, so that R is
+   not sent any more.  A proposed order is left as it is until the result of
+   its reservation is known.  */
 static void
 stop_sending (pu_orders_order_t *r, guint64 now)
 {
@@ -459,8 +465,8 @@
 
   if (r == NULL)
     return;
-  /* An acknowledged order may still be running on the engine: keep it, to
-     track the result.  */
+  /* An acknowledged order may still be executing on the engine, so it stays in
+     the list until its result is known.  */
   if (r->state == PU_ORDERS_ACKED)
     {
       r->next_release_at = G_MAXUINT64;
@@ -520,8 +526,8 @@
   return n;
 }
 
-/* Token bucket for the store's rate limit; its capacity is the loads of one
-   second, and at least one load.  */
+/* Refills the token bucket for the weights store's limit on loads per second.
+   The bucket holds at most the loads of one second, but at least one load.  */
 static void
 refill_load_credit (pu_orders_t *o, guint64 now)
 {
@@ -604,7 +610,8 @@
   return v != NULL ? v->fenced : r->spec.fenced;
 }
 
-/* Whether the engine has reported a later token.  */
+/* Whether the engine that R is for checks tokens and has reported a later
+   token than that of R.  */
 static bool
 fenced_off (const pu_orders_t *o, const pu_orders_order_t *r)
 {
@@ -614,8 +621,9 @@
          && r->token < v->token;
 }
 
-/* Whether a load was acknowledged but its copy is absent, although the engine
-   has reported the order's token or has had report_ms to report the copy.  */
+/* Whether R is an acknowledged load whose copy is absent, although the engine
+   has reported the token of R or a later one, or has had report_ms to report
+   the copy.  */
 static bool
 acked_but_absent (const pu_orders_t *o, const pu_orders_order_t *r,
                   guint64 now)
@@ -630,11 +638,12 @@
   return v->token >= r->token || now >= r->state_since + o->o.report_ms;
 }
 
-/* Whether the order has failed: it was not acknowledged within its lifetime
-   (when inherited, for an engine that checks tokens: within report_ms), it was
-   acknowledged but not completed in time, it was acknowledged but its copy is
-   absent, or the engine has reported a later token and not the order's
-   copy.  */
+/* Whether the order R has failed for one of these reasons: it was not
+   acknowledged within its lifetime, or within report_ms when it is inherited
+   and its engine checks tokens; it was acknowledged but not completed within
+   load_timeout_ms or unload_timeout_ms; it is an acknowledged load whose copy
+   is absent; or the engine has reported a later token and not the copy of
+   R.  */
 static bool
 has_failed (const pu_orders_t *o, const pu_orders_order_t *r, guint64 now)
 {
@@ -649,8 +658,9 @@
     {
     case PU_ORDERS_RESERVED:
     case PU_ORDERS_SENT:
-      /* An inherited order shows in a report within report_ms; otherwise it
-         fails now, so that it can be fenced off.  */
+      /* The effect of an inherited order shows in a report within report_ms.
+         If none has shown by then, the order fails, so that it can be fenced
+         off.  */
       if (r->inherited && checks_tokens (o, r))
         return now >= r->state_since + o->o.report_ms;
       return now >= r->expires_at;
@@ -681,7 +691,8 @@
     }
 }
 
-/* Whether the ledger accepts a RELEASE of R after its lifetime.  */
+/* Whether the ledger accepts a RELEASE of R after the lifetime of R has
+   ended.  */
 static bool
 may_release (const pu_orders_t *o, const pu_orders_order_t *r)
 {
@@ -717,9 +728,10 @@
   add_action (actions, PU_ORDERS_ACTION_RELEASE, r);
 }
 
-/* Requests a later token where a delayed or duplicate delivery of R could
-   still take effect: a load whose copy is absent keeps its memory reserved,
-   and a failed unload could still remove the copy that is there.  */
+/* Requests another order, with a later token, when a delayed or duplicate
+   delivery of R could still take effect: a load whose copy is absent keeps its
+   memory reserved, and a failed unload could still remove the copy, which is
+   present.  */
 static void
 fence_order (pu_orders_t *o, const pu_orders_order_t *r, GArray *actions)
 {
--- a/libplantainusher/placement/orders.h
+++ b/libplantainusher/placement/orders.h
@@ -11,7 +11,7 @@
 /*
  * orders - the load and unload orders of the leader and their state.
  *
- * Pure: no I/O, no clock.  `now` is monotonic milliseconds.
+ * The functions do no I/O and read no clock.  `now` is monotonic milliseconds.
  *
  * An order is queued, reserved in the log (its log position is its fencing
  * token), sent, acknowledged, and done when the engine's report shows it:
@@ -23,30 +23,31 @@
  * closed.  The states DONE and FAILED do not free its memory.
  *
  * Engines that check tokens.  A load counts until the engine reports a later
- * token.  Elapsed time is no proof, since an order that has reached the engine
- * may wait there for any time.  Where an order that has ended could still take
- * effect, PU_ORDERS_ACTION_FENCE requests another order for the same copy,
- * which has a later token.
+ * token.  Elapsed time does not prove that the load has no later effect, since
+ * an order that has reached the engine may wait in it for any time.  When an
+ * order that has ended could still take effect, PU_ORDERS_ACTION_FENCE
+ * requests another order for the same copy, which has a later token.
  *
  * Engines that ignore tokens.  An order ends by RELEASE at the end of its
  * lifetime.  It may be sent, and sent again, until `send_ms` after it was
- * proposed.  A message takes effect within `transit_ms` or never.  Its effect
- * is in the ledger within `report_ms`, or the engine's lease is lost.  The
- * lifetime is the sum of the three, counted from the proposal, so an order
- * that is sent late cannot take effect after it.  Senders and reporters must
- * keep to these limits: each send uses a new connection, which is reset at the
- * end of the transit time; a report older than `report_ms` is dropped and
- * never proposed.
+ * proposed.  An order that was sent takes effect within `transit_ms` or never.
+ * The effect is in the ledger within `report_ms`, or the engine's lease is
+ * lost.  The lifetime is the sum of the three, counted from the proposal, so
+ * an order that is sent late cannot take effect after its lifetime.  Senders
+ * and reporters must keep to these limits: each send uses a new connection,
+ * which is reset at the end of the transit time; a report older than
+ * `report_ms` is dropped and never proposed.
  *
- * Take-over.  A new leader does not know when the previous one last sent, only
- * that this was while the previous one held its lease.  Orders that the new
- * leader finds in the log therefore live for `lease_ms` plus one full lifetime
- * after the take-over.  For that time the new leader orders no loads on the
- * engines that these orders are for and that ignore tokens.  An engine without
- * an open order in the log has none in flight: each order, load or unload, is
- * in the log before it is sent, and stays open until the end of its lifetime.
- * Create a new pu_orders_t at each take-over, when the log is applied up to
- * the new term, and adopt the open orders of the replicated state.
+ * Take-over.  A new leader does not know when the previous one last sent an
+ * order, only that the previous leader held its lease then.  Orders that the
+ * new leader finds in the log therefore live for `lease_ms` plus one full
+ * lifetime after the take-over.  For that time the new leader orders no loads
+ * on the engines that these orders are for and that ignore tokens.  An engine
+ * without an open order in the log has none in flight: each order, load or
+ * unload, is in the log before it is sent, and stays open until the end of its
+ * lifetime.  Create a new pu_orders_t at each take-over, when the log is
+ * applied up to the new term, and adopt the open orders of the replicated
+ * state.
  *
  * Limits.  Proposals wait for the weights store's limits on loads per second
  * and on concurrent loads, and for the limit on orders in flight to one
@@ -68,7 +69,7 @@
   PU_ORDERS_FAILED
 } pu_orders_state_t;
 
-/* The engine's answer to an order, by HTTP status.  */
+/* The engine's answer to an order; the numbers below are HTTP statuses.  */
 typedef enum
 {
   PU_ORDERS_ACCEPTED,    /* 202 */
@@ -95,9 +96,9 @@
 {
   guint32 id; /* unique within the pu_orders_t; never 0 */
   pu_orders_state_t state;
-  pu_orders_spec_t spec; /* its reason is owned by the order */
+  pu_orders_spec_t spec; /* spec.reason is owned by the order */
   guint64 token;         /* 0 until the order is reserved */
-  bool inherited;        /* from the previous leader */
+  bool inherited;        /* adopted from the previous leader */
   bool ever_sent;
   bool answer_lost;   /* at least one send had no answer */
   bool copy_reported; /* the last report lists the copy */
@@ -105,20 +106,21 @@
   guint32 tries;
   guint64 proposed_at;
   guint64 last_sent_at;
-  guint64 send_deadline;   /* not sent from then on */
-  guint64 expires_at;      /* cannot take effect after this */
-  guint64 state_since;     /* last change of state */
-  guint64 next_release_at; /* when RELEASE may be proposed again; G_MAXUINT64
-                              when the ledger has closed the order */
+  guint64 send_deadline;   /* the order is not sent from then on */
+  guint64 expires_at;      /* the order cannot take effect after this */
+  guint64 state_since;     /* time of the last change of state */
+  guint64 next_release_at; /* when RELEASE of the order may be proposed again;
+                              G_MAXUINT64 when the ledger has closed the
+                              order */
 } pu_orders_order_t;
 
 typedef enum
 {
-  PU_ORDERS_ACTION_RESERVE, /* propose RESERVE; answer by
+  PU_ORDERS_ACTION_RESERVE, /* propose RESERVE and pass the result to
                                pu_orders_handle_reserved */
-  PU_ORDERS_ACTION_SEND,    /* send to the engine; answer by
-                               pu_orders_handle_answer */
-  PU_ORDERS_ACTION_RELEASE, /* propose RELEASE: the lifetime is over */
+  PU_ORDERS_ACTION_SEND,    /* send the order to the engine and pass its answer
+                               to pu_orders_handle_answer */
+  PU_ORDERS_ACTION_RELEASE, /* propose RELEASE, as the lifetime is over */
   PU_ORDERS_ACTION_FENCE,   /* queue another order for the same copy,
                                whose later token fences this one off */
   PU_ORDERS_ACTION_FAIL     /* the order failed; for information only */
@@ -127,45 +129,59 @@
 typedef struct
 {
   pu_orders_action_kind_t kind;
-  pu_orders_order_t order; /* a snapshot */
+  pu_orders_order_t order; /* the order as it was when the action was
+                              appended */
 } pu_orders_action_t;
 
-/* Deliberate faults for the tests that show the checks can fail.  */
+/* Faults that tests inject to show that their checks can fail.  */
 typedef enum
 {
   PU_ORDERS_BREAK_NONE = 0,
-  PU_ORDERS_BREAK_RELEASE_ON_LOST_ANSWER = 1, /* release on a lost answer */
+  PU_ORDERS_BREAK_RELEASE_ON_LOST_ANSWER = 1, /* an order is released when its
+                                                 answer is lost */
   PU_ORDERS_BREAK_RELEASE_ON_TIMEOUT
-  = 2, /* release on a timeout, although the order may still take effect */
-  PU_ORDERS_BREAK_NO_TAKEOVER_WAIT = 4, /* a new leader does not wait */
-  PU_ORDERS_BREAK_SEND_UNRESERVED = 8   /* sent before it is reserved */
+  = 2, /* an order is released on a timeout, although it may still take
+          effect */
+  PU_ORDERS_BREAK_NO_TAKEOVER_WAIT = 4, /* a new leader does not wait until the
+                                           orders of the previous leader have
+                                           expired */
+  PU_ORDERS_BREAK_SEND_UNRESERVED = 8   /* an order is sent before it is
+                                           reserved */
 } pu_orders_break_t;
 
 typedef struct
 {
-  guint64 lease_ms;          /* lease of a leader */
-  guint64 send_ms;           /* from the proposal to the last send */
-  guint64 transit_ms;        /* from a send until it takes effect, or never */
-  guint64 report_ms;         /* from a change on an engine until the report of
-                                it is applied */
-  guint64 retry_ms;          /* between two sends of the same order */
-  guint64 load_timeout_ms;   /* from acknowledged to ready, else failed */
-  guint64 unload_timeout_ms; /* from acknowledged to gone, else failed; long,
-                                since a drain may take long */
-  guint64 queue_timeout_ms;  /* queued but not proposed, then dropped */
-  guint64 backoff_ms;        /* after the first failure; doubles with each */
+  guint64 lease_ms;          /* duration of a leader's lease */
+  guint64 send_ms;           /* longest time from the proposal of an order to
+                                its last send */
+  guint64 transit_ms;        /* an order that was sent takes effect within this
+                                time, or never */
+  guint64 report_ms;         /* longest time from a change on an engine until
+                                the ledger has applied the report of it */
+  guint64 retry_ms;          /* time between two sends of the same order */
+  guint64 load_timeout_ms;   /* time from acknowledged to ready; a load that
+                                takes longer fails */
+  guint64 unload_timeout_ms; /* time from acknowledged until the copy is gone;
+                                an unload that takes longer fails; long, since
+                                running requests may take long */
+  guint64 queue_timeout_ms;  /* an order that is queued for this time without
+                                being proposed is dropped */
+  guint64 backoff_ms;        /* wait after the first failure of a copy; doubles
+                                with each failure */
   guint64 backoff_max_ms;
-  guint max_orders_per_engine; /* orders in flight to one engine */
-  double loads_per_s;          /* rate limit of the weights store */
-  guint max_store_loads; /* concurrent loads that the store serves at full
-                          speed */
+  guint max_orders_per_engine; /* maximum number of orders in flight to one
+                                  engine */
+  double loads_per_s;          /* the weights store's limit on loads per
+                                  second */
+  guint max_store_loads; /* number of concurrent loads that the weights store
+                            serves at full speed */
   guint test_breaks;     /* pu_orders_break_t; 0 outside tests */
 } pu_orders_options_t;
 
 void pu_orders_options_init (pu_orders_options_t *o);
 
-/* pu_orders_life_ms - the lifetime of an order, `life_ms` of the order records
-   in the log.  */
+/* pu_orders_life_ms - returns the lifetime of an order, which is `life_ms` of
+   the order records in the log.  */
 guint64 pu_orders_life_ms (const pu_orders_options_t *o);
 
 /* pu_orders_new - creates the orders of a leader that took over at NOW.  */
@@ -176,8 +192,8 @@
 void pu_orders_set_store_limits (pu_orders_t *o, double loads_per_s,
                                  guint max_store_loads);
 
-/* pu_orders_adopt - takes over an order that the replicated state has as
-   open.  FENCED: its engine checks tokens.  */
+/* pu_orders_adopt - takes over an order that is open in the replicated state.
+   FENCED: its engine checks tokens.  */
 void pu_orders_adopt (pu_orders_t *o, const pu_ledger_order_t *open,
                       bool fenced, guint64 now);
 
@@ -193,13 +209,14 @@
 
 /* pu_orders_enqueue - queues an order.  Returns its id, or 0 when it is
    refused: it conflicts with another order for the same copy on the same
-   backend server, the back-off after failures of that copy there is not over,
-   or pu_orders_may_load forbids the load.  */
+   backend server, the back-off after failures of that copy on that backend
+   server is not over, or pu_orders_may_load forbids the load.  */
 guint32 pu_orders_enqueue (pu_orders_t *o, const pu_orders_spec_t *w,
                            guint64 now);
 
-/* pu_orders_handle_reserved - handles the result of RESERVE for the order ID:
-   applied with TOKEN, or refused (ACCEPTED false).  */
+/* pu_orders_handle_reserved - handles the result of RESERVE for the order ID.
+   ACCEPTED: the reservation was applied, and TOKEN is the order's token;
+   otherwise it was refused.  */
 void pu_orders_handle_reserved (pu_orders_t *o, guint32 id, bool accepted,
                                 guint64 token, guint64 now);
 
@@ -217,26 +234,26 @@
    is sent to it.  */
 void pu_orders_backend_down (pu_orders_t *o, guint32 backend, guint64 now);
 
-/* pu_orders_handle_closed - handles that the ledger no longer counts the order
+/* pu_orders_handle_closed - records that the ledger has closed the order
    TOKEN.  */
 void pu_orders_handle_closed (pu_orders_t *o, guint64 token);
 
 /* pu_orders_cancel - fails the order ID, so that it is not sent again.  An
-   order that was never sent expires at once.  */
+   order that was never sent expires immediately.  */
 void pu_orders_cancel (pu_orders_t *o, guint32 id, guint64 now);
 
 /* pu_orders_step - appends the actions that are due (pu_orders_action_t) to
    ACTIONS.  */
 void pu_orders_step (pu_orders_t *o, guint64 now, GArray *actions);
 
-/* pu_orders_count, pu_orders_get - the orders that are not closed, oldest
+/* pu_orders_count, pu_orders_get - list the orders that are not closed, oldest
    first.  */
 guint pu_orders_count (const pu_orders_t *o);
 const pu_orders_order_t *pu_orders_get (const pu_orders_t *o, guint i);
 
-/* pu_orders_failures - the number of consecutive failures of COPY on BACKEND;
-   UNTIL, when not NULL, is set to the end of the back-off, or to 0 when there
-   was no failure.  */
+/* pu_orders_failures - returns the number of consecutive failures of COPY on
+   BACKEND; UNTIL, when not NULL, is set to the end of the back-off, or to 0
+   when there was no failure.  */
 guint pu_orders_failures (const pu_orders_t *o, guint32 backend, guint32 copy,
                           guint64 *until);
 
--- a/libplantainusher/placement/placement.c
+++ b/libplantainusher/placement/placement.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-/* Shortest time before the planner may plan a load again that could not be
-   queued.  */
+/* When a load could not be queued, the planner does not plan it again on that
+   engine for at least this time.  */
 #define REFUSED_RETRY_MS 2000
 
 typedef struct
@@ -13,12 +13,12 @@
   guint32 version;
 } copy_id_t;
 
-/* A backend server's state by the last pu_placement_update_backend.  */
+/* A backend server's state as set by the last pu_placement_update_backend.  */
 typedef struct
 {
   bool known;
   bool down;
-  pu_ledger_report_t report; /* its held points to `held` */
+  pu_ledger_report_t report; /* report.held points to the data of `held` */
   GArray *held;
   guint32 zone;
   double streams;
@@ -32,7 +32,8 @@
   GArray *copy_ids;          /* of copy_id_t, by copy */
   GHashTable *copies;        /* item and version -> copy + 1 */
   GArray *servers;           /* of server_t, by backend */
-  GPtrArray *backend_orders; /* scratch: the orders to one backend server */
+  GPtrArray *backend_orders; /* scratch: the orders to the backend server being
+                                processed */
   GArray *next;        /* scratch, of guint: linked lists of orders, one list
                           for each backend server */
   GArray *moves;       /* scratch, of pu_move_t */
@@ -154,8 +155,9 @@
   return s->known ? s : NULL;
 }
 
-/* Whether an unload of COPY is in flight, or failed and may still arrive.
-   Reads pl->backend_orders.  */
+/* Whether pl->backend_orders has an unload of COPY that is queued or in
+   flight, or that failed and may still reach the engine.  An unload that the
+   ledger has closed does not count.  */
 static bool
 may_be_unloaded (const pu_placement_t *pl, guint32 copy)
 {
@@ -206,8 +208,9 @@
   return false;
 }
 
-/* Whether an earlier order of pl->backend_orders loads the same copy as the
-   one at INDEX.  There may be several after a change of leader.  */
+/* Whether an order in pl->backend_orders before the one at INDEX loads the
+   same copy.  Several orders may load the same copy after a change of
+   leader.  */
 static bool
 has_earlier_load (const pu_placement_t *pl, guint index)
 {
@@ -225,7 +228,7 @@
 }
 
 /* Adds the copies that are ordered but not reported yet to pl->plan_copies.
-   Returns the MB of those that the ledger does not count yet.  */
+   Returns the MB of the added copies that the ledger does not count yet.  */
 static guint32
 add_ordered_copies (pu_placement_t *pl, const server_t *s)
 {
@@ -308,7 +311,8 @@
   if (pl->servers->len == 0)
     return;
   /* next[n + b] is the index of the first order to backend server b, and
-     next[i] that of the order after order i to the same one.  */
+     next[i] is the index of the order that follows order i to the same backend
+     server.  0xffffffff ends a list.  */
   g_array_set_size (pl->next, n + pl->servers->len);
   next = (guint *)(void *)pl->next->data;
   memset (next, 0xff, pl->next->len * sizeof *next);
@@ -345,8 +349,8 @@
 }
 
 /* Reports a load failure to the planner for each copy that was ready and is
-   neither loading nor ready in R, without an unload order, though the process
-   is the same.  */
+   neither loading nor ready in R, although no unload was ordered and the
+   backend server has not restarted.  */
 static void
 note_lost_copies (pu_placement_t *pl, const server_t *s,
                   const pu_ledger_report_t *r, guint64 now)
@@ -529,8 +533,8 @@
     refresh_engine (pl, g_array_index (pl->moves, pu_move_t, i).engine, now);
 }
 
-/* Whether the planner allows the unload R: another copy is ready, this one is
-   not, or its item is not declared.  */
+/* Whether the planner allows the unload R: another copy of the item is ready,
+   the copy of R is not ready, or the item is not declared.  */
 static bool
 may_send_unload (const pu_placement_t *pl, const pu_orders_order_t *r)
 {
@@ -541,10 +545,11 @@
                                    n.version);
 }
 
-/* Queues another order for the copy of R, whose later token fences R off.  It
-   is a load when R is an unload that failed (the copy is there, so the load
-   changes nothing), or when no copy of the item is ready and R loads the
-   version that the item should have; otherwise an unload.  */
+/* Queues another order for the copy of R, whose later token fences R off.  The
+   new order is a load when R is an unload that failed (the engine still holds
+   the copy, so the load changes nothing), or when no copy of the item is ready
+   and R loads the version that the item should have.  Otherwise it is an
+   unload.  */
 static void
 queue_fence (pu_placement_t *pl, const pu_orders_order_t *r, guint64 now)
 {
@@ -568,9 +573,9 @@
                r->spec.copy, memory_mb, "to fence off an earlier order", now);
 }
 
-/* Queues the order that a fence action asks for, cancels an unload that the
-   planner no longer allows, and records a failed load.  Returns whether A
-   stays in the list that pu_placement_step returns.  */
+/* Handles the action A: queues the order that a fence action asks for, cancels
+   an unload that the planner no longer allows, and records a failed load.
+   Returns whether A stays in the list that pu_placement_step returns.  */
 static bool
 handle_action (pu_placement_t *pl, const pu_orders_action_t *a, guint64 now)
 {
--- a/libplantainusher/placement/simulation_test.cc
+++ b/libplantainusher/placement/simulation_test.cc
@@ -10,10 +10,11 @@
 constexpr guint64 kTickMs = 200, kReportIntervalMs = 1000,
                   kMaxTransitMs = 2000;
 constexpr guint64 kMaxReportAgeMs = 3000;
-/* Copies of this version fail once they are loaded.  */
+/* Copies of this version of any item fail when they have loaded.  */
 constexpr guint32 kFailingVersion = 3;
-/* A planned load may be refused and planned again on another engine, so an
-   item may wait for a few checks.  */
+/* Maximum number of consecutive checks at which an item may wait although the
+   weights store has capacity.  It may wait for a few, because a planned load
+   may be refused and planned again on another engine.  */
 constexpr unsigned kMaxStalledChecks = 5;
 const guint32 kItemMemoryMb[Simulation::kItems] = { 40, 35, 30, 30, 25, 3, 3 };
 const guint32 kBase[Simulation::kItems] = {
@@ -117,7 +118,8 @@
                                  now);
 }
 
-/* Replaces the leader.  The previous one may send until its lease ends.  */
+/* Replaces the leader.  The previous leader may send orders until its lease
+   ends.  */
 void
 Simulation::TakeOver ()
 {
@@ -165,7 +167,8 @@
 
           if (h->second.phase == PU_LEDGER_LOADING && due)
             h->second.phase = PU_LEDGER_READY;
-          /* A loaded copy may fail; one of kFailingVersion always does.  */
+          /* A loaded copy may fail; a copy of kFailingVersion always
+             fails.  */
           bool failed
               = h->second.phase == PU_LEDGER_READY && due
                 && (h->first % kVersions == kFailingVersion || Chance (1));
@@ -205,7 +208,8 @@
       pu_ledger_report_t known;
       bool same = pu_ledger_get_backend (ledger, i, &known, nullptr)
                   && known.incarnation == r.incarnation && known.token > 0;
-      if (same && Chance (3)) /* contradicts the last report */
+      if (same && Chance (3)) /* a false report that contradicts the last
+                                 one */
         {
           faults++;
           r.token = known.token - 1;
@@ -309,8 +313,9 @@
     });
   for (unsigned i = 0; i < deliveries; i++)
     {
-      /* An order that has reached a process that checks tokens may wait there
-         for any time, and is lost when the process ends.  */
+      /* An order that has reached an engine process that checks tokens may
+         wait in that process for any time, and is lost when the process
+         ends.  */
       bool delayed = o.spec.fenced && Random (10) == 0;
 
       Schedule (settling ? 10 : Random (delayed ? 60000 : kMaxTransitMs), [=] {
@@ -352,7 +357,8 @@
       Send (who, o);
     }
   if (who != leader)
-    return; /* a deposed leader cannot reach a quorum */
+    return; /* a deposed leader cannot reach a quorum, so it can neither
+               reserve nor release */
   if (a.kind == PU_ORDERS_ACTION_RESERVE)
     {
       pu_ledger_order_t l
@@ -478,8 +484,8 @@
     }
 }
 
-/* Checks, by the ledger alone, that another copy of the item is ready on an
-   engine that is up.  */
+/* Checks from the ledger's state that the unload O leaves another copy of its
+   item ready on an engine that is up.  */
 void
 Simulation::CheckUnload (const pu_orders_order_t &o)
 {
@@ -510,7 +516,8 @@
 }
 
 /* An item without a ready copy must have a load in flight, or wait for its
-   base model, for a retry, or for a store that is at its limit.  */
+   base model, for a retry, or for a weights store that serves its maximum of
+   concurrent loads.  */
 void
 Simulation::CheckWaitingItems ()
 {
--- a/libplantainusher/placement/simulation_test.h
+++ b/libplantainusher/placement/simulation_test.h
@@ -19,7 +19,7 @@
    for the stateful fuzz test.  The first violation that a check finds is in
    `violation`.  */
 
-/* A copy that an engine really holds, as opposed to one that it reported.  */
+/* A copy in an engine's memory, whether or not the engine has reported it.  */
 struct HeldCopy
 {
   guint32 memory_mb;
@@ -46,8 +46,8 @@
   }
 };
 
-/* Deliberate faults for the ledger, the planner and the orders: the
-   test_breaks of their options.  */
+/* Faults that tests inject into the ledger, the planner and the orders: the
+   values of test_breaks in their options.  */
 struct Breaks
 {
   guint ledger = 0;
@@ -63,7 +63,8 @@
 
   Simulation (unsigned seed, const Breaks &b);
   ~Simulation ();
-  void RunOperation (unsigned op); /* one random event, then a few ticks */
+  void RunOperation (unsigned op); /* carries out the random event OP, then
+                                      runs 1 to 8 ticks of kTickMs */
   void Settle (); /* runs without new faults; all items must become ready */
   std::string violation;
   bool verbose = false; /* print a trace, to investigate a failing seed */
@@ -84,11 +85,12 @@
   pu_placement_options_t options;
   pu_ledger_t *ledger;
   Engine engines[kEngines];
-  guint64 report_made_at[kEngines] = {}; /* of the last applied report */
+  guint64 report_made_at[kEngines] = {}; /* when the last applied report was
+                                            made, ms */
   guint32 version[kItems];
-  unsigned stalled_checks[kItems] = {}; /* consecutive checks at which the item
-                                           waited although the store had
-                                           capacity */
+  unsigned stalled_checks[kItems] = {}; /* number of consecutive checks at
+                                           which the item waited although the
+                                           weights store had capacity */
   Leader leader;
   Leader deposed; /* the previous leader, which may still send orders */
   std::vector<Event> events;
