--- a/libplantainusher/placement/adapters.c
+++ b/libplantainusher/placement/adapters.c
@@ -296,8 +296,8 @@
 }
 
 /* Sets BEST to the engine with the fewest requests that can take ITEM.
-   Returns false when no such engine has REPLICATE_MIN_GAP fewer requests than
-   HOLDER.  */
+   Returns false when no such engine has at least REPLICATE_MIN_GAP requests
+   fewer than HOLDER.  */
 static bool
 find_replica_engine (const pu_adapters_t *a, guint32 item, guint32 holder,
                      guint64 now, candidate_t *best)
--- a/libplantainusher/placement/adapters.h
+++ b/libplantainusher/placement/adapters.h
@@ -30,7 +30,8 @@
 /* pu_adapters_contains - whether ITEM was declared as an adapter.  */
 bool pu_adapters_contains (const pu_adapters_t *a, guint32 item);
 
-/* pu_adapters_base - the base model of ITEM, which must be an adapter.  */
+/* pu_adapters_base - returns the base model of ITEM, which must be an
+   adapter.  */
 guint32 pu_adapters_base (const pu_adapters_t *a, guint32 item);
 
 /* pu_adapters_set_engine - replaces the state of ENGINE: it has SLOTS adapter
@@ -42,7 +43,7 @@
 /* pu_adapters_mark_used - records that ITEM was requested at NOW.  */
 void pu_adapters_mark_used (pu_adapters_t *a, guint32 item, guint64 now);
 
-/* pu_adapters_count_active - the number of adapters of BASE that were
+/* pu_adapters_count_active - returns the number of adapters of BASE that were
    requested within the last 8 s.  */
 guint pu_adapters_count_active (const pu_adapters_t *a, guint32 base,
                                 guint64 now);
--- a/libplantainusher/placement/dispatcher.h
+++ b/libplantainusher/placement/dispatcher.h
@@ -19,8 +19,9 @@
  * accepted by then.  An order that expects this number is executed only if no
  * other order was accepted since.  A sender that knows one report therefore
  * cannot order more than fits, even if earlier orders of any sender were lost,
- * duplicated or delayed.  No order has to be written to the replicated log.  An
- * order without an answer is sent again with the same number, so the engine
+ * duplicated or delayed.  No order has to be written to the replicated log.
+ *
+ * An order without an answer is sent again with the same number, so the engine
  * executes it at most once.  Orders to one engine are sent one at a time.
  *
  * Items are models and adapters.  Items and engines are identified by small
@@ -117,8 +118,9 @@
   PU_DISPATCHER_ACCEPTED,    /* the engine is executing the order */
   PU_DISPATCHER_COMPLETED,   /* the engine is in the state that the order asks
                                 for */
-  PU_DISPATCHER_CONFLICT,    /* the engine's count differs, or it is executing
-                                another order */
+  PU_DISPATCHER_CONFLICT,    /* the engine's count of accepted orders differs
+                                from the expected count, or the engine is
+                                executing another order */
   PU_DISPATCHER_FENCED,      /* a later leader has sent orders to the engine */
   PU_DISPATCHER_REFUSED,     /* the engine can't execute the order */
   PU_DISPATCHER_MISDIRECTED, /* another engine answered at this address */
@@ -180,14 +182,12 @@
 
 /* pu_dispatcher_step - appends the actions that are due now to ACTIONS
    (pu_dispatcher_action_t).  ADMIT is called before an order is sent for the
-   first time; NULL admits all orders.
-
-   A load fails when it does not fit into the engine's memory or adapter slots
-   together with the items that the engine holds or may still come to hold.
-   This is checked before each sending with a new expected count, because an
-   order of the previous leader may have loaded an item since the load was
-   queued.  An adapter's load waits for a slot that an accepted unload will
-   free.  */
+   first time; NULL admits all orders.  A load fails when it does not fit into
+   the engine's memory or adapter slots together with the items that the engine
+   holds or may still come to hold.  The fit is checked before each send with a
+   new expected count, because an order of the previous leader may have loaded
+   an item since the load was queued.  An adapter's load waits for a slot that
+   an accepted unload will free.  */
 void pu_dispatcher_step (pu_dispatcher_t *d, pu_dispatcher_admit_fn *admit,
                          void *data, guint64 now, GArray *actions);
 
--- a/libplantainusher/placement/dispatcher_capacity.c
+++ b/libplantainusher/placement/dispatcher_capacity.c
@@ -72,8 +72,8 @@
 }
 
 /* Whether E has a free slot for the adapter ITEM.  Without one, the load waits
-   only if an accepted unload will free a slot.  A load that waited for longer
-   would block all orders queued behind it.  */
+   only if an accepted unload will free a slot.  Otherwise it fails, because a
+   waiting load blocks all orders queued behind it.  */
 static pu_dispatcher_fit_t
 slot_fit (pu_dispatcher_t *d, const pu_dispatcher_engine_t *e, guint32 item)
 {
--- a/libplantainusher/placement/orders.h
+++ b/libplantainusher/placement/orders.h
@@ -230,8 +230,8 @@
 void pu_orders_handle_report (pu_orders_t *o, const pu_ledger_report_t *r,
                               guint64 now);
 
-/* pu_orders_backend_down - handles the loss of BACKEND's lease: nothing more
-   is sent to it.  */
+/* pu_orders_backend_down - handles the loss of BACKEND's lease: no more orders
+   are sent to it.  */
 void pu_orders_backend_down (pu_orders_t *o, guint32 backend, guint64 now);
 
 /* pu_orders_handle_closed - records that the ledger has closed the order
--- a/libplantainusher/placement/placement.c
+++ b/libplantainusher/placement/placement.c
@@ -300,8 +300,8 @@
   update_planner_engine (pl, backend, now);
 }
 
-/* Like refresh_engine for all backend servers, with one pass over the
-   orders.  */
+/* Does what refresh_engine does, for all backend servers, with one pass over
+   the orders.  */
 static void
 refresh_all_engines (pu_placement_t *pl, guint64 now)
 {
--- a/libplantainusher/placement/placement.h
+++ b/libplantainusher/placement/placement.h
@@ -50,9 +50,9 @@
                                   guint64 now);
 void pu_placement_free (pu_placement_t *pl);
 
-/* pu_placement_planner, pu_placement_orders - the planner and the orders,
-   owned by PL: used to declare items, count demand, explain the plan and list
-   the orders.  */
+/* pu_placement_planner, pu_placement_orders - return the planner and the
+   orders, owned by PL: used to declare items, count demand, explain the plan
+   and list the orders.  */
 pu_planner_t *pu_placement_planner (pu_placement_t *pl);
 pu_orders_t *pu_placement_orders (pu_placement_t *pl);
 
--- a/libplantainusher/placement/simulation_test.cc
+++ b/libplantainusher/placement/simulation_test.cc
@@ -250,7 +250,8 @@
   g_array_unref (closed);
 }
 
-/* Marks backend servers down whose last applied report is too old.  */
+/* Marks backend servers as down whose last applied report is kMaxReportAgeMs
+   old or older.  */
 void
 Simulation::ExpireLeases ()
 {
--- a/libplantainusher/placement/simulation_test.h
+++ b/libplantainusher/placement/simulation_test.h
@@ -67,9 +67,10 @@
                                       runs 1 to 8 ticks of kTickMs */
   void Settle (); /* runs without new faults; all items must become ready */
   std::string violation;
-  bool verbose = false; /* print a trace, to investigate a failing seed */
+  bool verbose = false; /* prints a trace, to investigate a failing seed */
   unsigned loads = 0, unloads = 0, faults = 0;
-  unsigned steps = 0; /* operations, reports, orders and answers */
+  unsigned steps = 0; /* number of operations, reports, orders and answers so
+                         far */
 
 private:
   using Leader = std::shared_ptr<pu_placement_t>;
