--- a/libplantainusher/placement/dispatcher.h
+++ b/libplantainusher/placement/dispatcher.h
@@ -182,12 +182,14 @@
 
 /* pu_dispatcher_step - appends the actions that are due now to ACTIONS
    (pu_dispatcher_action_t).  ADMIT is called before an order is sent for the
-   first time; NULL admits all orders.  A load fails when it does not fit into
-   the engine's memory or adapter slots together with the items that the engine
-   holds or may still come to hold.  The fit is checked before each send with a
-   new expected count, because an order of the previous leader may have loaded
-   an item since the load was queued.  An adapter's load waits for a slot that
-   an accepted unload will free.  */
+   first time; NULL admits all orders.
+
+   A load fails when it does not fit into the engine's memory or adapter slots
+   together with the items that the engine holds or may still come to hold.
+   The fit is checked before each send with a new expected count, because an
+   order of the previous leader may have loaded an item since the load was
+   queued.  An adapter's load waits for a slot that an accepted unload will
+   free.  */
 void pu_dispatcher_step (pu_dispatcher_t *d, pu_dispatcher_admit_fn *admit,
                          void *data, guint64 now, GArray *actions);
 
