--- a/libplantainusher/entry/announce.c
+++ b/libplantainusher/entry/announce.c
@@ -61,10 +61,12 @@
   return pu_state_backend (en->o.hooks.view (en->o.hooks.data), name);
 }
 
-/* Whether the last report must be proposed: the log has not accepted it, or
-   the view lacks this incarnation or has it as down.  The comparison is with
-   the last accepted report, not with the view's record, which may differ from
-   it, for example when the backend server was marked as leaving.  */
+/* Whether the record in the last report of a backend server must be proposed
+   to the log.  That is the case when the log has not accepted this record, or
+   when the replicated state lacks this incarnation or has it as down.  The
+   last report is compared with the last accepted one, not with the record in
+   the replicated state, which may differ from it, for example when the backend
+   server was marked as leaving.  */
 static bool
 must_propose (const pu_reporter_t *p)
 {
@@ -100,8 +102,8 @@
       if (in_log)
         p->accepted = p->proposed;
       p->proposed = NULL;
-      /* The record may have changed since the proposal.  A refused one is
-         proposed again with the next report.  */
+      /* The backend server's record may have changed since the proposal.  A
+         refused proposal is repeated with the next report.  */
       if (in_log && !record_equal (p->accepted, p->record))
         record_propose (p);
     }
@@ -125,7 +127,7 @@
                        on_proposed, proposal);
 }
 
-/* --- one report --- */
+/* --- applying a report --- */
 
 static void
 leaving_apply (pu_entry_t *en, const pu_backend_record *b)
@@ -271,7 +273,8 @@
                               pu_findings_to_json (f)));
 }
 
-/* Returns the record known of INCARNATION; NULL: a full report is needed.  */
+/* Returns the latest record of the backend server NAME at INCARNATION.  NULL:
+   none is known, and the backend server must send a full report.  */
 static const pu_backend_record *
 known_record (const pu_entry_t *en, const char *name, guint64 incarnation)
 {
--- a/libplantainusher/entry/announcement.c
+++ b/libplantainusher/entry/announcement.c
@@ -4,8 +4,8 @@
 
 #include "state/codec.h"
 
-#define VALUE_MAX 1048576 /* counts and sizes in MB */
-#define HASHES_MAX 65536  /* block hashes in one list of a report */
+#define VALUE_MAX 1048576 /* maximum of counts and of sizes in MB */
+#define HASHES_MAX 65536  /* maximum of block hashes per list */
 #define HASH_HEX_DIGITS 16
 
 static const char *const known_members[]
@@ -20,7 +20,7 @@
   [PU_COPY_UNLOADING] = "unloading",
 };
 
-/* --- single values; where the member is absent, *VALUE stays as it is --- */
+/* --- reading one member; if it is absent, *VALUE is unchanged --- */
 
 static void
 add_finding (pu_findings_t *f, const char *path, const char *name,
@@ -93,12 +93,13 @@
       add_finding (f, path, name, "is not a valid name.");
       return;
     }
-  /* The XDR functions free strings with free.  */
+  /* Allocated by strdup, because the XDR functions release strings with
+     free.  */
   free (*value);
   *value = strdup (s);
 }
 
-/* --- the record --- */
+/* --- reading the record of the backend server --- */
 
 static void
 read_kind (const json_t *o, pu_backend_record *b, pu_findings_t *f)
@@ -235,8 +236,8 @@
   b->down = FALSE;
 }
 
-/* Checks that the required fields of B are set, by this report or an earlier
-   one.  */
+/* Checks that the required fields of B are set, either by this report or by an
+   earlier one.  */
 static void
 check_record (const pu_backend_record *b, pu_findings_t *f)
 {
@@ -252,7 +253,7 @@
     }
 }
 
-/* --- load and cache events --- */
+/* --- reading the load and the KV cache events --- */
 
 static void
 read_load (const json_t *root, pu_announcement_t *a, pu_findings_t *f)
@@ -328,7 +329,7 @@
   a->events.n_removed = a->removed->len;
 }
 
-/* --- the report --- */
+/* --- reading a complete report --- */
 
 static bool
 is_known_member (const char *name)
--- a/libplantainusher/entry/chunk.c
+++ b/libplantainusher/entry/chunk.c
@@ -5,14 +5,18 @@
 
 struct pu_chunk_reader
 {
-  json_t *root;    /* the last parsed chunk; the result points into it */
-  GString *prefix; /* bytes before the text, with the opening quote */
-  GString *suffix; /* bytes after the text, with the closing quote */
-  GString *text;   /* of a chunk that was not parsed */
-  GString *template_text;    /* of the chunk that the template was made from */
-  pu_chunk_t template_chunk; /* all but the text, of the same chunk */
+  json_t *root;    /* the last parsed chunk; strings of a pu_chunk_t point into
+                      it */
+  GString *prefix; /* template: bytes before the text, with the opening
+                      quote */
+  GString *suffix; /* template: bytes after the text, with the closing quote */
+  GString *text;   /* text of the last chunk that was read with the template */
+  GString *template_text;    /* text of the chunk that the template was made
+                                from */
+  pu_chunk_t template_chunk; /* other fields of that chunk */
   bool has_template;
-  bool verified; /* for another text, parsing gave the same result */
+  bool verified; /* a second chunk, with another text, gave the same result
+                    with the template and with the JSON parser */
   guint parsed_count;
 };
 
@@ -47,7 +51,7 @@
   return r->parsed_count;
 }
 
-/* Whether the string S needs no escapes in JSON.  */
+/* Whether the LEN bytes of S can stand in a JSON string without escapes.  */
 static bool
 needs_no_escapes (const char *s, gsize len)
 {
@@ -59,10 +63,10 @@
   return g_utf8_validate_len (s, len, NULL);
 }
 
-/* --- template --- */
+/* --- reading chunks with the template --- */
 
-/* Finds the only place in DATA where TEXT stands in quotes, or NULL when there
-   is none or several.  */
+/* Returns the only place in DATA where TEXT stands in quotes.  Returns NULL
+   when there is no such place or more than one.  */
 static const char *
 find_unique_quoted (const char *data, gsize len, const char *text,
                     gsize text_len)
@@ -84,7 +88,8 @@
   return found;
 }
 
-/* Whether PREFIX ends with the key of a member that holds the text.  */
+/* Whether PREFIX, the bytes before a text, ends with the key of a JSON member
+   that holds the text of a token.  */
 static bool
 ends_with_text_key (const GString *prefix)
 {
@@ -99,8 +104,8 @@
   return false;
 }
 
-/* Makes a template of a parsed chunk whose text stands in it once, without
-   escapes.  */
+/* Makes the template from the parsed CHUNK, provided that the text of CHUNK
+   occurs exactly once in DATA and has no escapes.  */
 static void
 template_make (pu_chunk_reader_t *r, const char *data, gsize len,
                const pu_chunk_t *chunk)
@@ -125,7 +130,8 @@
   r->has_template = ends_with_text_key (r->prefix);
 }
 
-/* Reads a chunk that matches the template, without parsing.  */
+/* Reads the chunk in DATA without parsing it.  Returns false when DATA does
+   not match the template.  */
 static bool
 template_match (pu_chunk_reader_t *r, const char *data, gsize len,
                 pu_chunk_t *chunk)
@@ -146,7 +152,7 @@
   return true;
 }
 
-/* --- parsing --- */
+/* --- parsing a chunk as JSON --- */
 
 static const char *
 choice_text (const json_t *choice)
@@ -188,8 +194,9 @@
   return true;
 }
 
-/* Parses a chunk that matches the template, and drops the template unless both
-   ways to read the chunk gave the same result.  */
+/* Parses a chunk that matches the template.  Drops the template unless the
+   parser and the template gave the same result.  Returns whether the chunk is
+   valid.  */
 static bool
 template_verify (pu_chunk_reader_t *r, const char *data, gsize len,
                  pu_chunk_t *chunk)
@@ -204,7 +211,8 @@
         && chunk->is_error == r->template_chunk.is_error
         && chunk->completion_tokens == r->template_chunk.completion_tokens;
   r->has_template = r->verified;
-  /* The template's id pointed into the chunk parsed before.  */
+  /* The id of the template pointed into the chunk that chunk_parse has
+     freed.  */
   if (good)
     r->template_chunk.id = chunk->id;
   g_free (template_id);
--- a/libplantainusher/entry/chunk.h
+++ b/libplantainusher/entry/chunk.h
@@ -11,19 +11,20 @@
  * event.
  *
  * The chunks of a stream differ only in the text of their token.  The reader
- * takes the bytes before and after the text of a parsed chunk as a template,
- * and verifies the template on the next chunk that fits it with another text.
- * From then on a chunk that has the same bytes around a string without escapes
- * needs no JSON parsing.
+ * stores the bytes before and after the text of a parsed chunk as a template,
+ * and verifies the template on the next chunk that matches it with another
+ * text.  After that, a chunk that matches the template, with a text that needs
+ * no escapes, is read without JSON parsing.
  */
 
 typedef struct
 {
-  const char *text; /* of the token; "" when there is none */
-  const char *id;   /* of the completion; NULL when there is none */
+  const char *text; /* text of the token; "" when there is none */
+  const char *id;   /* id of the completion; NULL when there is none */
   bool has_finish_reason;
   bool is_error;
-  gint64 completion_tokens; /* by the usage in the chunk; -1: not given */
+  gint64 completion_tokens; /* token count in the usage data of the chunk; -1:
+                               not given */
 } pu_chunk_t;
 
 typedef struct pu_chunk_reader pu_chunk_reader_t;
--- a/libplantainusher/entry/claim.c
+++ b/libplantainusher/entry/claim.c
@@ -5,7 +5,8 @@
 
 #include "base/breaks.h"
 
-/* Context of a proposal to the replicated log.  */
+/* Context of the proposal of a claim or of its outcome to the replicated log.
+   A claim reserves an Idempotency-Key for one at-most-once request.  */
 typedef struct
 {
   pu_entry_t *en;
@@ -191,15 +192,15 @@
   pu_entry_t *en = proposal->en;
 
   (void)e;
-  /* Any reply completes the recording: if it was refused, or the log has seen
-     it before, a retry would get the same reply.  */
+  /* Any reply completes the recording of the outcome: if the log refused the
+     proposal or has seen it before, a retry would get the same reply.  */
   pu_once_recorded (en->once, proposal->handle, r != NULL, loop_now (en));
   proposal_end (proposal);
   pu_claim_run_actions (en);
   pu_entry_check_stopped (en);
 }
 
-/* --- actions --- */
+/* --- actions requested by the at-most-once logic (en->once) --- */
 
 static void
 claim_propose (pu_entry_t *en, const pu_once_action_t *a)
@@ -256,8 +257,9 @@
                        on_recorded, proposal_new (en, a));
 }
 
-/* Returns one of the exchanges that wait for the Idempotency-Key of A.  Its
-   request is sent, and all of them get its result.  */
+/* Returns one of the exchanges that wait for the Idempotency-Key of A, or
+   NULL.  The request of that exchange is sent, and all exchanges that wait for
+   the key get its result.  */
 static pu_exchange_t *
 claimant_find (const pu_entry_t *en, const pu_once_action_t *a)
 {
@@ -278,7 +280,8 @@
 {
   pu_exchange_t *x = claimant_find (en, a);
 
-  /* All callers have disconnected before the request was sent.  */
+  /* All callers that wait for the key disconnected before the request was
+     sent.  */
   if (x == NULL)
     {
       pu_once_finished (en->once, a->handle, PU_ONCE_OUTCOME_NOT_RUN, NULL,
@@ -351,7 +354,8 @@
   if (x->http != NULL)
     answer_send (x, a);
   x->http = NULL;
-  /* The request that was sent runs on, so that its outcome can be recorded. */
+  /* If X is the exchange whose request was sent, the request continues without
+     a caller, so that its outcome can be recorded.  */
   if (x->claim == 0)
     pu_exchange_finish (x);
 }
--- a/libplantainusher/entry/entries.c
+++ b/libplantainusher/entry/entries.c
@@ -5,7 +5,8 @@
 enum
 {
   RATE_PERIOD_MS = 1000,
-  RATE_PAST_WEIGHT_PCT = 70, /* of the previous periods in the mean rate */
+  RATE_PAST_WEIGHT_PCT = 70, /* weight of the previous periods in the mean
+                                request rate */
 };
 
 void
@@ -34,8 +35,9 @@
   g_hash_table_replace (en->rates, g_strdup (service), stored);
 }
 
-/* Callers spread evenly over the entries of a service, so the request rate of
-   the service is the rate at this entry times their number.  */
+/* Updates the mean request rate of each service.  Callers spread evenly over
+   the entries of a service, so the request rate of the service is the rate at
+   this entry times the number of entries.  */
 void
 pu_rates_tick (pu_entry_t *en, guint64 now)
 {
--- a/libplantainusher/entry/events.c
+++ b/libplantainusher/entry/events.c
@@ -10,10 +10,11 @@
   guint64 last_id; /* id of the last event forwarded */
   guint count;
   GString *partial; /* bytes of the incomplete event */
-  gsize line;       /* offset of its current line */
-  GString *ready;   /* complete events of the current call of feed */
+  gsize line;       /* offset in partial of the incomplete line */
+  GString *ready;   /* complete events to forward at the end of the current
+                       call of pu_event_filter_feed */
   guint ready_events;
-  guint64 id; /* of the incomplete event */
+  guint64 id; /* id of the incomplete event, if has_id */
   bool has_id;
 };
 
@@ -71,8 +72,8 @@
   s->has_id = id_parse (line + skip, len - skip, &s->id);
 }
 
-/* Handles the end of an event: queues it for the caller unless its id was seen
-   before.  */
+/* Handles the end of an event.  Adds the event to the bytes to forward unless
+   its id was forwarded before.  */
 static void
 event_complete (pu_event_filter_t *s)
 {
--- a/libplantainusher/entry/events.h
+++ b/libplantainusher/entry/events.h
@@ -22,8 +22,8 @@
 typedef void (*pu_event_filter_cb) (void *data, const char *bytes, gsize len,
                                     guint n);
 
-/* pu_event_filter_new - a filter that drops events with the id AFTER or a
-   lower one. An event longer than MAX_BYTES breaks the stream.  */
+/* pu_event_filter_new - creates a filter that drops events with the id AFTER
+   or a lower one.  An event longer than MAX_BYTES breaks the stream.  */
 pu_event_filter_t *pu_event_filter_new (guint64 after, gsize max_bytes,
                                         pu_event_filter_cb cb, void *data);
 void pu_event_filter_free (pu_event_filter_t *s);
@@ -33,8 +33,9 @@
  */
 bool pu_event_filter_feed (pu_event_filter_t *s, const char *bytes, gsize len);
 
-/* pu_event_filter_flush - forwards the buffered part of an incomplete event,
-   when the stream is complete by its length.  */
+/* pu_event_filter_flush - forwards the buffered part of an incomplete event.
+   For a response that is complete by its length although its last event has no
+   end.  */
 void pu_event_filter_flush (pu_event_filter_t *s);
 
 /* pu_event_filter_last_id - id of the last event forwarded; if there is none,
--- a/libplantainusher/entry/load_forward.c
+++ b/libplantainusher/entry/load_forward.c
@@ -1,5 +1,6 @@
-/* Forwards load reports of backend servers to the other entries of their
-   services.  */
+/* Forwards load reports ("loads") of backend servers to the other entries of
+   their services.  Also forwards withdrawals: notices that a copy of a model
+   is about to be unloaded and must get no more requests.  */
 
 #include "entry/entry_private.h"
 
@@ -10,23 +11,28 @@
 {
   RECOUNT_INTERVAL_MS = 5000,
   INTERVAL_MIN_MS = PU_ENTRY_LOADS_INTERVAL_MIN_MS,
-  /* An entry that receives the loads of N backend servers gets each of them
-     every N times this interval.  A message with a single load has 80 bytes,
-     so an entry receives at most 1.1 KB/s in total.  */
+  /* Factor of the interval between two messages to a receiver: an entry that
+     receives the loads of N backend servers gets each of them every N times
+     this interval.  A message with a single load has 80 bytes, so an entry
+     receives at most 1.1 KB/s in total.  */
   INTERVAL_PER_BACKEND_MS = 72,
   LIFETIME_MIN_MS = 5000,
-  LIFETIME_INTERVALS = 3, /* tolerates the loss of two messages in a row */
-  /* An unload waits for the streams in progress.  The withdrawal must last
-     until the backend server's report shows that the unload is complete.  */
+  LIFETIME_INTERVALS = 3, /* a load is valid for this many intervals, which
+                             tolerates the loss of two messages in a row */
+  /* Duration of a withdrawal.  An unload waits for the streams in progress,
+     and the withdrawal must last until a report of the backend server shows
+     that the unload is complete.  */
   WITHDRAWAL_MS = 3000,
 };
 
-/* Another entry that receives loads.  */
+/* Another entry, to which this entry sends loads.  */
 typedef struct
 {
-  guint n_backends;   /* whose loads it receives, from all entries */
-  guint64 next_at;    /* loop time of its next message */
-  GHashTable *queued; /* name -> pu_entry_load_t, not yet sent */
+  guint n_backends;   /* number of backend servers whose loads the receiver
+                         gets, from all entries together */
+  guint64 next_at;    /* loop time of the next message to the receiver */
+  GHashTable *queued; /* backend server name -> pu_entry_load_t; loads not yet
+                         sent */
 } load_receiver_t;
 
 guint
@@ -78,7 +84,8 @@
     g_ptr_array_add (list, (char *)s);
 }
 
-/* Returns the services whose requests can be sent to B.  */
+/* Returns the names of the services whose requests can be sent to the backend
+   server B.  */
 static GPtrArray *
 services_of (const pu_entry_t *en, const pu_backend_record *b)
 {
@@ -125,7 +132,7 @@
 typedef struct
 {
   const pu_entry_t *en;
-  GHashTable *seen; /* set of peer addresses */
+  GHashTable *seen; /* peer addresses that are already in the list */
 } entry_list_t;
 
 static void
@@ -138,9 +145,9 @@
     g_ptr_array_add (o->en->other_addresses, g_strdup (m->peer_address));
 }
 
-/* Returns the peer addresses of all other entries.  With hundreds of entries
-   and thousands of backend servers the list is rebuilt when the members
-   change, not for each load.  */
+/* Returns the peer addresses of all other entries.  The list is rebuilt only
+   when the members change, since rebuilding it for each load would be slow
+   with hundreds of entries and thousands of backend servers.  */
 static const GPtrArray *
 other_entries (pu_entry_t *en)
 {
@@ -158,7 +165,7 @@
 }
 
 /* Returns the peer addresses of the other entries that receive the loads of B.
-   The strings belong to the view or to this entry.  */
+   The strings belong to the replicated state or to this entry.  */
 static GPtrArray *
 receivers_of (pu_entry_t *en, const pu_backend_record *b)
 {
@@ -201,7 +208,8 @@
   *(guint *)data += b->down ? 0 : 1;
 }
 
-/* With loads_to_all_entries every receiver gets the loads of all backend
+/* Sets the number of backend servers of each receiver when
+   loads_to_all_entries is set: each receiver gets the loads of all backend
    servers that are up.  */
 static void
 receivers_count_all (pu_entry_t *en)
@@ -238,7 +246,7 @@
   g_hash_table_foreach_remove (en->load_receivers, has_no_backends, NULL);
 }
 
-/* --- sending --- */
+/* --- sending loads and withdrawals --- */
 
 static void
 load_queue (pu_entry_t *en, const GPtrArray *addresses, const char *name,
@@ -351,8 +359,9 @@
 
   if (s == NULL || s->handle == PU_ROUTER_NONE || en->document == NULL)
     return;
-  /* The unload order is sent repeatedly while the engine executes another one.
-     A withdrawal that lasts for more than half of its time is not renewed.  */
+  /* The unload order is sent repeatedly while the engine executes another
+     order.  A withdrawal that still lasts for more than half of WITHDRAWAL_MS
+     is not renewed.  */
   if (pu_server_is_withdrawn (s, model, now + WITHDRAWAL_MS / 2 + 1))
     return;
   pu_server_withdraw (s, model, now + WITHDRAWAL_MS);
@@ -366,7 +375,7 @@
     }
 }
 
-/* --- receiving --- */
+/* --- receiving loads and withdrawals --- */
 
 void
 pu_entry_receive_withdrawal (pu_entry_t *en, guint64 id, const char *model,
--- a/libplantainusher/entry/parse.c
+++ b/libplantainusher/entry/parse.c
@@ -7,8 +7,8 @@
 
 enum
 {
-  PREFIX_BLOCK_BYTES = 256, /* prompt bytes in one block of the prefix cache */
-  BYTES_PER_TOKEN = 4,      /* estimate */
+  PREFIX_BLOCK_BYTES = 256, /* prompt bytes per block of the prefix cache */
+  BYTES_PER_TOKEN = 4,      /* assumed to estimate the tokens of a prompt */
   DEFAULT_PRIORITY = 5,
   DEFAULT_MAX_TOKENS = 256,
   REQUEST_ID_BYTES_MAX = 128,
@@ -40,7 +40,7 @@
   return false;
 }
 
-/* --- headers --- */
+/* --- reading headers --- */
 
 static bool
 is_visible_ascii (const char *s, gsize max)
@@ -96,8 +96,9 @@
   return g_strcmp0 (pu_http_request_header (x->http, name), "1") == 0;
 }
 
-/* Reads what all requests have in common.  The deadline is 0 when the caller
-   gave none.  */
+/* Reads the parts that all kinds of requests have: id, method, body, relay
+   headers, priority, timeout and Idempotency-Key.  The deadline is 0 when the
+   caller gave no timeout.  */
 static bool
 common_read (pu_exchange_t *x)
 {
@@ -143,7 +144,7 @@
     x->q.deadline = x->q.arrived + s->timeout_ms;
 }
 
-/* --- completions --- */
+/* --- reading completion requests --- */
 
 static void
 content_append (GString *out, const json_t *content)
@@ -180,8 +181,9 @@
   return g_string_free (out, FALSE);
 }
 
-/* Computes the chained hashes of the prompt's complete blocks, as engines
-   report them.  */
+/* Computes the hashes of the complete blocks of PROMPT, each chained to the
+   one before it, in the way in which engines compute the hashes that they
+   report.  */
 static void
 prefix_hash (pu_exchange_t *x, const char *prompt, gsize len)
 {
@@ -230,7 +232,8 @@
   return false;
 }
 
-/* Finds the service that the caller names, or else the model's default.  */
+/* Finds the service that the X-Service header names or, without that header,
+   the default service of the model.  */
 static bool
 service_find (pu_exchange_t *x)
 {
@@ -281,7 +284,8 @@
   return true;
 }
 
-/* Reads what the caller has of a stream that another entry resumes here.  */
+/* For a stream that another entry relayed to this entry to be resumed: reads
+   the text and the number of tokens that the caller has already received.  */
 static bool
 resume_read (pu_exchange_t *x, const json_t *root)
 {
@@ -342,9 +346,10 @@
   return g_bytes_new_with_free_func (text, strlen (text), free, text);
 }
 
-/* --- plain services --- */
+/* --- reading requests to plain services --- */
 
-/* Whether the entry sets the header NAME itself instead of passing it on.  */
+/* Whether the entry sets the header NAME itself, so that the value from the
+   caller is not forwarded.  */
 static bool
 is_set_by_entry (const char *name)
 {
--- a/libplantainusher/entry/servers.c
+++ b/libplantainusher/entry/servers.c
@@ -6,21 +6,23 @@
 
 enum
 {
-  PROBES_UNTIL_DOWN = 2, /* failed probes in a row */
+  PROBES_UNTIL_DOWN = 2, /* a backend server is marked as down after this many
+                            failed probes in a row */
   PROBE_RETRY_MS = 100,
-  /* A server that this entry found dead stays down here for this time,
-     whatever the view says.  By then the view must have it as down.  */
+  /* A backend server whose probes failed at this entry stays down at this
+     entry for this time, even if the replicated state says that it is up.
+     After this time the replicated state must have it as down.  */
   LOCAL_DOWN_MS = 5000,
 };
 
-/* What this entry knows of a copy, contrary to its backend server's last
- * report.  */
+/* An override: whether a backend server has a ready copy of a model, for the
+   time in which its reports are out of date.  */
 typedef struct
 {
   char *version;
   bool present;
-  guint64 expires_at; /* loop time; by then the backend server's reports
-                         show the actual state of the copy */
+  guint64 expires_at; /* loop time; after it the backend server's reports show
+                         the actual state of the copy */
 } copy_override_t;
 
 static void
@@ -70,9 +72,9 @@
   return s;
 }
 
-/* server_watch - makes the tick visit S until none of its timers is pending.
-   The tick does not visit all servers, because nearly all of several thousand
-   have no timer pending.  */
+/* server_watch - makes pu_servers_tick visit S until none of its timers is
+   pending.  The tick does not visit all servers, because nearly all of several
+   thousand have no timer pending.  */
 static void
 server_watch (pu_server_t *s)
 {
@@ -87,10 +89,11 @@
          || g_hash_table_size (s->copy_overrides) > 0;
 }
 
-/* --- strikes --- */
+/* --- strikes for crashes of backend servers --- */
 
-/* Proposes a strike against each request that was running at INCARNATION of S
-   when this crashed, or that was aborted there shortly before.  */
+/* Proposes a strike, a record in the replicated log that blames a request for
+   a crash, against each request that was running on S when the process
+   INCARNATION of S crashed, or that was aborted on S shortly before.  */
 static void
 incarnation_propose_strikes (pu_server_t *s, guint64 incarnation)
 {
@@ -109,7 +112,7 @@
   g_array_free (strikes, TRUE);
 }
 
-/* --- the router's table --- */
+/* --- updating the router's table of backend servers --- */
 
 static pu_router_phase_t
 router_phase (pu_copy_phase phase)
@@ -232,7 +235,7 @@
   s->failed_probes = 0;
 }
 
-/* The state of S at this entry, as logged.  */
+/* Returns the name of the state that S has at this entry, for the log.  */
 static const char *
 health_name (const pu_server_t *s)
 {
@@ -289,7 +292,8 @@
   pu_server_apply (data, b);
 }
 
-/* Takes backend servers that are no longer in the view out of the router.  */
+/* Removes from the router the backend servers that are no longer in VIEW, this
+   instance's copy of the replicated state.  */
 static void
 unlisted_remove (pu_entry_t *en, const pu_state_t *view)
 {
@@ -374,8 +378,8 @@
 /* --- overrides of reported copies --- */
 
 /* override_set - records that S has, or lacks, a ready copy of MODEL until
-   loop time UNTIL, whatever its reports say.  The calling function must update
-   the router.  */
+   loop time UNTIL, whatever the reports of S say.  The calling function must
+   update the router afterwards.  */
 static void
 override_set (pu_server_t *s, const char *model, bool present, guint64 until)
 {
@@ -393,7 +397,8 @@
   g_hash_table_replace (s->copy_overrides, g_strdup (model), x);
 }
 
-/* Returns the view's record of S, or NULL when S is not in the router.  */
+/* Returns the record of S in the replicated state, or NULL when S is not in
+   the router.  */
 static const pu_backend_record *
 routed_record (const pu_server_t *s)
 {
@@ -501,7 +506,7 @@
     router_update (s, b);
 }
 
-/* --- probes --- */
+/* --- health probes of backend servers --- */
 
 static void
 held_retry (pu_server_t *s)
@@ -571,7 +576,7 @@
   (void)call;
   s->probe = NULL;
   /* A dying process may still accept a connection and close it, so S counts as
-     alive only if it responds or keeps the connection open.  */
+     alive only if it sends a response or keeps the connection open.  */
   if (result->head || !is_refused_or_closed (result->kind))
     {
       held_retry (s);
@@ -647,7 +652,8 @@
     g_ptr_array_remove (x->at.server->held_exchanges, x);
 }
 
-/* Ends the local down state of S: the view's record applies again.  */
+/* Ends the down state that this entry alone has set for S, once LOCAL_DOWN_MS
+   have passed: the record in the replicated state applies again.  */
 static void
 local_down_tick (pu_server_t *s, guint64 now)
 {
--- a/libplantainusher/entry/stream.c
+++ b/libplantainusher/entry/stream.c
@@ -5,7 +5,8 @@
 #include "entry/chunk.h"
 #include "http/sse.h"
 
-/* Limit of one event, which holds a token and its metadata.  */
+/* Maximum size of one server-sent event, which holds one token and its
+   metadata.  */
 #define EVENT_MAX_BYTES ((gsize)256 * 1024)
 
 struct pu_stream
@@ -15,13 +16,14 @@
   pu_chunk_reader_t *reader;
   pu_stream_cb cb;
   void *cb_data;
-  bool is_from_start;         /* the caller had no token before this attempt */
-  guint replay_tokens_left;   /* tokens of the replay that are still to come */
+  bool is_from_start;         /* no token was forwarded before this attempt */
+  guint replay_tokens_left;   /* tokens of the replay that have not arrived */
   gsize replay_matched_bytes; /* bytes of the caller's text that the replay has
                                  repeated */
   guint tokens;
   guint events;
-  char *id; /* of the completion, by its chunks; NULL: none yet */
+  char *id; /* completion id in the chunks; NULL: no chunk with an id has
+               arrived */
   pu_stream_result_t result;
 };
 
@@ -40,8 +42,8 @@
   s->text = NULL;
 }
 
-/* Forwards an event, with the chunk P in it or NULL, and records what the
-   caller has received.  */
+/* Forwards the event EV to the caller, and records in S->sent what the caller
+   has received.  P is the chunk that EV holds; NULL: EV holds none.  */
 static void
 event_forward (pu_stream_t *s, const pu_sse_event_t *ev, const pu_chunk_t *p)
 {
@@ -58,7 +60,8 @@
   s->cb (s->cb_data, ev->raw, ev->raw_len, token ? 1 : 0);
 }
 
-/* Checks a token of the replay against the text that the caller has.  */
+/* Whether TEXT, the next token of the replay, equals the text that the caller
+   has received at the same place.  */
 static bool
 replay_check (pu_stream_t *s, const char *text)
 {
@@ -80,7 +83,8 @@
 
   if (g_ascii_string_to_unsigned (ev->id, 10, 0, G_MAXUINT32, &index, NULL))
     {
-      /* The index alone tells whether the token is new.  */
+      /* The event id is the index of the token, so the text need not be
+         compared.  */
       s->replay_tokens_left = 0;
       if (index > s->sent->tokens)
         return PU_STREAM_BROKEN;
@@ -106,9 +110,10 @@
   return strcmp (s->id, id) == 0;
 }
 
-/* Whether more tokens were forwarded than the usage in P reports, so that some
-   were sent twice.  Each event with text counts as one token.  Not checked
-   after a resume, where the usage may count only the remaining tokens.  */
+/* Whether more tokens were forwarded than the token count in the usage data of
+   P, which means that some tokens were sent twice.  Each event with text
+   counts as one token.  Not checked after a resume, where the usage data may
+   count only the remaining tokens.  */
 static bool
 has_duplicates (const pu_stream_t *s, const pu_chunk_t *p)
 {
@@ -125,7 +130,8 @@
     return PU_STREAM_MISMATCH;
   if (*p->text != 0)
     return token_handle (s, ev, p);
-  /* A chunk without text holds the role at the start, or the end.  */
+  /* A chunk without text is either the first one, which holds the role, or the
+     last one, which holds the finish reason.  */
   if (p->has_finish_reason ? !s->sent->finished : s->is_from_start)
     event_forward (s, ev, p);
   return has_duplicates (s, p) ? PU_STREAM_DUPLICATES : PU_STREAM_MORE;
--- a/libplantainusher/entry/stream.h
+++ b/libplantainusher/entry/stream.h
@@ -11,22 +11,24 @@
  * stream - filters the events of one attempt at a completion, so that the
  * caller gets one uninterrupted stream over all attempts.  No I/O.
  *
- * A stream is resumed by requesting it from token N on.  The events of the
- * attempt are forwarded only where they continue what the caller has received:
+ * A stream is resumed by requesting it from token N on, where N is the number
+ * of tokens that the caller has received.  The events of the attempt are
+ * forwarded only where they continue these tokens:
  *   - events with an `id` field: the id is the token's index from 0; an event
  *     whose index was seen before is dropped, a skipped index breaks the
  *     stream;
  *   - otherwise, when the response head confirmed the resume
- *     (X-Resume-Tokens: N): from the first event on;
- *   - otherwise the events are a replay: the first N must have the text that
- *     the caller has received, and are dropped.
+ *     (X-Resume-Tokens: N): all events are forwarded;
+ *   - otherwise the events are a replay from token 0: the first N events with
+ *     text must have the text that the caller has received, and are dropped.
  */
 
-/* What the caller has received.  */
+/* The part of a completion that the caller has received, over all
+   attempts.  */
 typedef struct
 {
-  GString *text; /* of all tokens */
-  guint tokens;  /* events with text */
+  GString *text; /* concatenated text of all tokens */
+  guint tokens;  /* number of events with text */
   bool finished; /* the event with the finish reason was forwarded */
 } pu_delivered_t;
 
@@ -36,13 +38,15 @@
 typedef enum
 {
   PU_STREAM_MORE,       /* the stream continues */
-  PU_STREAM_DONE,       /* the end mark has arrived */
-  PU_STREAM_MISMATCH,   /* an event of another completion, or a replay with
-                          another text */
-  PU_STREAM_BROKEN,     /* a skipped index, an error, or an event that can't
-                           be read or is too large */
+  PU_STREAM_DONE,       /* the [DONE] event has arrived */
+  PU_STREAM_MISMATCH,   /* an event belongs to another completion, or the text
+                           of a replay differs */
+  PU_STREAM_BROKEN,     /* a token index was skipped, the backend server
+                           reported an error, or an event is invalid or too
+                           large */
   PU_STREAM_DUPLICATES, /* the caller has received more tokens than the usage
-                        at the end reports: no retry can correct that */
+                           data of the last chunk reports; no retry can correct
+                           that */
 } pu_stream_result_t;
 
 typedef struct pu_stream pu_stream_t;
@@ -52,8 +56,9 @@
 typedef void (*pu_stream_cb) (void *data, const char *bytes, gsize len,
                               guint tokens);
 
-/* pu_stream_new - a filter for an attempt that was to resume after SENT, which
-   the filter updates.  CONFIRMED: the response head confirmed the resume.  */
+/* pu_stream_new - creates the filter of an attempt that continues after the
+   tokens in SENT.  The filter adds the tokens that it forwards to SENT.
+   CONFIRMED: the response head confirmed the resume.  */
 pu_stream_t *pu_stream_new (pu_delivered_t *sent, bool confirmed,
                             pu_stream_cb cb, void *data);
 void pu_stream_free (pu_stream_t *s);
--- a/libplantainusher/entry/strikes.c
+++ b/libplantainusher/entry/strikes.c
@@ -112,10 +112,13 @@
   strike_propose (k);
 }
 
-/* Whether K is complete, so that the view alone decides about its request.
-   That holds at once for a convicted request.  Any other waits until all
-   entries know that it is a suspect.  Otherwise a caller whose request is lost
-   again could run it through an entry that knows of neither strike.  */
+/* Whether the strike K is complete, so that the replicated state alone decides
+   whether the request may run.  For a convicted request, one that may not run
+   again, K is complete as soon as the replicated state contains K.  For any
+   other request, K is complete only after strike_settle_ms more, when all
+   entries know that the request is a suspect (a request with at least one
+   strike).  Otherwise a caller whose request is lost again could run it
+   through an entry that knows of neither strike.  */
 static bool
 strike_is_complete (pu_strike_t *k, const pu_state_t *view, guint64 now)
 {
--- a/libplantainusher/entry/trace.c
+++ b/libplantainusher/entry/trace.c
@@ -43,7 +43,8 @@
   return uv_now (x->en->o.loop) - then;
 }
 
-/* Name of the backend server or entry that X was sent to, or "".  */
+/* Returns the name of the backend server or entry that X was sent to, or ""
+   when X was sent to none.  */
 static const char *
 target_name (const pu_exchange_t *x)
 {
--- a/libplantainusher/entry/trace.h
+++ b/libplantainusher/entry/trace.h
@@ -8,12 +8,12 @@
 /*
  * trace - logs and counts the decisions about a request.
  *
- * Each decision is one line of the log, with the request's id, the figures
- * behind the decision and their age, so that `grep ID` shows all that happened
- * to a request.
+ * Each decision is one line of the log, with the id of the request, the
+ * figures behind the decision and the age of these figures, so that `grep ID`
+ * shows everything that happened to a request.
  */
 
-/* pu_trace_queued - X waits in the router's queue.  */
+/* pu_trace_queued - the request X waits in the router's queue.  */
 void pu_trace_queued (const pu_exchange_t *x);
 
 /* pu_trace_model_wait - X waits until its model is loaded.  */
@@ -41,8 +41,8 @@
 /* pu_trace_answered - the complete response to X has arrived.  */
 void pu_trace_answered (const pu_exchange_t *x);
 
-/* pu_trace_first_event - the first event of a stream is forwarded to X's
-   caller.  Counted, not logged.  */
+/* pu_trace_first_event - the first event of a stream is forwarded to the
+   caller of X.  The event is counted but not logged.  */
 void pu_trace_first_event (const pu_exchange_t *x);
 
 /* pu_trace_caller_gone - X's caller closed its connection before the response
