--- a/libplantainusher/document/check.c
+++ b/libplantainusher/document/check.c
@@ -1,6 +1,7 @@
 #include "document/internal.h"
 
-/* Most similar names listed for a name that is not declared.  */
+/* Maximum number of similar names that are suggested for an undeclared
+   name.  */
 #define NEAR_MAX 3
 
 typedef struct
@@ -10,8 +11,8 @@
   guint n_findings;
 } checker_t;
 
-/* Adds a finding at PATH and frees PATH.  Counts findings beyond the limit
-   without adding them.  */
+/* Adds a finding at the JSON pointer PATH and frees PATH.  Findings beyond
+   PU_DOCUMENT_FINDINGS_MAX are counted but not added.  */
 static void G_GNUC_PRINTF (3, 4)
     add_finding (checker_t *c, char *path, const char *format, ...)
 {
@@ -30,8 +31,8 @@
   g_free (path);
 }
 
-/* The JSON pointer "/TABLE/NAME" and REST; NAME may be invalid, which
-   the schema check reports, and is escaped for the pointer.  */
+/* Returns the JSON pointer "/TABLE/NAME" followed by REST.  NAME is escaped,
+   since it may be invalid; the schema check reports an invalid name.  */
 static char *
 row_pointer (const char *table, const char *name, const char *rest)
 {
@@ -165,8 +166,9 @@
     }
 }
 
-/* Whether the model or adapter H has the name of the row before it.  Rows are
-   sorted by name, and a model precedes an adapter of the same name.  */
+/* Whether the row H of models and adapters has the same name as the row before
+   it.  Rows are sorted by name, and a model precedes an adapter of the same
+   name.  */
 static bool
 is_duplicate (const pu_document_t *d, pu_model_handle_t h)
 {
@@ -203,8 +205,8 @@
       add_finding (c, row_pointer (table, m->name, ""),
                    "is in no service, so that no caller can reach it");
     }
-  /* Rows are sorted by name, and a model precedes an adapter of the same
-     name.  */
+  /* The row before H has the same name.  Rows are sorted by name, and a model
+     precedes an adapter of the same name.  */
   if (h > 0 && g_str_equal (c->d->models[h - 1].name, m->name))
     {
       add_finding (c, row_pointer (table, m->name, ""),
--- a/libplantainusher/document/document.c
+++ b/libplantainusher/document/document.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* Default targets of a service.  */
+/* Default latency targets of a service, in milliseconds.  */
 #define DEFAULT_FIRST_TOKEN_MS 1000
 #define DEFAULT_PER_TOKEN_MS 100
 #define DEFAULT_ANSWER_MS 500
@@ -54,8 +54,8 @@
 static void
 add_name (GHashTable *names, const char *name, guint32 h)
 {
-  /* The first row of a duplicate name is used; pu_document_check reports the
-     duplicate.  */
+  /* If two rows have the same name, the first is used; pu_document_check
+     reports the duplicate.  */
   if (!g_hash_table_contains (names, name))
     g_hash_table_insert (names, (gpointer)name, GUINT_TO_POINTER (h + 1));
 }
@@ -73,8 +73,9 @@
     add_name (d->model_names, d->models[i].name, i);
 }
 
-/* Resolves the models that service S lists.  S becomes the default service of
-   those that have none yet.  */
+/* Resolves the names of the models that service S lists to handles.  S becomes
+   the default service of the listed models that have no default service
+   yet.  */
 static void
 resolve_service_models (pu_document_t *d, pu_service_handle_t s)
 {
@@ -154,8 +155,8 @@
     *value = fallback;
 }
 
-/* Fills in omitted targets.  Runs after the checks, which use 0 to recognize
-   a target that was omitted.  */
+/* Fills in omitted latency targets.  Must run after the checks, which
+   recognize an omitted target by the value 0.  */
 static void
 set_default_targets (pu_document_t *d)
 {
@@ -178,8 +179,9 @@
     }
 }
 
-/* Whether the tables in VALUE are JSON objects.  If one is not, its names
-   cannot be read and the checks would report each of them as undeclared.  */
+/* Whether the tables (services, models, adapters and routes) in VALUE are JSON
+   objects.  If a table is not an object, its names cannot be read, and the
+   checks would report each use of such a name as undeclared.  */
 static bool
 tables_are_objects (const json_t *value)
 {
--- a/libplantainusher/document/document_fuzz.cc
+++ b/libplantainusher/document/document_fuzz.cc
@@ -1,5 +1,5 @@
-/* Any input yields either a document or findings, and parsing a canonical text
-   yields the same text.  */
+/* Fuzzes the document parser: any input must yield either a document or
+   findings, and parsing a canonical text must yield the same text.  */
 #include <stdint.h>
 #include <string.h>
 
--- a/libplantainusher/document/document_test.cc
+++ b/libplantainusher/document/document_test.cc
@@ -16,7 +16,8 @@
 namespace
 {
 
-/* Replaces ' by ", since the JSON in these tests is written with '.  */
+/* Returns TEXT with every ' replaced by ", since the JSON in these tests is
+   written with '.  */
 std::string
 quoted (std::string text)
 {
@@ -281,7 +282,8 @@
     }
 }
 
-/* All fields, defaults included, for the comparison of two documents.  */
+/* Returns all fields of D as text, defaults included, to compare two
+   documents.  */
 std::string
 effective (const pu_document_t *d)
 {
@@ -302,7 +304,7 @@
   return quote + std::to_string (n) + quote;
 }
 
-/* "KEY:{...}" with the pairs of FIELDS.  */
+/* Returns the JSON member "KEY:{...}" with the name-value pairs in FIELDS.  */
 std::string
 object (std::string key,
         const std::vector<std::pair<std::string, std::string> > &fields)
@@ -318,7 +320,7 @@
   return key.append ("}");
 }
 
-/* A random valid document.  */
+/* Returns a generator of random valid documents.  */
 rc::Gen<std::string>
 any_document ()
 {
@@ -422,7 +424,7 @@
   pu_document_unref (d);
 }
 
-/* The comparison used by the round-trip test detects a lost field.  */
+/* The comparison that the round-trip test uses must detect a lost field.  */
 TEST (Property, EffectiveDiffersWhenAFieldIsLost)
 {
   std::string findings;
--- a/libplantainusher/document/fit.c
+++ b/libplantainusher/document/fit.c
@@ -1,6 +1,7 @@
 #include "document/internal.h"
 
-/* Most models named in a message; the rest are only counted.  */
+/* Maximum number of models named in a message; the others are only
+   counted.  */
 #define NAMED_MAX 5
 
 /* Memory that the copies of a base model need.  */
@@ -9,11 +10,13 @@
   const pu_model_t *model;
   pu_model_handle_t handle;
   guint32 copies;
-  guint32 mb;         /* of one copy */
-  guint64 adapter_mb; /* of one copy of each adapter of the model */
+  guint32 mb;         /* memory of one copy on each accelerator */
+  guint64 adapter_mb; /* total memory of one copy of each adapter of the
+                         model */
 } memory_need_t;
 
-/* Models to place, largest first, and servers, smallest first.  */
+/* State of one check: the models to place, largest first, and the backend
+   servers, smallest first.  */
 typedef struct
 {
   const pu_document_t *d;
@@ -51,7 +54,8 @@
   return 0;
 }
 
-/* A base needs at least as many copies as each of its adapters.  */
+/* Returns the memory need of the base model H.  A base model needs at least as
+   many copies as each of its adapters.  */
 static memory_need_t
 need_of (const pu_document_t *d, pu_model_handle_t h)
 {
@@ -91,8 +95,9 @@
   qsort (fit->servers, n, sizeof (pu_capacity_t), compare_servers);
 }
 
-/* The index of the first server with at least WIDTH accelerators.  Servers
-   are sorted, so that all after it have as many.  */
+/* Returns the index of the first server with at least WIDTH accelerators.
+   Servers are sorted by number of accelerators, so all later servers have at
+   least as many.  */
 static guint
 first_server (const fit_t *fit, guint32 width)
 {
@@ -103,8 +108,9 @@
   return i;
 }
 
-/* How many servers can hold MB on WIDTH accelerators; sets LARGEST to
-   the largest memory of a server with at least WIDTH accelerators.  */
+/* Returns how many servers have at least WIDTH accelerators with at least MB
+   of memory each.  Sets LARGEST to the largest memory per accelerator of any
+   server with at least WIDTH accelerators, or to 0.  */
 static guint
 count_servers (const fit_t *fit, guint32 width, guint64 mb, guint32 *largest)
 {
@@ -137,7 +143,8 @@
 }
 
 /* Adds a finding when fewer than COPIES servers can hold a copy of M that
-   takes MB.  WHAT itemizes MB in the message.  */
+   takes MB on each accelerator.  WHAT lists the parts of MB in the
+   message.  */
 static void
 check_single (const fit_t *fit, const pu_model_t *m, guint32 copies,
               guint64 mb, const char *what)
@@ -222,8 +229,9 @@
   return x->handle < y->handle ? -1 : 1;
 }
 
-/* Returns the copies and memory of the first N needs, such as "a 2 x 20000 MB,
-   b 1 x 14000 MB, 12 more", in descending order of total memory.  */
+/* Returns a text with the copies and the memory of the first N needs, such as
+   "a 2 x 20000 MB, b 1 x 14000 MB, 12 more", in descending order of total
+   memory.  */
 static char *
 name_needs (const fit_t *fit, guint n)
 {
@@ -275,8 +283,9 @@
   return sum;
 }
 
-/* Compares the total memory of the first N needs, which all need at least
-   WIDTH accelerators, with that of the servers that have as many.  */
+/* Adds a finding when the total memory of the first N needs, which all need at
+   least WIDTH accelerators, exceeds that of the servers with at least WIDTH
+   accelerators.  */
 static void
 check_total_memory (const fit_t *fit, guint n, guint32 width)
 {
@@ -305,9 +314,9 @@
   g_free (names);
 }
 
-/* Counts the copies of at least MB that the models of the first N needs
-   require.  Adds a finding and returns false when the servers with at least
-   WIDTH accelerators can't hold as many.  */
+/* Counts the copies of at least MB that the first N needs require.  Adds a
+   finding and returns false when the servers with at least WIDTH accelerators
+   cannot hold that many copies.  */
 static bool
 check_copy_count (const fit_t *fit, guint n, guint32 width, guint32 mb)
 {
@@ -335,8 +344,8 @@
   return false;
 }
 
-/* For each number of accelerators that a model needs, checks together all
-   models that need at least as many.  */
+/* For each number of accelerators that some model needs, checks together all
+   models that need at least that number.  */
 static void
 check_classes (const fit_t *fit)
 {
@@ -344,7 +353,7 @@
     {
       guint32 width = fit->needs[n - 1].model->accelerators;
 
-      /* Continue up to the last need of this width.  */
+      /* Skip to the last need with this number of accelerators.  */
       if (n < fit->n_needs && fit->needs[n].model->accelerators == width)
         continue;
       check_total_memory (fit, n, width);
@@ -353,9 +362,11 @@
     }
 }
 
-/* Places COPIES of MB on different servers: those at indexes FIRST to END - 1
-   of PLACES, or of all servers when PLACES is NULL.  Appends the chosen
-   servers to CHOSEN unless it is NULL.  */
+/* Places COPIES copies of MB each on different servers, and subtracts MB from
+   the FREE_MB of each.  The candidates are the servers at the indexes FIRST to
+   END - 1 of PLACES, or of all servers when PLACES is NULL.  Appends the
+   chosen servers to CHOSEN unless it is NULL.  Returns whether all copies were
+   placed.  */
 static bool
 place_copies (guint64 *free_mb, const GArray *places, guint first, guint end,
               guint32 copies, guint64 mb, GArray *chosen)
@@ -421,9 +432,10 @@
   return first_server (fit, need->model->accelerators);
 }
 
-/* First-fit decreasing.  With RESERVE_ADAPTERS each copy reserves memory for
-   all of its adapters; otherwise adapters are placed in the remaining memory.
- */
+/* Packs the models by first-fit decreasing, and returns whether all were
+   placed.  With RESERVE_ADAPTERS each copy of a model reserves memory for all
+   adapters of the model; otherwise the adapters are placed afterwards in the
+   remaining memory.  */
 static bool
 pack (const fit_t *fit, bool reserve_adapters)
 {
--- a/libplantainusher/document/fit_test.cc
+++ b/libplantainusher/document/fit_test.cc
@@ -17,7 +17,7 @@
   guint32 mb;
   guint32 width;
   guint32 copies;
-  std::vector<guint32> adapters; /* memory of each */
+  std::vector<guint32> adapters; /* memory of each adapter in MB */
 };
 
 std::string
@@ -68,8 +68,9 @@
   return d;
 }
 
-/* Exhaustive search: tries every set of servers for each model, then every
-   server of the set for each of its adapters.  */
+/* Decides by exhaustive search whether the models fit: tries every set of
+   servers for each model and then, for each adapter of the model, every server
+   of that set.  */
 struct oracle
 {
   const std::vector<model> &models;
@@ -149,7 +150,8 @@
   return o.fits (0);
 }
 
-/* Whether the result agrees with the exhaustive search.  */
+/* Whether the result of pu_document_check_fit_with_break agrees with the
+   exhaustive search.  */
 bool
 agrees (const std::vector<model> &models,
         const std::vector<pu_capacity_t> &servers,
@@ -170,7 +172,8 @@
   return good;
 }
 
-/* Whether the result agrees for a small random case generated from SEED.  */
+/* Whether the result of pu_document_check_fit_with_break agrees with the
+   exhaustive search for a small random case generated from SEED.  */
 bool
 agrees_on (guint32 seed, pu_document_break_t test_break)
 {
@@ -203,7 +206,8 @@
     RC_ASSERT (agrees_on (base + i, PU_DOCUMENT_BREAK_NONE));
 }
 
-/* The property above fails when the total memory or the packing is wrong.  */
+/* The comparison with the exhaustive search must fail when a fault is injected
+   into the total memory or into the packing.  */
 TEST (Fit, OracleDetectsInjectedFaults)
 {
   for (pu_document_break_t test_break :
--- a/libplantainusher/document/internal.h
+++ b/libplantainusher/document/internal.h
@@ -5,14 +5,15 @@
 
 G_BEGIN_DECLS
 
-/* Used only in libplantainusher/document.  The schema fills in the first group
-   of fields; the lookup tables are built from them.  */
+/* Used only in libplantainusher/document.  Reading a JSON document by
+   pu_document_schema fills in the fields from services to version_change; the
+   lookup tables below them are built from these fields.  */
 struct pu_document
 {
-  pu_json_rows_t services; /* pu_service_t, by name */
-  pu_json_rows_t bases;    /* pu_model_t, by name */
-  pu_json_rows_t adapters; /* pu_model_t, by name */
-  pu_json_rows_t routes;   /* pu_route_t, by name */
+  pu_json_rows_t services; /* pu_service_t, sorted by name */
+  pu_json_rows_t bases;    /* pu_model_t, sorted by name */
+  pu_json_rows_t adapters; /* pu_model_t, sorted by name */
+  pu_json_rows_t routes;   /* pu_route_t, sorted by name */
   pu_caller_limits_t callers;
   const char *source;
   pu_placement_settings_t placement;
@@ -21,37 +22,44 @@
   guint refs;
   pu_json_arena_t *arena;
   char *text;
-  pu_model_t *models; /* bases and adapters, by name */
+  pu_model_t *models; /* base models and adapters, sorted by name */
   guint n_models;
-  GHashTable *service_names;            /* name -> handle + 1 */
-  GHashTable *model_names;              /* name -> handle + 1 */
-  pu_service_handle_t *default_service; /* by model handle */
-  pu_model_handle_t *adapters_by_base;  /* adapters, grouped by their base */
-  guint *first_adapter; /* by model handle: index into adapters_by_base; has
-                           one more element, the end of the last group */
-  GHashTable *hosts;    /* lower case -> GArray of route handles, those with
-                           the longest prefix first */
+  GHashTable *service_names;            /* service name -> handle + 1 */
+  GHashTable *model_names;              /* model name -> handle + 1 */
+  pu_service_handle_t *default_service; /* default service of each model, by
+                                           model handle */
+  pu_model_handle_t *adapters_by_base;  /* handles of the adapters, grouped by
+                                           base model */
+  guint *first_adapter; /* by model handle: index in adapters_by_base of the
+                           first adapter of the model; one more element holds
+                           the end of the last group */
+  GHashTable *hosts;    /* host in lower case -> GArray of route handles,
+                           longest path prefix first */
 };
 
-/* pu_document_check adds at most this many findings.  */
+/* Maximum number of findings that pu_document_check adds.  */
 #define PU_DOCUMENT_FINDINGS_MAX 200
 
 extern const pu_schema_t pu_document_schema;
 
-/* pu_document_check_not_repeatable - a pu_string_check_t for an entry
-   "METHOD /path-prefix".  */
+/* pu_document_check_not_repeatable - checks an entry "METHOD /path-prefix" of
+   not_repeatable.  A pu_string_check_t: returns the fault, or NULL.  */
 const char *pu_document_check_not_repeatable (const char *s);
 
 /* pu_document_check - adds a finding for each violation of a rule that spans
-   several fields or rows.  Names must have been resolved.  */
+   several fields or rows.  The names in D must have been resolved to
+   handles.  */
 void pu_document_check (const pu_document_t *d, pu_findings_t *f);
 
-/* pu_routes_build - builds the lookup table of D's routes.  Services must have
-   handles.  */
+/* pu_routes_build - builds the lookup table of D's routes.  The handles of D's
+   services must be known, since the routes' service names are resolved to
+   them.  */
 void pu_routes_build (pu_document_t *d);
 void pu_routes_clear (pu_document_t *d);
 
-/* pu_document_check_prefix, pu_document_check_host - pu_string_check_t.  */
+/* pu_document_check_prefix, pu_document_check_host - check the path prefix and
+   the host of a route.  Each is a pu_string_check_t: returns the fault, or
+   NULL.  */
 const char *pu_document_check_prefix (const char *s);
 const char *pu_document_check_host (const char *s);
 
@@ -59,13 +67,14 @@
 typedef enum
 {
   PU_DOCUMENT_BREAK_NONE,
-  PU_DOCUMENT_BREAK_TOTAL_MEMORY, /* total memory omits one server */
-  PU_DOCUMENT_BREAK_ACCELERATORS  /* packing ignores the number of
-                                    accelerators */
+  PU_DOCUMENT_BREAK_TOTAL_MEMORY, /* the total memory of the servers omits one
+                                     server */
+  PU_DOCUMENT_BREAK_ACCELERATORS  /* packing ignores how many accelerators a
+                                     model needs */
 } pu_document_break_t;
 
-/* pu_document_check_fit_with_break - pu_document_check_fit with the fault
-   TEST_BREAK.  */
+/* pu_document_check_fit_with_break - pu_document_check_fit with the injected
+   fault TEST_BREAK.  */
 pu_fit_t pu_document_check_fit_with_break (const pu_document_t *d,
                                            const pu_capacity_t *c, size_t n,
                                            pu_document_break_t test_break,
--- a/libplantainusher/document/not_repeatable.c
+++ b/libplantainusher/document/not_repeatable.c
@@ -23,7 +23,7 @@
   return NULL;
 }
 
-/* PATH up to its query or fragment, with percent escapes decoded and
+/* Returns PATH up to its query or fragment, with percent escapes decoded and
    NUL bytes dropped.  */
 static char *
 percent_decode (const char *path)
@@ -57,8 +57,9 @@
     g_string_truncate (out, (gsize)(slash - out->str));
 }
 
-/* PATH as "/a/b" without empty and `.` segments and without segment
-   parameters; with RESOLVE, each `..` removes the segment before it.  */
+/* Returns PATH in the form "/a/b", without empty segments, `.` segments and
+   segment parameters.  With RESOLVE, each `..` removes the segment before
+   it.  */
 static char *
 normalize_path (const char *path, bool resolve)
 {
--- a/libplantainusher/document/route.c
+++ b/libplantainusher/document/route.c
@@ -1,4 +1,5 @@
-/* Routes: matching of requests by host and path.  */
+/* Routes of a document: selection of a route and a service for a request by
+   host and path.  */
 
 #include "document/internal.h"
 
@@ -50,7 +51,7 @@
   return (const pu_route_t *)d->routes.items + h;
 }
 
-/* --- lookup tables --- */
+/* --- construction of the lookup table --- */
 
 static void
 resolve_route_services (pu_document_t *d, pu_route_t *r)
@@ -80,8 +81,8 @@
   return list;
 }
 
-/* Orders longer prefixes first and equal prefixes, which pu_document_check
-   reports, by name.  */
+/* Orders routes of a host with longer path prefixes first, and routes with
+   equal path prefixes, which pu_document_check reports, by name.  */
 static gint
 compare_prefixes (gconstpointer a, gconstpointer b, gpointer document)
 {
@@ -128,9 +129,9 @@
     g_hash_table_destroy (d->hosts);
 }
 
-/* --- lookup --- */
+/* --- finding a route or service --- */
 
-/* Binary search; the rows are sorted by name.  */
+/* A binary search, since the rows of routes are sorted by name.  */
 bool
 pu_document_route_named (const pu_document_t *d, const char *name)
 {
--- a/libplantainusher/document/schema.c
+++ b/libplantainusher/document/schema.c
@@ -1,6 +1,7 @@
 #include "document/internal.h"
 
-/* Upper limits.  Any row within them fits into a message between daemons.  */
+/* Maxima of lists and values in a document.  Any table row within them fits
+   into one message between daemons.  */
 #define SERVICES_MAX 1024
 #define MODELS_MAX 4096
 #define ADAPTERS_MAX 16384
@@ -9,8 +10,8 @@
 #define MEMORY_MB_MAX 10000000
 #define NOT_REPEATABLE_MAX 256
 #define ROUTES_MAX 16384
-/* Concurrent loads, or loads per second.  Thousands of engines can share one
-   weights store.  */
+/* Maximum of store_full_speed (concurrent loads) and of store_loads_per_s
+   (loads per second).  Thousands of engines can share one weights store.  */
 #define STORE_LOADS_MAX 100000
 #define PARTS_MAX 256
 #define PATH_MAX_BYTES 4096
@@ -27,15 +28,16 @@
     table, G_N_ELEMENTS (table), sizeof (row), key, check                     \
   }
 
-/* An integer FIELD of the struct ROW from LEAST to MOST, with default START,
-   in the unit OF.  */
+/* An optional integer FIELD of the struct ROW, from LEAST to MOST in the unit
+   OF, with the default START.  */
 #define INT(row, field, least, most, start, of)                               \
   {                                                                           \
     .name = #field, .type = PU_FIELD_INT, .offset = offsetof (row, field),    \
     .min = (least), .max = (most), .fallback = (start), .unit = (of)          \
   }
 
-/* A required integer field.  */
+/* A required integer FIELD of the struct ROW, from LEAST to MOST in the unit
+   OF.  */
 #define REQUIRED_INT(row, field, least, most, of)                             \
   {                                                                           \
     .name = #field, .type = PU_FIELD_INT, .flags = PU_FIELD_REQUIRED,         \
@@ -78,8 +80,8 @@
 static const pu_schema_t engine_schema
     = SCHEMA (engine_fields, pu_engine_class_t, 0, NULL);
 
-/* An omitted target is read as 0; its default depends on the kind of the
-   service and is set after the checks.  */
+/* An omitted latency target is read as 0.  The default depends on the kind of
+   the service and is set after the checks.  */
 static const pu_field_t target_fields[] = {
   INT (pu_targets_t, first_token_ms, 1, HOUR_MS, 0, "ms"),
   INT (pu_targets_t, per_token_ms, 1, MINUTE_MS, 0, "ms"),
