--- a/libplantainusher/entry/servers.c
+++ b/libplantainusher/entry/servers.c
@@ -9,9 +9,10 @@
   PROBES_UNTIL_DOWN = 2, /* a backend server is marked as down after this many
                             failed probes in a row */
   PROBE_RETRY_MS = 100,
-  /* A backend server whose probes failed at this entry stays down at this
-     entry for this time, even if the replicated state says that it is up.
-     After this time the replicated state must have it as down.  */
+  /* A backend server that this entry found dead, by failed probes or because
+     another one has its address, stays down at this entry for this time, even
+     if the replicated state says that it is up.  After this time the replicated
+     state must have it as down.  */
   LOCAL_DOWN_MS = 5000,
 };
 
--- a/libplantainusher/entry/stream.h
+++ b/libplantainusher/entry/stream.h
@@ -18,7 +18,7 @@
  *     whose index was seen before is dropped, a skipped index breaks the
  *     stream;
  *   - otherwise, when the response head confirmed the resume
- *     (X-Resume-Tokens: N): all events are forwarded;
+ *     (X-Resume-Tokens: N): all events with text are forwarded;
  *   - otherwise the events are a replay from token 0: the first N events with
  *     text must have the text that the caller has received, and are dropped.
  */
