--- a/libplantainusher/entry/servers.c
+++ b/libplantainusher/entry/servers.c
@@ -11,8 +11,8 @@
   PROBE_RETRY_MS = 100,
   /* A backend server that this entry found dead, by failed probes or because
      another one has its address, stays down at this entry for this time, even
-     if the replicated state says that it is up.  After this time the replicated
-     state must have it as down.  */
+     if the replicated state says that it is up.  After this time the
+     replicated state must have it as down.  */
   LOCAL_DOWN_MS = 5000,
 };
 
