--- a/libplantainusher/entry/entry.h
+++ b/libplantainusher/entry/entry.h
@@ -146,12 +146,14 @@
                                     broke off */
   guint idle_ms;   /* 4000: lifetime of an idle pooled connection */
   guint report_ms; /* 1000: report interval requested of backend servers */
-  guint log_proposal_timeout_ms; /* 2000: timeout of a proposal to the log; a
-                       claim that takes longer is refused */
+  /* 2000: timeout of a proposal to the log.  A claim is the log record that an
+     idempotency key is taken.  If it takes longer, the request is refused,
+     because a request with a key runs only after its claim was granted.  */
+  guint log_proposal_timeout_ms;
   guint loads_ms; /* 1000: minimum interval between two load messages to
                      another entry */
-  bool loads_to_all_entries; /* send loads to all entries, not only to entries
-                                that serve the same services */
+  bool loads_to_all_entries; /* send load reports to all entries, not only to
+                                entries that serve the same services */
   guint ttl_s;               /* 10: how long callers cache a list of entries */
   guint test_breaks; /* injected faults, flags of pu_entry_break_t; 0 outside
                         tests */
--- a/libplantainusher/entry/entry_private.h
+++ b/libplantainusher/entry/entry_private.h
@@ -67,7 +67,9 @@
   guint64 incarnation;
   guint64 load_id;            /* pu_entry_load_id of the incarnation */
   pu_router_backend_t handle; /* router's handle; PU_ROUTER_NONE when down */
-  guint number;               /* key in the suspects' table; never reused */
+  /* Identifies the server in `suspects` of the entry, the table that records
+     which request is in flight on which server; never reused.  */
+  guint number;
   bool leaving;
   bool plain; /* serves a plain service, not models */
   bool down;  /* according to the view, or found dead by this entry */
@@ -224,7 +226,8 @@
   guint64 document_version;
   guint64 rejected_version; /* version of the last document that was invalid */
   pu_document_parse_t *parsing; /* parse in progress; NULL: none */
-  guint64 changes; /* change count of the view that was last applied */
+  guint64 changes; /* change count of the view (this daemon's copy of the
+                      replicated state) that was last applied */
   GPtrArray *other_addresses;      /* peer addresses of all other entries */
   guint64 other_addresses_version; /* version of the view's members that
                                  other_addresses was made from */
@@ -458,8 +461,9 @@
 void pu_server_remove_held (pu_exchange_t *x);
 
 /* pu_server_count_suspect - counts a suspect that starts to run on S or, if
-   BEGINS is false, that has ended on S.  While suspects run on S, this entry
-   sends S nothing else.  */
+   BEGINS is false, that has ended on S.  A suspect is a request that may have
+   crashed a backend server (see suspects/suspects.h).  While suspects run on
+   S, this entry sends S nothing else.  */
 void pu_server_count_suspect (pu_entry_t *en, pu_server_t *s, bool begins);
 
 /* pu_servers_copy_isolated - whether there is a backend server with a copy of
--- a/libplantainusher/entry/load_forward.c
+++ b/libplantainusher/entry/load_forward.c
@@ -17,8 +17,9 @@
      receives at most 1.1 KB/s in total.  */
   INTERVAL_PER_BACKEND_MS = 72,
   LIFETIME_MIN_MS = 5000,
-  LIFETIME_INTERVALS = 3, /* a load is valid for this many intervals, which
-                             tolerates the loss of two messages in a row */
+  /* A load report is valid for this many intervals, which tolerates the loss
+     of two messages in a row.  */
+  LIFETIME_INTERVALS = 3,
   /* Duration of a withdrawal.  An unload waits for the streams in progress,
      and the withdrawal must last until a report of the backend server shows
      that the unload is complete.  */
--- a/libplantainusher/log/group_fake.h
+++ b/libplantainusher/log/group_fake.h
@@ -23,7 +23,8 @@
   std::vector<std::string> applied;
   uint64_t restored = 0; /* number of entries restored from a snapshot */
   bool isolated = false; /* if true, the voter neither sends nor receives */
-  /* Functions of another state machine, used instead of the list if set.  */
+  /* Functions of another state machine.  Each one that is set is used instead
+     of the list `applied`.  */
   std::function<void (uint64_t, const void *, size_t)> on_entry;
   std::function<GBytes *()> on_image;
   std::function<bool (const void *, size_t)> on_load;
--- a/libplantainusher/log/replica_voters.c
+++ b/libplantainusher/log/replica_voters.c
@@ -358,8 +358,10 @@
 }
 
 /* Returns the position of the member to remove first, or NO_MEMBER.  Only
-   members whose removal leaves a quorum of confirmed voters are
-   considered.  */
+   members whose removal leaves a quorum of confirmed voters are considered.  A
+   voter is confirmed if it has lost no entries and has recently answered a
+   message that was sent after the configuration in force was committed; this
+   replica itself is always confirmed (see is_confirmed).  */
 static int
 removal_candidate (const pu_replica_t *r, const pu_log_config *c, uint64_t now)
 {
--- a/libplantainusher/placement/dispatcher.c
+++ b/libplantainusher/placement/dispatcher.c
@@ -526,8 +526,9 @@
   else
     {
       /* The engine can no longer accept the order at the head of the queue
-         with the count that it was sent with.  The order is sent again with
-         the new count.  */
+         with the count of accepted orders that it was sent with, because the
+         engine's own count differs now.  The order is sent again with the new
+         count.  */
       e->head_sent = false;
       e->outcome_unknown = false;
     }
--- a/libplantainusher/placement/ledger.c
+++ b/libplantainusher/placement/ledger.c
@@ -125,7 +125,8 @@
 }
 
 /* The MB counted for COPY on each accelerator: the largest of the memory
-   reported for it and the memory of its load orders that count.  */
+   reported for it and the memory of its load orders that count, which are
+   those that have not been fenced off (see is_counted).  */
 static guint32
 copy_committed_mb (const pu_ledger_t *l, const backend_t *n, guint32 copy)
 {
--- a/libplantainusher/placement/planner.h
+++ b/libplantainusher/placement/planner.h
@@ -161,7 +161,8 @@
   double move_price;   /* price of one move at moves_weight 0, in late
                           stream-seconds */
   double min_stay_s;   /* a load that evicts a copy that has been ready for
-                          less than this time has a higher price */
+                          less than this time has a higher price, in late
+                          stream-seconds */
   double watch_s;      /* time for which a new version must be ready before the
                           old one is unloaded */
   /* Number of failed loads after which the item is in backoff on all engines
--- a/libplantainusher/placement/planner_grow.c
+++ b/libplantainusher/placement/planner_grow.c
@@ -197,8 +197,10 @@
   return false;
 }
 
-/* Returns the scale-up with the highest rank of the items on hot engines.  Its
-   engine is PU_PLAN_NONE when no gain exceeds its price.  */
+/* Returns the scale-up with the highest rank of the items on hot engines.  The
+   terms hot, gain and price are explained at the head of planner.h.  The rank
+   is gain minus price, multiplied by demand_pressure.  The engine of the
+   result is PU_PLAN_NONE when no gain exceeds its price.  */
 static pu_scale_up_t
 best_scale_up (pu_round_t *r)
 {
--- a/libplantainusher/placement/planner_internal.h
+++ b/libplantainusher/placement/planner_internal.h
@@ -195,7 +195,9 @@
 guint32 pu_planned_version (const pu_planned_item_t *t);
 
 /* pu_planner_rebuild_index - finds the copies of each item on the usable
-   engines, counts them by phase, and removes expired load blocks.  */
+   engines, counts them by phase, and removes expired load blocks
+   (pu_load_block_t), which are temporary bans on loading an item on an
+   engine.  */
 void pu_planner_rebuild_index (pu_planner_t *p, guint64 now);
 
 /* pu_planner_reserve_for_adapters - reserves memory on ENGINE, which has or
--- a/libplantainusher/placer/placer.h
+++ b/libplantainusher/placer/placer.h
@@ -71,20 +71,26 @@
    "copies":[{"backend","version","phase","memory_mb","reason"}]}],
    "missing":[MODEL...], "repairing":[MODEL...],
    "failures":[{"model","version","backend","failures","retry_ms"}]}.  "quiet"
-   is the result of pu_orders_loads_suspended, "standing" a name of
-   pu_item_state_name.  "missing" lists the models without a ready copy,
-   "repairing" lists those missing models that are being loaded.  On a voter
-   that does not lead the lists are empty.  */
+   is the result of pu_orders_loads_suspended: whether any backend server takes
+   no loads because of an order of the previous leader.  "inherited" is whether
+   the order was adopted from the previous leader.  "standing" is the
+   availability of the model to its callers, a name of pu_item_state_name.
+   "missing" lists the models without a ready copy, "repairing" lists those
+   missing models that are being loaded.  On a voter that does not lead the
+   lists are empty.  */
 json_t *pu_placer_status (pu_placer_t *p);
 
-/* pu_placer_dump - returns the status with "numbers" of this process added. */
+/* pu_placer_dump - returns the status with the object "numbers" added, which
+   describes this process: the counts "take_overs", "sends_open" and
+   "reservations_open", and the times of its options "lease_ms", "send_ms",
+   "transit_ms" and "report_ms".  */
 json_t *pu_placer_dump (pu_placer_t *p);
 
-/* pu_placer_plan - returns the moves that the document D would cause, as a new
-   object {"moves":[{"kind","model","version","backend","memory_mb",
-   "reason"}]}.  Uses the newest state.  The known demand is taken into account
-   only on a leader whose placement is up to date with that state and which
-   does not suspend loads (pu_orders_loads_suspended).  */
+/* pu_placer_plan - returns the moves that would follow if D were the document
+   in force, as a new object {"moves":[{"kind","model","version","backend",
+   "memory_mb","reason"}]}.  Uses the newest state.  The known demand is taken
+   into account only on a leader whose placement is up to date with that state
+   and which does not suspend loads (pu_orders_loads_suspended).  */
 json_t *pu_placer_plan (pu_placer_t *p, const pu_document_t *d);
 
 /* pu_placer_plan_state - like pu_placer_plan, from S alone, on any daemon: the
--- a/libplantainusher/placer/sequenced_private.h
+++ b/libplantainusher/placer/sequenced_private.h
@@ -69,7 +69,8 @@
   pu_counter_t answers_lost;
 };
 
-/* Returns the time of the control's clock, in milliseconds.  */
+/* Returns the monotonic time, in milliseconds, that the control module passes
+   to leader tasks (pu_control_now).  */
 static inline guint64
 pu_sequenced_now (const pu_sequenced_t *s)
 {
--- a/libplantainusher/routing/limit.c
+++ b/libplantainusher/routing/limit.c
@@ -33,8 +33,9 @@
 #define ENGINE_WAITING_MAX 2
 /* Growth factor until the slots have shrunk once.  */
 #define SLOTS_GROW_FACTOR_INITIAL 1.3
-/* Consecutive reports of a queueing engine after which the slots shrink; fewer
-   may be a burst.  */
+/* Consecutive reports of a queueing engine after which the slots of its
+   backend server (the adaptive limit of concurrent requests) shrink; fewer may
+   be a burst.  */
 #define QUEUEING_REPORTS_MIN 2
 
 /* Constants of the prefill window of a backend server (see prefill_window):
--- a/libplantainusher/routing/queue.c
+++ b/libplantainusher/routing/queue.c
@@ -5,7 +5,8 @@
    DRAIN_RATE_STARTS_MIN of them have been started.  */
 #define DRAIN_RATE_BUSY_MIN_MS 200
 #define DRAIN_RATE_STARTS_MIN 4
-/* Most requests of one flow that are checked for a free slot.  */
+/* Most requests of one flow (the waiting requests of one service for one
+   model) for which pick_from_flow checks whether a copy can start them.  */
 #define FLOW_SCAN_MAX 4
 
 /* Orders the requests of a flow: requests that can meet their target before
--- a/libplantainusher/routing/router.h
+++ b/libplantainusher/routing/router.h
@@ -87,8 +87,12 @@
      on a backend server may take.  */
   guint prefill_window_pct;
   /* Copies whose scores exceed the best one by at most this percentage of the
-     first-token target count as equal to it; the request's fingerprint selects
-     one of them.  */
+     first-token target count as equal to it.  Rendezvous hashing selects one
+     of them: the hash of the request's fingerprint (a hash of its model and
+     input, or an affinity key) and the backend server's name is highest for
+     it.  Where copies are equally good, all entries thus select the same copy
+     for duplicates of a request.  Without a fingerprint, the best copy is
+     selected.  */
   guint score_tolerance_pct;
   guint retry_pct;      /* retries earned by 100 first attempts */
   guint retry_burst;    /* initial and maximum retry budget */
--- a/libplantainusher/routing/router_int.h
+++ b/libplantainusher/routing/router_int.h
@@ -193,7 +193,8 @@
   guint64 tried[TRIED_MAX]; /* serials of the backend servers on which an
                                attempt failed */
   guint n_tried;
-  GSequenceIter *queue_iter;   /* in the queue of its flow */
+  GSequenceIter *queue_iter;   /* in the queue of its flow (flow_t: the waiting
+                                  requests of one service for one model) */
   GSequenceIter *timeout_iter; /* in waiting_by_timeout of the router */
   /* The fields from here on describe the running attempt.  */
   pu_router_backend_t backend;
@@ -360,7 +361,8 @@
 void queue_remove (pu_router_t *r, request_t *q);
 
 /* queue_wait_ms - returns how long Q would wait behind the requests ahead of
-   it in its flow; 0 if not known.  */
+   it in its flow, which is the waiting requests of its service for its model;
+   0 if not known.  */
 double queue_wait_ms (const pu_router_t *r, const request_t *q);
 
 /* queue_evict - removes the last request from the flow of Q, to make room for
